--- a/testkit/tests/ingress_answers.rs
+++ b/testkit/tests/ingress_answers.rs
@@ -224,7 +224,10 @@
     assert_eq!(answer.status, 503);
     let after: f64 = answer.head.get("retry-after").unwrap_or_default().parse()?;
     assert!(after > 0.0);
-    assert!(fleet.log().contains("\"cause\":\"no_backend\""));
+    until("the cause is logged", || {
+        fleet.log().contains("\"cause\":\"no_backend\"")
+    })
+    .await;
     Ok(())
 }
 
--- a/testkit/tests/ingress_configuration.rs
+++ b/testkit/tests/ingress_configuration.rs
@@ -57,6 +57,9 @@
         document["Routes"][1]["PathPrefix"] = json!("/later/");
     });
     until_status(&fleet, "/later/", 200).await;
+    // lines of earlier ones come before it
+    let last = format!("configuration {} in force", fleet.version());
+    until("the last one is logged", || fleet.log().contains(&last)).await;
     let in_force = fleet.log().matches("configuration 1 in force").count();
     assert_eq!(in_force, 1);
     Ok(())
@@ -97,7 +100,7 @@
     fleet.store.forget_history();
     fleet.store.set_fault(StoreFault::None);
     until_status(&fleet, "/moved/", 200).await;
-    assert!(fleet.log().contains("history of"));
+    until("the loss is logged", || fleet.log().contains("history of")).await;
     Ok(())
 }
 
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -246,7 +246,10 @@
     assert_eq!(ask(&fleet, "/unsafe/", "other", KEY).await?.status, 200);
     let runs: usize = fleet.plain.iter().map(|p| p.runs().len()).sum();
     assert!(runs < 60, "{runs}");
-    assert!(fleet.log().contains("over limit"));
+    until("the refusal is logged", || {
+        fleet.log().contains("over limit")
+    })
+    .await;
     Ok(())
 }
 
--- a/testkit/tests/silent_sidecars.rs
+++ b/testkit/tests/silent_sidecars.rs
@@ -17,14 +17,14 @@
     fleet.log().matches(message).count()
 }
 
-/// what was decided about requests that were refused
-fn refusals(fleet: &Fleet, request: &str) -> Vec<Value> {
+/// lines of the log about a request that say this
+fn lines_about(fleet: &Fleet, request: &str, message: &str) -> Vec<Value> {
     let log = fleet.log();
     let lines = log
         .lines()
         .filter_map(|line| serde_json::from_str(line).ok());
-    let is_refusal = |line: &Value| line["message"] == "refused" && line["request"] == request;
-    lines.filter(is_refusal).collect()
+    let is_meant = |line: &Value| line["message"] == message && line["request"] == request;
+    lines.filter(is_meant).collect()
 }
 
 #[tokio::test]
@@ -45,7 +45,12 @@
     assert_eq!(serve_prompt(&fleet, "a", "after").await?.status, 200);
     let answer = request(fleet.clients, &prompt("b", "unknown")).await?;
     assert_eq!((answer.status, engine_runs(&fleet, "unknown")), (503, 0));
-    let causes: Vec<Value> = refusals(&fleet, "unknown");
+    // the last line about the request
+    until("the answer is logged", || {
+        !lines_about(&fleet, "unknown", "answered").is_empty()
+    })
+    .await;
+    let causes: Vec<Value> = lines_about(&fleet, "unknown", "refused");
     let causes: Vec<&Value> = causes.iter().map(|line| &line["cause"]).collect();
     assert_eq!(causes, ["unheard"]);
     fleet.sidecars[0] = fleet.start_sidecar(0)?;
--- a/testkit/tests/unknown_headers.rs
+++ b/testkit/tests/unknown_headers.rs
@@ -5,7 +5,10 @@
 
 use {
     anyhow::Result,
-    chalkcart_testkit::users_platform::{request, ClientRequest, Fleet, FleetSettings},
+    chalkcart_testkit::{
+        users_platform::{request, ClientRequest, Fleet, FleetSettings},
+        waiting::until,
+    },
 };
 
 /// names that are counted one by one
@@ -39,6 +42,13 @@
     let page = fleet.metrics_text().await;
     let row = "chalkcart_ingress_unknown_headers_total{header=\"server-mood\"} 3";
     assert!(page.contains(row), "{page}");
+    // the last line about these requests
+    until("the last answer is logged", || {
+        let log = fleet.log();
+        let mut lines = log.lines();
+        lines.any(|line| line.contains("answered") && line.contains("\"r-2\""))
+    })
+    .await;
     assert_eq!(
         fleet.log().matches("says what is not known here").count(),
         1
