--- a/coordination/src/dispatch/account_turns.rs
+++ b/coordination/src/dispatch/account_fair_queueing.rs
@@ -9,14 +9,14 @@
 /// and takes as long as it is large. Those that begin first are served first: an
 /// account that asks for much waits behind itself, not before others.
 #[derive(Debug, Default)]
-pub struct AccountTurns {
+pub struct AccountFairQueueing {
     /// beginning of the request that was served last
     now: u64,
     /// where the last request of each account ends
     ends: HashMap<AccountMark, u64>,
 }
 
-impl AccountTurns {
+impl AccountFairQueueing {
     /// the beginning of a request of this size; one without an account comes as it
     /// arrives
     pub fn next(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
--- a/coordination/src/dispatch/own_words.rs
+++ b/coordination/src/dispatch/backend_signal_tracker.rs
@@ -17,7 +17,7 @@
 /// It stands beside the list and is not replaced by it: the store may be silent for long,
 /// or have a record that is older than the word.
 #[derive(Debug, Default)]
-pub(super) struct OwnWords {
+pub(super) struct BackendSignalTracker {
     leaving: HashMap<BackendId, Instant>,
     /// until when they want rest
     rests: HashMap<BackendId, Instant>,
@@ -25,7 +25,7 @@
     limits: HashMap<BackendId, (NamedLimit, Instant)>,
 }
 
-impl OwnWords {
+impl BackendSignalTracker {
     pub fn on_word(&mut self, backend: &BackendId, word: OwnWord, now: Instant) {
         if word.is_leaving {
             self.leaving.insert(backend.clone(), now);
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{own_words::OwnWords, Ask, OwnSight},
+    super::{backend_signal_tracker::BackendSignalTracker, DispatchRequest, EngineObservations},
     crate::{
         intake::{
             AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
@@ -25,7 +25,7 @@
 
 /// a request on its way at a back end
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct InFlightRequest {
     pub digest: RequestDigest,
     pub is_suspected: bool,
     pub adapter: Option<AdapterRef>,
@@ -41,14 +41,14 @@
 
 /// requests that a view concerns, of those that wait
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ViewNews {
+pub enum AffectedRequests {
     All,
     /// those for adapters that came
     Came(Vec<AdapterRef>),
 }
 
-impl ViewNews {
-    pub fn concerns(&self, ask: &Ask) -> bool {
+impl AffectedRequests {
+    pub fn concerns(&self, ask: &DispatchRequest) -> bool {
         match self {
             Self::All => true,
             Self::Came(adapters) => ask.adapter.as_ref().is_some_and(|a| adapters.contains(a)),
@@ -70,7 +70,7 @@
     /// the requests that it takes, by its own word
     pub limit: NamedLimit,
     /// what was seen of it while its sidecar is not heard
-    pub sight: OwnSight,
+    pub sight: EngineObservations,
     /// no longer in the list; used only where nothing else is
     pub is_gone: bool,
     /// its sidecar spoke of it before the list did
@@ -118,7 +118,7 @@
             says_leaving: false,
             rest: AskedRest::default(),
             limit: NamedLimit::default(),
-            sight: OwnSight::default(),
+            sight: EngineObservations::default(),
             is_gone: false,
             is_ahead: false,
             is_superseded: false,
@@ -142,7 +142,7 @@
     }
 
     /// what it has said of itself, if its record was away for a while
-    pub(super) fn recall(&mut self, words: &mut OwnWords, now: Instant) {
+    pub(super) fn recall(&mut self, words: &mut BackendSignalTracker, now: Instant) {
         self.says_leaving = words.is_leaving(&self.listed.id);
         self.rest.set_until(words.rests_until(&self.listed.id, now));
         self.limit = words.take_limit(&self.listed.id);
@@ -176,7 +176,7 @@
     }
 
     /// its sidecar has spoken; says which requests may be sent now that waited
-    pub fn on_view(&mut self, view: EngineView, now: Instant) -> ViewNews {
+    pub fn on_view(&mut self, view: EngineView, now: Instant) -> AffectedRequests {
         let known = self.view.as_ref();
         let news = self.news_of(&view);
         if known.is_none_or(|known| known.held != view.held) {
@@ -194,15 +194,15 @@
     }
     /// A place that became free is not news: requests that lack a home are looked
     /// at with the next tick, as views come many times between two ticks.
-    fn news_of(&self, view: &EngineView) -> ViewNews {
+    fn news_of(&self, view: &EngineView) -> AffectedRequests {
         let Some(known) = self.view.as_ref().filter(|v| v.models == view.models) else {
-            return ViewNews::All;
+            return AffectedRequests::All;
         };
         if !self.refused.is_empty() {
-            return ViewNews::All;
+            return AffectedRequests::All;
         }
         let came = view.held.iter().filter(|h| !known.held.contains(h));
-        ViewNews::Came(came.map(|h| h.adapter.clone()).collect())
+        AffectedRequests::Came(came.map(|h| h.adapter.clone()).collect())
     }
     /// its sidecar says that nothing but these figures has changed
     pub fn on_figures(&mut self, figures: EngineFigures, now: Instant) {
@@ -225,7 +225,7 @@
         let held = std::mem::take(&mut self.held);
         self.sight.on_view_lost(held.into_keys(), now);
     }
-    pub fn on_sent(&mut self, sent: &Sent) {
+    pub fn on_sent(&mut self, sent: &InFlightRequest) {
         if let Some(cold) = &mut self.cold {
             cold.on_sent();
         }
@@ -242,12 +242,12 @@
             }
         }
     }
-    pub fn on_started(&mut self, sent: &Sent) {
+    pub fn on_started(&mut self, sent: &InFlightRequest) {
         self.unstarted = self.unstarted.saturating_sub(1);
         let tokens = u64::from(sent.prompt_tokens);
         self.unstarted_tokens = self.unstarted_tokens.saturating_sub(tokens);
     }
-    pub fn on_ended(&mut self, sent: &Sent) {
+    pub fn on_ended(&mut self, sent: &InFlightRequest) {
         if !sent.started {
             self.on_started(sent);
         }
@@ -356,7 +356,7 @@
     }
     /// Two requests that are suspected do not run beside each other: an innocent one that
     /// stood beside the cause each time would be condemned with it.
-    pub fn has_place_for(&self, ask: &Ask, now: Instant) -> bool {
+    pub fn has_place_for(&self, ask: &DispatchRequest, now: Instant) -> bool {
         self.has_place(now) && !(ask.is_suspected && self.suspected > 0)
     }
     pub fn has_place(&self, now: Instant) -> bool {
--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        backend_state::{said_at, ViewNews},
+        backend_state::{said_at, AffectedRequests},
         dispatcher::Dispatcher,
         BackendState,
     },
@@ -21,7 +21,7 @@
 
 /// the life of the engine at an address, by its sidecar's last word
 #[derive(Debug, Clone)]
-pub(super) struct Life {
+pub(super) struct ReportedIncarnation {
     id: BackendId,
     /// when the sidecar said so
     said: Instant,
@@ -105,11 +105,16 @@
     }
 
     /// says which requests may be sent now that waited
-    pub(super) fn on_view(&mut self, addr: SocketAddr, view: EngineView, now: Instant) -> ViewNews {
+    pub(super) fn on_view(
+        &mut self,
+        addr: SocketAddr,
+        view: EngineView,
+        now: Instant,
+    ) -> AffectedRequests {
         self.last_heard = Some(now);
         self.on_counted(view.figures.entries, now);
         self.on_fence(addr, view.figures.fence);
-        let nothing = ViewNews::Came(Vec::new());
+        let nothing = AffectedRequests::Came(Vec::new());
         if view.backend.is_empty() {
             return nothing;
         }
@@ -151,7 +156,7 @@
             former.end_life();
         }
         let id = view.backend.clone();
-        self.lives.insert(addr, Life { id, said });
+        self.lives.insert(addr, ReportedIncarnation { id, said });
         if let Some(state) = self.backends.get_mut(&view.backend) {
             state.has_ended = false;
         }
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -1,7 +1,7 @@
 //! engines that load an adapter beside those that hold it
 
 use {
-    super::{choosing::Choice, dispatcher::Dispatcher, homes::loadable, BackendState},
+    super::{dispatcher::Dispatcher, homes::loadable, selection::Choice, BackendState},
     crate::placement::adapter_mark,
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::time::Instant,
--- a/coordination/src/dispatch/decision.rs
+++ b/coordination/src/dispatch/decision.rs
@@ -1,12 +1,12 @@
 use {
-    super::BudgetStanding,
+    super::BudgetUsage,
     chalkcart_state::backends::BackendId,
     std::{net::SocketAddr, time::Duration},
 };
 
 /// what a decision was made from, for logs
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Basis {
+pub struct DecisionInputs {
     /// back ends that might take the request
     pub candidates: u32,
     /// of these, those that hold its adapter
@@ -28,7 +28,7 @@
     /// version of the list
     pub list_version: u64,
     /// the budget for repeats of the service, before this send
-    pub budget: BudgetStanding,
+    pub budget: BudgetUsage,
 }
 
 /// where a request goes
@@ -44,48 +44,48 @@
     pub pressure: f64,
     /// it has named a limit: an answer without one says that this is over
     pub is_limited: bool,
-    pub basis: Basis,
+    pub basis: DecisionInputs,
 }
 
 /// why a request is refused
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum RefusalCause {
+pub enum RejectionCause {
     /// the service has no back end that takes work
     NoBackend,
     /// each back end has asked for rest
-    Resting,
+    BackedOff,
     /// each that could serve it takes no more requests a second
-    Limited,
+    RateLimited,
     /// no region in which it may be served has a back end that takes work
     OutsideRegions,
     /// its adapter is nowhere, and no sidecar that is heard would bring it
-    Unheard,
+    NoLoadingSidecar,
     /// each back end is full
     Full,
     /// its adapter was not loaded in time
     NotLoaded,
     /// its adapter is on its way back to an engine that is less busy
-    Returns,
+    Reloading,
     /// its adapter comes too late for its objective
-    LoadsLater,
+    LoadTooSlow,
     /// the budget for repeats is used up
-    NoBudget,
+    RetryBudgetExhausted,
 }
 
-impl RefusalCause {
+impl RejectionCause {
     /// the word in logs and metrics
     pub fn code(self) -> &'static str {
         match self {
             Self::NoBackend => "no_backend",
-            Self::Resting => "resting",
-            Self::Limited => "limited",
+            Self::BackedOff => "resting",
+            Self::RateLimited => "limited",
             Self::OutsideRegions => "outside_regions",
-            Self::Unheard => "unheard",
+            Self::NoLoadingSidecar => "unheard",
             Self::Full => "full",
             Self::NotLoaded => "not_loaded",
-            Self::Returns => "returns",
-            Self::LoadsLater => "loads_later",
-            Self::NoBudget => "no_budget",
+            Self::Reloading => "returns",
+            Self::LoadTooSlow => "loads_later",
+            Self::RetryBudgetExhausted => "no_budget",
         }
     }
 }
@@ -94,10 +94,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     Send(Assignment),
-    Refuse {
-        cause: RefusalCause,
+    Reject {
+        cause: RejectionCause,
         /// when it could be served
         retry_after: Duration,
-        basis: Basis,
+        basis: DecisionInputs,
     },
 }
--- a/coordination/src/dispatch/ask.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -14,7 +14,7 @@
 
 /// a request that needs a back end
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct DispatchRequest {
     pub digest: RequestDigest,
     /// an engine has ended under it since it was served last
     pub is_suspected: bool,
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -1,10 +1,11 @@
 use {
     super::{
-        choosing::Choice, listing::Life, own_words::OwnWords, promises::Promise,
-        refusing::MIN_RETRY_AFTER, waiting::WaitingList, wishes::Wish, AccountTurns,
-        AdapterVersions, Ask, Assignment, BackendState, BringTime, BudgetStanding, Decision,
-        DispatchEvent, DispatchSettings, FleetSize, ReadingRate, RefusalCause, SendOutcome, Sent,
-        SharedBudget, Ticket, Wished,
+        backend_signal_tracker::BackendSignalTracker, backend_updates::ReportedIncarnation,
+        expected_returns::ExpectedReturn, pending_loads::PendingLoad, rejection::MIN_RETRY_AFTER,
+        selection::Choice, waiting_list::WaitingList, AccountFairQueueing, AdapterVersions,
+        Assignment, BackendState, BudgetUsage, Decision, DispatchEvent, DispatchRequest,
+        DispatchSettings, FleetSize, InFlightRequest, LoadDelay, PrefillRate, RejectionCause,
+        RequestedLoad, SendOutcome, SharedRetryBudget, Ticket,
     },
     crate::{
         crashes::{Crash, CrashEvidence},
@@ -28,7 +29,7 @@
 
 /// one back end, for logs and operators
 #[derive(Debug, Clone)]
-pub struct BackendRow {
+pub struct BackendSummary {
     pub id: BackendId,
     pub in_flight: u32,
     pub occupied: u32,
@@ -43,26 +44,26 @@
     pub(super) list_version: u64,
     pub(super) table: Arc<RouteTable>,
     pub(super) waiting: WaitingList,
-    pub(super) turns: AccountTurns,
-    pub(super) sent: HashMap<Ticket, (BackendId, ServiceName, Sent)>,
+    pub(super) turns: AccountFairQueueing,
+    pub(super) sent: HashMap<Ticket, (BackendId, ServiceName, InFlightRequest)>,
     /// how fast prompts are read, by service
-    pub(super) rates: HashMap<ServiceName, ReadingRate>,
-    pub(super) budgets: HashMap<ServiceName, SharedBudget>,
+    pub(super) rates: HashMap<ServiceName, PrefillRate>,
+    pub(super) budgets: HashMap<ServiceName, SharedRetryBudget>,
     pub(super) versions: AdapterVersions,
     /// adapters that engines were asked to load
-    pub(super) wishes: HashMap<AdapterRef, Wish>,
+    pub(super) wishes: HashMap<AdapterRef, PendingLoad>,
     /// what the sidecars say of the lives of engines, by the engine's address
-    pub(super) lives: HashMap<SocketAddr, Life>,
+    pub(super) lives: HashMap<SocketAddr, ReportedIncarnation>,
     /// what back ends say of themselves
-    pub(super) own_words: OwnWords,
+    pub(super) own_words: BackendSignalTracker,
     /// highest fences of the sidecars, by the address of their engine
     pub(super) fences: HashMap<SocketAddr, u64>,
     /// wishes since the last call of `take_wished`
-    pub(super) wished: Vec<Wished>,
+    pub(super) wished: Vec<RequestedLoad>,
     /// time until adapters come that sidecars were asked for which are not heard
-    pub(super) bring_time: BringTime,
+    pub(super) bring_time: LoadDelay,
     /// requests that were told to come back for an adapter
-    pub(super) promises: HashMap<AdapterRef, Promise>,
+    pub(super) promises: HashMap<AdapterRef, ExpectedReturn>,
     /// engines whose sidecars must hear of a new wish
     pub(super) urgent: HashSet<BackendId>,
     pub(super) decided: Vec<(Ticket, Decision)>,
@@ -96,17 +97,17 @@
             list_version: 0,
             table: Arc::default(),
             waiting: WaitingList::default(),
-            turns: AccountTurns::default(),
+            turns: AccountFairQueueing::default(),
             sent: HashMap::new(),
             rates: HashMap::new(),
             budgets: HashMap::new(),
             versions: AdapterVersions::default(),
             wishes: HashMap::new(),
             lives: HashMap::new(),
-            own_words: OwnWords::default(),
+            own_words: BackendSignalTracker::default(),
             fences: HashMap::new(),
             wished: Vec::new(),
-            bring_time: BringTime::default(),
+            bring_time: LoadDelay::default(),
             promises: HashMap::new(),
             urgent: HashSet::new(),
             decided: Vec::new(),
@@ -187,7 +188,7 @@
     }
 
     /// what engines were asked to load since the last call, for logs
-    pub fn take_wished(&mut self) -> Vec<Wished> {
+    pub fn take_wished(&mut self) -> Vec<RequestedLoad> {
         std::mem::take(&mut self.wished)
     }
     /// engines that ended under runs since the last call
@@ -213,8 +214,8 @@
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
-    pub fn rows(&self, now: Instant) -> Vec<BackendRow> {
-        let rows = self.backends.values().map(|b| BackendRow {
+    pub fn rows(&self, now: Instant) -> Vec<BackendSummary> {
+        let rows = self.backends.values().map(|b| BackendSummary {
             id: b.listed.id.clone(),
             in_flight: b.in_flight,
             occupied: b.occupied(now),
@@ -231,16 +232,16 @@
         self.settings = settings;
     }
 
-    fn on_asked(&mut self, ticket: Ticket, mut ask: Ask, now: Instant) {
+    fn on_asked(&mut self, ticket: Ticket, mut ask: DispatchRequest, now: Instant) {
         ask.turn = self.turns.next(ask.account, ask.prompt_tokens);
         let entries = self.budget_entries();
         let budget = self.budgets.entry(ask.service.clone());
         let bounds = self.settings.budget;
-        let budget = budget.or_insert_with(|| SharedBudget::new(bounds, self.began_anew));
+        let budget = budget.or_insert_with(|| SharedRetryBudget::new(bounds, self.began_anew));
         match ask.sends {
             0 => budget.on_request(now),
             _ if !budget.take(entries, now) => {
-                let cause = RefusalCause::NoBudget;
+                let cause = RejectionCause::RetryBudgetExhausted;
                 let basis = self.basis(&ask, now);
                 self.refuse(ticket, cause, MIN_RETRY_AFTER, basis);
                 return;
@@ -360,7 +361,7 @@
     /// priority of the most urgent
     pub(super) fn serve_waiting(
         &mut self,
-        is_concerned: impl Fn(&Ask) -> bool,
+        is_concerned: impl Fn(&DispatchRequest) -> bool,
         now: Instant,
     ) -> HashMap<BackendId, (u32, u8)> {
         let mut ahead = HashMap::new();
@@ -370,7 +371,7 @@
             };
             match self.choose(&ask, now) {
                 Choice::Send(assignment) => self.send(ticket, ask, assignment, now),
-                Choice::Wait(RefusalCause::Limited) => {
+                Choice::Wait(RejectionCause::RateLimited) => {
                     self.wait_for_limited(ticket, ask, &mut ahead, now);
                 }
                 Choice::Wait(cause) => self.wait_or_refuse(ticket, ask, cause, now),
@@ -380,7 +381,7 @@
         ahead
     }
 
-    fn send(&mut self, ticket: Ticket, ask: Ask, assignment: Assignment, now: Instant) {
+    fn send(&mut self, ticket: Ticket, ask: DispatchRequest, assignment: Assignment, now: Instant) {
         self.turns.on_served(ask.turn);
         if ask.sends > 0 {
             if let Some(budget) = self.budgets.get_mut(&ask.service) {
@@ -395,7 +396,7 @@
         }
         let state = self.backends.get_mut(&assignment.backend);
         let is_trial = state.is_some_and(|state| state.rest.on_sent());
-        let sent = Sent {
+        let sent = InFlightRequest {
             is_trial,
             digest: ask.digest,
             is_suspected: ask.is_suspected,
@@ -413,11 +414,9 @@
         self.decided.push((ticket, Decision::Send(assignment)));
     }
 
-    pub(super) fn budget_standing(&self, service: &ServiceName) -> BudgetStanding {
+    pub(super) fn budget_standing(&self, service: &ServiceName) -> BudgetUsage {
         let budget = self.budgets.get(service);
-        budget.map_or_else(BudgetStanding::default, |b| {
-            b.standing(self.budget_entries())
-        })
+        budget.map_or_else(BudgetUsage::default, |b| b.standing(self.budget_entries()))
     }
 
     /// entries of the fleet, as the sidecars count them
--- a/coordination/src/dispatch/own_sight.rs
+++ b/coordination/src/dispatch/engine_observations.rs
@@ -21,7 +21,7 @@
 
 /// what an entry has seen itself of an engine whose sidecar it does not hear
 #[derive(Debug, Clone, Default)]
-pub struct OwnSight {
+pub struct EngineObservations {
     ran: HashMap<AdapterRef, Instant>,
     lacked: HashMap<AdapterRef, Instant>,
     /// the first request for an adapter that was not seen to run here yet
@@ -35,7 +35,7 @@
     brought_nothing: Option<Instant>,
 }
 
-impl OwnSight {
+impl EngineObservations {
     /// its sidecar speaks
     pub fn on_heard(&mut self) {
         self.lacked.clear();
--- a/coordination/src/dispatch/unheard.rs
+++ b/coordination/src/dispatch/engines_without_sidecar.rs
@@ -3,7 +3,7 @@
 //! sidecar was asked for; docs/design/upgrades.md has the ways that were weighed.
 
 use {
-    super::{dispatcher::Dispatcher, Ask, BackendState},
+    super::{dispatcher::Dispatcher, BackendState, DispatchRequest},
     chalkcart_state::backends::AdapterRef,
     std::{net::SocketAddr, time::Instant},
 };
@@ -41,7 +41,7 @@
     /// not heard, and its sidecar did not bring what it was asked for lately
     pub(super) fn nobody_brings(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         candidates: &[&BackendState],
         now: Instant,
     ) -> bool {
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Ask, DispatchSettings, NoDeal, Ticket},
+    super::{DispatchRequest, DispatchSettings, PermitError, Ticket},
     crate::own_word::OwnWord,
     chalkcart_protocol::peer::{EngineFigures, EngineView, IntakeAnswer},
     chalkcart_state::{
@@ -53,7 +53,7 @@
     /// a request needs a back end
     Asked {
         ticket: Ticket,
-        ask: Ask,
+        ask: DispatchRequest,
     },
     /// a request that waited is gone
     Withdrawn(Ticket),
@@ -74,7 +74,7 @@
     Dealt {
         backend: BackendId,
         asked: Instant,
-        answer: Result<IntakeAnswer, NoDeal>,
+        answer: Result<IntakeAnswer, PermitError>,
     },
     Listed {
         version: u64,
--- a/coordination/src/dispatch/promises.rs
+++ b/coordination/src/dispatch/expected_returns.rs
@@ -1,7 +1,7 @@
 //! requests that are told to come back when their adapter is there
 
 use {
-    super::{dispatcher::Dispatcher, Ask},
+    super::{dispatcher::Dispatcher, DispatchRequest},
     crate::placement::adapter_mark,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
@@ -14,7 +14,7 @@
 
 /// requests that come back for an adapter
 #[derive(Debug, Clone)]
-pub(super) struct Promise {
+pub(super) struct ExpectedReturn {
     pub(super) backend: BackendId,
     pub(super) priority: u8,
     pub(super) requests: u32,
@@ -27,7 +27,7 @@
     /// it is refused, and its adapter goes on being wanted. A request is judged once:
     /// as soon as the sidecar that is to load the adapter has spoken after it was asked.
     /// Later it is better off where it waits.
-    pub(super) fn promise(&mut self, ask: &mut Ask, now: Instant) -> Option<Duration> {
+    pub(super) fn promise(&mut self, ask: &mut DispatchRequest, now: Instant) -> Option<Duration> {
         if !self.settings.mechanisms.early_refusals || ask.is_judged || ask.sends > 0 {
             return None;
         }
@@ -63,12 +63,15 @@
         }
         let retry_after = load + PROMISE_MARGIN;
         let until = now + retry_after + PROMISE_KEPT;
-        let promise = self.promises.entry(adapter.clone()).or_insert(Promise {
-            backend,
-            priority: ask.priority,
-            requests: 0,
-            until,
-        });
+        let promise = self
+            .promises
+            .entry(adapter.clone())
+            .or_insert(ExpectedReturn {
+                backend,
+                priority: ask.priority,
+                requests: 0,
+                until,
+            });
         promise.requests += 1;
         promise.until = promise.until.max(until);
         promise.priority = promise.priority.min(ask.priority);
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -1,7 +1,10 @@
 //! engines that load an adapter which none holds
 
 use {
-    super::{choosing::with_model, dispatcher::Dispatcher, wishes::WISHED_FOR, Ask, BackendState},
+    super::{
+        dispatcher::Dispatcher, pending_loads::WISHED_FOR, selection::with_model, BackendState,
+        DispatchRequest,
+    },
     crate::{membership::rendezvous_weight, placement::adapter_mark},
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::{
@@ -39,7 +42,7 @@
         &self,
         adapter: &AdapterRef,
         candidates: &[&BackendState],
-        ask: &Ask,
+        ask: &DispatchRequest,
         now: Instant,
     ) -> Vec<BackendId> {
         let needed = self.homes_needed(adapter, ask);
@@ -73,7 +76,7 @@
     /// there; none where waiting for the holders is as good.
     pub(super) fn homes_beside_limited(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         adapter: &AdapterRef,
         holders: &[&BackendState],
         candidates: &[&BackendState],
@@ -94,7 +97,7 @@
     /// engines that the requests for an adapter need while all of them wait.
     /// That several wait here is evidence that they do at other entries; a
     /// single one may be the only one
-    fn homes_needed(&self, adapter: &AdapterRef, ask: &Ask) -> usize {
+    fn homes_needed(&self, adapter: &AdapterRef, ask: &DispatchRequest) -> usize {
         if !self.settings.mechanisms.several_homes {
             return 1;
         }
--- a/coordination/src/dispatch/limited.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -21,15 +21,15 @@
 
 /// why a dealer of permits has not answered
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoDeal {
+pub enum PermitError {
     /// it is of a build that deals out nothing
-    Unknowing,
-    Silent,
+    Unsupported,
+    NoResponse,
 }
 
 /// a question to the dealer beside an engine
 #[derive(Debug, Clone, PartialEq)]
-pub struct IntakeQuestion {
+pub struct PermitQuery {
     pub engine: SocketAddr,
     pub report: IntakeReport,
     pub asked: Instant,
@@ -69,7 +69,7 @@
         &mut self,
         backend: &BackendId,
         asked: Instant,
-        answer: Result<IntakeAnswer, NoDeal>,
+        answer: Result<IntakeAnswer, PermitError>,
         now: Instant,
     ) {
         self.change_limit(backend, now, |limit, sharers| match &answer {
@@ -78,7 +78,7 @@
             }
             // it speaks of another life, which may be the next one of the engine
             Ok(_) => limit.on_no_deal(false, now),
-            Err(cause) => limit.on_no_deal(*cause == NoDeal::Unknowing, now),
+            Err(cause) => limit.on_no_deal(*cause == PermitError::Unsupported, now),
         });
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// what the dealers beside limited engines should be asked now
-    pub fn intake_questions(&mut self, now: Instant) -> Vec<IntakeQuestion> {
+    pub fn intake_questions(&mut self, now: Instant) -> Vec<PermitQuery> {
         let mut questions = Vec::new();
         let mut done = Vec::new();
         for id in &self.limited {
@@ -165,7 +165,7 @@
             if state.limit.named().is_none() {
                 done.push(id.clone());
             }
-            questions.push(IntakeQuestion {
+            questions.push(PermitQuery {
                 engine: state.listed.addr,
                 report: IntakeReport {
                     entry: self.settings.entry.clone(),
--- a/coordination/src/dispatch/bring_time.rs
+++ b/coordination/src/dispatch/load_delay.rs
@@ -14,15 +14,15 @@
 /// is not heard. Loads are slower while many are under way over all engines, which this
 /// entry can't see; it learns by what its requests met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BringTime(Duration);
+pub struct LoadDelay(Duration);
 
-impl Default for BringTime {
+impl Default for LoadDelay {
     fn default() -> Self {
         Self(LEAST)
     }
 }
 
-impl BringTime {
+impl LoadDelay {
     pub fn get(self) -> Duration {
         self.0
     }
--- a/coordination/src/dispatch/mod.rs
+++ b/coordination/src/dispatch/mod.rs
@@ -1,53 +1,53 @@
 //! which back end a request goes to, how long it waits, and when it is
 //! refused: decided by the entry
 
-mod account_turns;
+mod account_fair_queueing;
 mod adapter_versions;
-mod ask;
+mod backend_signal_tracker;
 mod backend_state;
-mod bring_time;
-mod choosing;
-mod cold_engines;
+mod backend_updates;
 mod copies;
 mod decision;
 mod demands;
+mod dispatch_request;
 mod dispatcher;
+mod engine_observations;
+mod engines_without_sidecar;
 mod event;
+mod expected_returns;
 mod fleet_size;
 mod homes;
-mod limited;
-mod listing;
-mod own_sight;
-mod own_words;
-mod promises;
-mod reading_rate;
-mod refusing;
+mod limited_backends;
+mod load_delay;
+mod pending_loads;
+mod prefill_rate;
+mod rejection;
+mod requested_load;
+mod selection;
 mod settings;
-mod shared_budget;
-mod unheard;
+mod shared_retry_budget;
+mod slow_start;
 mod urgency;
-mod waiting;
-mod wished;
-mod wishes;
+mod waiting_list;
 
 pub(crate) use backend_state::said_at;
 
 pub use {
-    account_turns::AccountTurns,
+    account_fair_queueing::AccountFairQueueing,
     adapter_versions::AdapterVersions,
-    ask::{Ask, Ticket},
-    backend_state::{BackendState, Sent},
-    bring_time::BringTime,
-    decision::{Assignment, Basis, Decision, RefusalCause},
-    dispatcher::{BackendRow, Dispatcher},
+    backend_state::{BackendState, InFlightRequest},
+    decision::{Assignment, Decision, DecisionInputs, RejectionCause},
+    dispatch_request::{DispatchRequest, Ticket},
+    dispatcher::{BackendSummary, Dispatcher},
+    engine_observations::EngineObservations,
     event::{DispatchEvent, SendOutcome},
     fleet_size::FleetSize,
-    limited::{IntakeQuestion, NoDeal},
-    own_sight::OwnSight,
-    reading_rate::ReadingRate,
+    limited_backends::{PermitError, PermitQuery},
+    load_delay::LoadDelay,
+    pending_loads::DueDemands,
+    prefill_rate::PrefillRate,
+    requested_load::{LoadCause, RequestedLoad},
     settings::DispatchSettings,
-    shared_budget::{BudgetBounds, BudgetStanding, SharedBudget},
+    shared_retry_budget::{BudgetUsage, RetryBudgetSettings, SharedRetryBudget},
     urgency::urgency,
-    wished::{WishCause, Wished},
-    wishes::DemandsDue,
 };
--- a/coordination/src/dispatch/wishes.rs
+++ b/coordination/src/dispatch/pending_loads.rs
@@ -1,7 +1,7 @@
 //! which engines are asked to load what
 
 use {
-    super::{demands::build_demand, dispatcher::Dispatcher, Ask, BackendState},
+    super::{demands::build_demand, dispatcher::Dispatcher, BackendState, DispatchRequest},
     chalkcart_protocol::peer::{AdapterDemand, WantedAdapter},
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::{
@@ -17,12 +17,12 @@
 
 /// engines that are asked to load an adapter
 #[derive(Debug, Clone)]
-pub(super) struct Wish {
+pub(super) struct PendingLoad {
     pub(super) backends: Vec<BackendId>,
     pub(super) until: Instant,
 }
 
-impl Wish {
+impl PendingLoad {
     /// when its engines were asked
     pub(super) fn asked_at(&self) -> Instant {
         self.until - WISHED_FOR
@@ -38,7 +38,7 @@
 
 /// which sidecars are told what is needed of their engines
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DemandsDue {
+pub enum DueDemands {
     /// those of new wishes
     Urgent,
     /// and those of engines that something was or is needed of
@@ -49,7 +49,7 @@
 impl Dispatcher {
     /// what sidecars must hear now: those of new wishes, also those of whom more
     /// or less is needed, or each of them
-    pub fn demands(&mut self, due: DemandsDue, now: Instant) -> Vec<(SocketAddr, AdapterDemand)> {
+    pub fn demands(&mut self, due: DueDemands, now: Instant) -> Vec<(SocketAddr, AdapterDemand)> {
         self.wishes.retain(|_, wish| wish.until > now);
         self.promises.retain(|_, promise| promise.until > now);
         let urgent = std::mem::take(&mut self.urgent);
@@ -62,9 +62,9 @@
             }
             let is_quiet = state.needs_nothing() && !wanted.contains_key(id);
             let is_due = match due {
-                DemandsDue::Urgent => false,
-                DemandsDue::Changed => !(is_quiet && state.is_quiet),
-                DemandsDue::All => true,
+                DueDemands::Urgent => false,
+                DueDemands::Changed => !(is_quiet && state.is_quiet),
+                DueDemands::All => true,
             };
             if !is_due && !urgent.contains(id) {
                 continue;
@@ -103,14 +103,14 @@
         self.urgent.extend(backends.iter().cloned());
         let until = now + WISHED_FOR;
         self.wishes
-            .insert(adapter.clone(), Wish { backends, until });
+            .insert(adapter.clone(), PendingLoad { backends, until });
     }
 
     /// The same for requests that are bound to regions: others may wish for the adapter at
     /// engines where these may not be served.
     pub(super) fn wish_where_allowed(
         &mut self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         adapter: &AdapterRef,
         mut homes: Vec<BackendId>,
         now: Instant,
--- a/coordination/src/dispatch/reading_rate.rs
+++ b/coordination/src/dispatch/prefill_rate.rs
@@ -12,14 +12,14 @@
 /// how fast the engines of one service read prompts, as observed, and how long
 /// prompts are.
 #[derive(Debug, Clone, Default)]
-pub struct ReadingRate {
+pub struct PrefillRate {
     /// tokens a ms, of prompts that were read alone
     samples: VecDeque<f64>,
     median: Option<f64>,
     typical_prompt: Option<f64>,
 }
 
-impl ReadingRate {
+impl PrefillRate {
     /// a prompt was sent
     pub fn on_sent(&mut self, prompt_tokens: u32) {
         let tokens = f64::from(prompt_tokens);
--- a/coordination/src/dispatch/refusing.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -1,7 +1,9 @@
 //! requests that are not sent now: whether they wait, or are refused and when they should come back
 
 use {
-    super::{dispatcher::Dispatcher, Ask, Basis, Decision, RefusalCause, Ticket},
+    super::{
+        dispatcher::Dispatcher, Decision, DecisionInputs, DispatchRequest, RejectionCause, Ticket,
+    },
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -16,39 +18,42 @@
     pub(super) fn wait_or_refuse(
         &mut self,
         ticket: Ticket,
-        mut ask: Ask,
-        cause: RefusalCause,
+        mut ask: DispatchRequest,
+        cause: RejectionCause,
         now: Instant,
     ) {
-        if matches!(cause, RefusalCause::Unheard | RefusalCause::OutsideRegions) {
+        if matches!(
+            cause,
+            RejectionCause::NoLoadingSidecar | RejectionCause::OutsideRegions
+        ) {
             let basis = self.basis(&ask, now);
             self.on_unsent(&ask);
             let retry_after = ask.target_latency.max(MIN_RETRY_AFTER);
             self.refuse(ticket, cause, retry_after, basis);
             return;
         }
-        if cause == RefusalCause::NotLoaded {
+        if cause == RejectionCause::NotLoaded {
             if let Some(retry_after) = self.promise(&mut ask, now) {
                 let basis = self.basis(&ask, now);
-                self.refuse(ticket, RefusalCause::LoadsLater, retry_after, basis);
+                self.refuse(ticket, RejectionCause::LoadTooSlow, retry_after, basis);
                 return;
             }
         }
         let part = match cause {
-            RefusalCause::NotLoaded | RefusalCause::Returns => self.settings.wait_for_adapter,
-            RefusalCause::Unheard
-            | RefusalCause::OutsideRegions
-            | RefusalCause::Resting
-            | RefusalCause::Limited
-            | RefusalCause::Full
-            | RefusalCause::NoBackend
-            | RefusalCause::NoBudget
-            | RefusalCause::LoadsLater => self.settings.wait_for_place,
+            RejectionCause::NotLoaded | RejectionCause::Reloading => self.settings.wait_for_adapter,
+            RejectionCause::NoLoadingSidecar
+            | RejectionCause::OutsideRegions
+            | RejectionCause::BackedOff
+            | RejectionCause::RateLimited
+            | RejectionCause::Full
+            | RejectionCause::NoBackend
+            | RejectionCause::RetryBudgetExhausted
+            | RejectionCause::LoadTooSlow => self.settings.wait_for_place,
         };
         let longest = ask.target_latency.mul_f64(part);
         let waited = now.saturating_duration_since(ask.arrived);
         let rest = match cause {
-            RefusalCause::Resting => self.shortest_rest(&ask, now).unwrap_or_default(),
+            RejectionCause::BackedOff => self.shortest_rest(&ask, now).unwrap_or_default(),
             _ => Duration::ZERO,
         };
         // what is not served within its wait is refused at once
@@ -67,12 +72,12 @@
     pub(super) fn wait_for_limited(
         &mut self,
         ticket: Ticket,
-        ask: Ask,
+        ask: DispatchRequest,
         ahead: &mut HashMap<BackendId, (u32, u8)>,
         now: Instant,
     ) {
         let Some((backend, opens_in)) = self.first_to_open(&ask, ahead, now) else {
-            self.wait_or_refuse(ticket, ask, RefusalCause::Full, now);
+            self.wait_or_refuse(ticket, ask, RejectionCause::Full, now);
             return;
         };
         let longest = ask.target_latency.mul_f64(self.settings.wait_for_place);
@@ -89,11 +94,11 @@
         let basis = self.basis(&ask, now);
         self.on_unsent(&ask);
         let retry_after = returns_in.max(MIN_RETRY_AFTER);
-        self.refuse(ticket, RefusalCause::Limited, retry_after, basis);
+        self.refuse(ticket, RejectionCause::RateLimited, retry_after, basis);
     }
 
     /// a request has waited and is not sent
-    pub(super) fn on_unsent(&mut self, ask: &Ask) {
+    pub(super) fn on_unsent(&mut self, ask: &DispatchRequest) {
         self.turns.on_left(ask.account, ask.prompt_tokens);
         if ask.sends > 0 {
             if let Some(budget) = self.budgets.get_mut(&ask.service) {
@@ -105,11 +110,11 @@
     pub(super) fn refuse(
         &mut self,
         ticket: Ticket,
-        cause: RefusalCause,
+        cause: RejectionCause,
         retry_after: Duration,
-        basis: Basis,
+        basis: DecisionInputs,
     ) {
-        let decision = Decision::Refuse {
+        let decision = Decision::Reject {
             cause,
             retry_after,
             basis,
--- a/coordination/src/dispatch/choosing.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -4,7 +4,8 @@
     super::{
         dispatcher::Dispatcher,
         urgency::{urgency, LEAST as LEAST_URGENT},
-        Ask, Assignment, BackendState, Basis, RefusalCause, WishCause, Wished,
+        Assignment, BackendState, DecisionInputs, DispatchRequest, LoadCause, RejectionCause,
+        RequestedLoad,
     },
     crate::placement::adapter_mark,
     chalkcart_state::{
@@ -42,12 +43,12 @@
 /// what can be done for a request now
 pub(super) enum Choice {
     Send(Assignment),
-    Wait(RefusalCause),
+    Wait(RejectionCause),
 }
 
 impl Dispatcher {
     /// what is known when a request is refused, for logs
-    pub(super) fn basis(&self, ask: &Ask, now: Instant) -> Basis {
+    pub(super) fn basis(&self, ask: &DispatchRequest, now: Instant) -> DecisionInputs {
         let candidates = self.candidates(ask, now);
         let holders = match &ask.adapter {
             Some(adapter) => self.holders(&candidates, adapter, now).len(),
@@ -58,14 +59,14 @@
 
     fn basis_of(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         candidates: usize,
         holders: usize,
         chosen: Option<&BackendState>,
         now: Instant,
-    ) -> Basis {
+    ) -> DecisionInputs {
         let (leaving, resting, limited) = self.held_back(ask, now);
-        Basis {
+        DecisionInputs {
             candidates: candidates as u32,
             holders: holders as u32,
             leaving,
@@ -81,7 +82,7 @@
     }
 
     /// back ends of the service that leave, that rest, and that name a limit
-    fn held_back(&self, ask: &Ask, now: Instant) -> (u32, u32, u32) {
+    fn held_back(&self, ask: &DispatchRequest, now: Instant) -> (u32, u32, u32) {
         let (mut leaving, mut resting, mut limited) = (0, 0, 0);
         let listed = self.backends.values().filter(|b| !b.is_gone);
         for state in listed.filter(|b| b.listed.service == ask.service) {
@@ -93,12 +94,12 @@
     }
 
     /// what is done for a request now; an adapter that it lacks is wished for
-    pub(super) fn choose(&mut self, ask: &Ask, now: Instant) -> Choice {
+    pub(super) fn choose(&mut self, ask: &DispatchRequest, now: Instant) -> Choice {
         let (choice, homes) = self.plan(ask, now);
         if let (Some(adapter), false) = (&ask.adapter, homes.is_empty()) {
             self.note_wish(adapter, &homes, &choice, now);
             match choice {
-                Choice::Wait(RefusalCause::Returns) => self.wish_also(adapter, homes, now),
+                Choice::Wait(RejectionCause::Reloading) => self.wish_also(adapter, homes, now),
                 _ => self.wish_where_allowed(ask, adapter, homes, now),
             }
         }
@@ -113,14 +114,14 @@
         now: Instant,
     ) {
         let cause = match choice {
-            Choice::Wait(RefusalCause::Returns) => WishCause::Return,
-            Choice::Wait(RefusalCause::NotLoaded) => WishCause::Home,
-            _ => WishCause::Copy,
+            Choice::Wait(RejectionCause::Reloading) => LoadCause::Reload,
+            Choice::Wait(RejectionCause::NotLoaded) => LoadCause::Home,
+            _ => LoadCause::Copy,
         };
-        if cause == WishCause::Return && self.is_wished(adapter, backends, now) {
+        if cause == LoadCause::Reload && self.is_wished(adapter, backends, now) {
             return;
         }
-        self.wished.push(Wished {
+        self.wished.push(RequestedLoad {
             adapter: adapter.clone(),
             backends: backends.to_vec(),
             cause,
@@ -129,18 +130,18 @@
     }
 
     /// what to do for a request, and the engines that are to load its adapter
-    fn plan(&self, ask: &Ask, now: Instant) -> (Choice, Vec<BackendId>) {
+    fn plan(&self, ask: &DispatchRequest, now: Instant) -> (Choice, Vec<BackendId>) {
         let candidates = self.candidates(ask, now);
         // a base model that none of the others has does not come within any rest
         let lacks_model = |model: &String| with_model(&candidates, model).is_empty();
         let may_serve = !candidates.is_empty() && !ask.model.as_ref().is_some_and(lacks_model);
         if !may_serve && self.shortest_rest(ask, now).is_some() {
-            return (Choice::Wait(RefusalCause::Resting), Vec::new());
+            return (Choice::Wait(RejectionCause::BackedOff), Vec::new());
         }
         if candidates.is_empty() {
             let cause = match ask.allowed_regions.allows_each() {
-                true => RefusalCause::NoBackend,
-                false => RefusalCause::OutsideRegions,
+                true => RejectionCause::NoBackend,
+                false => RejectionCause::OutsideRegions,
             };
             return (Choice::Wait(cause), Vec::new());
         }
@@ -155,20 +156,20 @@
                 return (choice, Vec::new());
             }
             if self.nobody_brings(ask, &candidates, now) {
-                return (Choice::Wait(RefusalCause::Unheard), Vec::new());
+                return (Choice::Wait(RejectionCause::NoLoadingSidecar), Vec::new());
             }
             let homes = self.homes_for(adapter, &candidates, ask, now);
-            return (Choice::Wait(RefusalCause::NotLoaded), homes);
+            return (Choice::Wait(RejectionCause::NotLoaded), homes);
         }
         let choice = self.choose_cheapest(ask, &holders, candidates.len(), now);
-        if matches!(choice, Choice::Wait(RefusalCause::Limited)) {
+        if matches!(choice, Choice::Wait(RejectionCause::RateLimited)) {
             if let Some(homes) = self.homes_beside_limited(ask, adapter, &holders, &candidates, now)
             {
-                return (Choice::Wait(RefusalCause::NotLoaded), homes);
+                return (Choice::Wait(RejectionCause::NotLoaded), homes);
             }
         }
         if let Some(home) = self.better_return(ask, adapter, &holders, &candidates, now) {
-            return (Choice::Wait(RefusalCause::Returns), vec![home]);
+            return (Choice::Wait(RejectionCause::Reloading), vec![home]);
         }
         let copies = self.homes_for_copies(adapter, &holders, &candidates, &choice, now);
         (choice, copies)
@@ -179,7 +180,7 @@
     /// takes a few steps of the engine and costs nothing.
     fn better_return(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         adapter: &AdapterRef,
         holders: &[&BackendState],
         candidates: &[&BackendState],
@@ -204,19 +205,24 @@
     }
 
     /// a back end for a request without an adapter
-    fn choose_with_model(&self, ask: &Ask, candidates: &[&BackendState], now: Instant) -> Choice {
+    fn choose_with_model(
+        &self,
+        ask: &DispatchRequest,
+        candidates: &[&BackendState],
+        now: Instant,
+    ) -> Choice {
         let Some(model) = &ask.model else {
             return self.choose_cheapest(ask, candidates, candidates.len(), now);
         };
         let with_model = with_model(candidates, model);
         match with_model.is_empty() {
-            true => Choice::Wait(RefusalCause::NotLoaded),
+            true => Choice::Wait(RejectionCause::NotLoaded),
             false => self.choose_cheapest(ask, &with_model, candidates.len(), now),
         }
     }
 
     /// time until the first back end can be asked that only its rest keeps from a request
-    pub(super) fn shortest_rest(&self, ask: &Ask, now: Instant) -> Option<Duration> {
+    pub(super) fn shortest_rest(&self, ask: &DispatchRequest, now: Instant) -> Option<Duration> {
         let states = self.backends.values();
         let may_serve =
             states.filter(|b| b.listed.service == ask.service && b.may_be_asked() && !b.is_gone);
@@ -229,7 +235,7 @@
     /// first, and the time until then. So many others go `ahead` at each.
     pub(super) fn first_to_open(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         ahead: &HashMap<BackendId, (u32, u8)>,
         now: Instant,
     ) -> Option<(BackendId, Duration)> {
@@ -248,13 +254,13 @@
     }
 
     /// whether the request may be served in the region of a back end
-    pub(super) fn may_serve(&self, ask: &Ask, state: &BackendState) -> bool {
+    pub(super) fn may_serve(&self, ask: &DispatchRequest, state: &BackendState) -> bool {
         let region = self.settings.regions.get(&state.listed.zone);
         ask.allowed_regions.allows(region)
     }
 
     /// back ends that may take the request, sound ones if there are any
-    fn candidates(&self, ask: &Ask, now: Instant) -> Vec<&BackendState> {
+    fn candidates(&self, ask: &DispatchRequest, now: Instant) -> Vec<&BackendState> {
         let of_service: Vec<&BackendState> = self
             .backends
             .values()
@@ -293,7 +299,7 @@
 
     fn choose_cheapest(
         &self,
-        ask: &Ask,
+        ask: &DispatchRequest,
         states: &[&BackendState],
         candidates: usize,
         now: Instant,
@@ -303,8 +309,8 @@
         let Some((_, cheapest)) = costs.min_by(|(a, _), (b, _)| a.total_cmp(b)) else {
             let is_limited = states.iter().any(|b| b.has_place_beyond_limit(now));
             return Choice::Wait(match is_limited {
-                true => RefusalCause::Limited,
-                false => RefusalCause::Full,
+                true => RejectionCause::RateLimited,
+                false => RejectionCause::Full,
             });
         };
         let adapter = ask.adapter.as_ref();
@@ -343,7 +349,7 @@
         state.queued_tokens(typical, now) / self.tokens_per_ms(service)
     }
 
-    fn urgency(&self, ask: &Ask, now: Instant) -> u8 {
+    fn urgency(&self, ask: &DispatchRequest, now: Instant) -> u8 {
         match self.settings.mechanisms.urgency_by_size {
             true => urgency(ask, self.tokens_per_ms(&ask.service), now),
             false => ask.priority.min(LEAST_URGENT),
--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -1,5 +1,5 @@
 use {
-    super::BudgetBounds,
+    super::RetryBudgetSettings,
     crate::mechanisms::Mechanisms,
     chalkcart_state::ids::{BoxName, RegionName, ZoneName},
     std::{
@@ -16,7 +16,7 @@
     /// the region of each availability zone
     pub regions: HashMap<ZoneName, RegionName>,
     /// repeats of a service, over all entries
-    pub budget: BudgetBounds,
+    pub budget: RetryBudgetSettings,
     /// when this process began, if the fleet served before: a former life of it may have
     /// used a share of the budget
     pub began_anew: Option<Instant>,
@@ -44,7 +44,7 @@
             entry: BoxName::new(),
             zone: ZoneName::new(),
             regions: HashMap::new(),
-            budget: BudgetBounds {
+            budget: RetryBudgetSettings {
                 ratio: 0.2,
                 extra: 50.0,
                 window: Duration::from_secs(10),
--- a/coordination/src/dispatch/shared_budget.rs
+++ b/coordination/src/dispatch/shared_retry_budget.rs
@@ -17,7 +17,7 @@
 
 /// what all entries may repeat together
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetBounds {
+pub struct RetryBudgetSettings {
     /// repeats for each request
     pub ratio: f64,
     /// repeats beyond that in a window
@@ -27,7 +27,7 @@
 
 /// What an entry's budget for the repeats of a service was when it decided.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct BudgetStanding {
+pub struct BudgetUsage {
     /// requests of the last window
     pub requests: u32,
     /// repeats of the last window, and those that wait
@@ -43,8 +43,8 @@
 /// A repeat is in the budget from the moment at which it is allowed, since it may wait
 /// for long before it is sent, with many others.
 #[derive(Debug)]
-pub struct SharedBudget {
-    bounds: BudgetBounds,
+pub struct SharedRetryBudget {
+    bounds: RetryBudgetSettings,
     /// when this entry began, if it may have lived before
     began_anew: Option<Instant>,
     requests: VecDeque<Instant>,
@@ -53,8 +53,8 @@
     waiting: u32,
 }
 
-impl SharedBudget {
-    pub fn new(bounds: BudgetBounds, began_anew: Option<Instant>) -> Self {
+impl SharedRetryBudget {
+    pub fn new(bounds: RetryBudgetSettings, began_anew: Option<Instant>) -> Self {
         Self {
             bounds,
             began_anew,
@@ -65,7 +65,7 @@
     }
 
     /// the bounds have changed; what was counted stays
-    pub fn set_bounds(&mut self, bounds: BudgetBounds) {
+    pub fn set_bounds(&mut self, bounds: RetryBudgetSettings) {
         self.bounds = bounds;
     }
 
@@ -94,8 +94,8 @@
         self.waiting = self.waiting.saturating_sub(1);
     }
     /// where it stands, for logs and metrics
-    pub fn standing(&self, entries: u32) -> BudgetStanding {
-        BudgetStanding {
+    pub fn standing(&self, entries: u32) -> BudgetUsage {
+        BudgetUsage {
             requests: self.requests.len() as u32,
             repeats: self.counted(),
             entries,
--- a/coordination/src/dispatch/urgency.rs
+++ b/coordination/src/dispatch/urgency.rs
@@ -1,6 +1,6 @@
 //! the order in which an engine reads the prompts that wait there
 
-use {super::Ask, std::time::Instant};
+use {super::DispatchRequest, std::time::Instant};
 
 /// the least urgent that engines know
 pub const LEAST: u8 = 9;
@@ -17,7 +17,7 @@
 ///
 /// Shortest job first has the least mean wait of all orders that do not interrupt;
 /// what has missed its objective earns the same a little later, so it goes behind.
-pub fn urgency(ask: &Ask, tokens_per_ms: f64, now: Instant) -> u8 {
+pub fn urgency(ask: &DispatchRequest, tokens_per_ms: f64, now: Instant) -> u8 {
     let reading_ms = f64::from(ask.prompt_tokens) / tokens_per_ms;
     let waited = now.saturating_duration_since(ask.arrived);
     let left = ask.target_latency.saturating_sub(waited);
--- a/coordination/src/dispatch/waiting.rs
+++ b/coordination/src/dispatch/waiting_list.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Ask, Ticket},
+    super::{DispatchRequest, Ticket},
     std::{collections::BTreeMap, time::Instant},
 };
 
@@ -10,12 +10,12 @@
 /// requests that wait, the most urgent first, then by the turns of their accounts
 #[derive(Debug, Default)]
 pub struct WaitingList {
-    rows: BTreeMap<Place, Ask>,
+    rows: BTreeMap<Place, DispatchRequest>,
     keys: BTreeMap<Ticket, Place>,
 }
 
 impl WaitingList {
-    pub fn put(&mut self, ticket: Ticket, ask: Ask) {
+    pub fn put(&mut self, ticket: Ticket, ask: DispatchRequest) {
         let key = (
             ask.account_priority,
             ask.priority,
@@ -26,16 +26,16 @@
         self.keys.insert(ticket, key);
         self.rows.insert(key, ask);
     }
-    pub fn take(&mut self, ticket: Ticket) -> Option<Ask> {
+    pub fn take(&mut self, ticket: Ticket) -> Option<DispatchRequest> {
         let key = self.keys.remove(&ticket)?;
         self.rows.remove(&key)
     }
     /// tickets of those that are concerned, in the order in which they are served
-    pub fn tickets(&self, is_concerned: impl Fn(&Ask) -> bool) -> Vec<Ticket> {
+    pub fn tickets(&self, is_concerned: impl Fn(&DispatchRequest) -> bool) -> Vec<Ticket> {
         let rows = self.rows.iter().filter(|(_, ask)| is_concerned(ask));
         rows.map(|((.., ticket), _)| *ticket).collect()
     }
-    pub fn asks(&self) -> impl Iterator<Item = &Ask> {
+    pub fn asks(&self) -> impl Iterator<Item = &DispatchRequest> {
         self.rows.values()
     }
     pub fn len(&self) -> usize {
--- a/coordination/tests/account_turns.rs
+++ b/coordination/tests/account_turns.rs
@@ -1,7 +1,7 @@
 //! no account keeps another one waiting by asking for much
 
 use {
-    chalkcart_coordination::dispatch::AccountTurns,
+    chalkcart_coordination::dispatch::AccountFairQueueing,
     quickcheck::{Gen, QuickCheck},
     std::collections::{BTreeSet, HashMap},
 };
@@ -15,14 +15,15 @@
 /// units that each account has had after so many services, while all have requests
 /// that wait; `sizes` are those of the accounts' requests
 fn served(sizes: &[u32]) -> HashMap<u64, u64> {
-    let mut turns = AccountTurns::default();
+    let mut turns = AccountFairQueueing::default();
     let mut waiting = BTreeSet::new();
     let mut number = 0;
     let mut had: HashMap<u64, u64> = HashMap::new();
-    let mut put = |turns: &mut AccountTurns, waiting: &mut BTreeSet<_>, account: u64, size| {
-        number += 1;
-        waiting.insert((turns.next(Some(account), size), number, account, size));
-    };
+    let mut put =
+        |turns: &mut AccountFairQueueing, waiting: &mut BTreeSet<_>, account: u64, size| {
+            number += 1;
+            waiting.insert((turns.next(Some(account), size), number, account, size));
+        };
     for (account, size) in sizes.iter().enumerate() {
         for _ in 0..BACKLOG {
             put(&mut turns, &mut waiting, account as u64, *size);
@@ -62,7 +63,7 @@
 
 #[test]
 fn who_comes_late_with_little_is_served_before_the_rest_of_a_flood() {
-    let mut turns = AccountTurns::default();
+    let mut turns = AccountFairQueueing::default();
     let flood: Vec<u64> = (0..100).map(|_| turns.next(Some(1), 1_000)).collect();
     turns.on_served(flood[10]);
     let late = turns.next(Some(2), 1_000);
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -3,7 +3,9 @@
 mod dispatch_fixture;
 
 use {
-    chalkcart_coordination::dispatch::{Ask, Decision, DispatchEvent, RefusalCause, SendOutcome},
+    chalkcart_coordination::dispatch::{
+        Decision, DispatchEvent, DispatchRequest, RejectionCause, SendOutcome,
+    },
     chalkcart_state::{backends::Backend, regions::AllowedRegions},
     dispatch_fixture::*,
     quickcheck::{quickcheck, TestResult},
@@ -34,8 +36,13 @@
     fixture
 }
 
-fn bound(fixture: &Fixture, service: &str, adapter: Option<&str>, regions: &[&str]) -> Ask {
-    Ask {
+fn bound(
+    fixture: &Fixture,
+    service: &str,
+    adapter: Option<&str>,
+    regions: &[&str],
+) -> DispatchRequest {
+    DispatchRequest {
         allowed_regions: only(regions),
         ..fixture.new_ask(service, adapter)
     }
@@ -75,10 +82,10 @@
         let ask = bound(&fixture, PLAIN, None, regions);
         let decided = fixture.ask(3, ask);
         let cause = decided.iter().map(|(_, decision)| match decision {
-            Decision::Refuse { cause, .. } => *cause,
+            Decision::Reject { cause, .. } => *cause,
             Decision::Send(to) => panic!("sent to {}", to.backend),
         });
-        assert_eq!(cause.collect::<Vec<_>>(), [RefusalCause::OutsideRegions]);
+        assert_eq!(cause.collect::<Vec<_>>(), [RejectionCause::OutsideRegions]);
     }
 }
 
@@ -86,7 +93,7 @@
 #[test]
 fn repeats_and_what_waits_are_bound_as_well() {
     let mut fixture = fixture(of_each_region(PLAIN));
-    let repeat = Ask {
+    let repeat = DispatchRequest {
         sends: 1,
         tried: vec!["plain-3".into()],
         ..bound(&fixture, PLAIN, None, &["south"])
@@ -193,7 +200,7 @@
             .filter(|b| !b.leaving && allowed.contains(b.zone.as_str()))
             .map(|b| b.id.to_string()).collect();
         let mut fixture = fixture(list);
-        let ask = Ask {
+        let ask = DispatchRequest {
             allowed_regions: only(&drawn(route % 8)).and(&only(&drawn(account % 8))),
             ..fixture.new_ask(PLAIN, None)
         };
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -5,7 +5,7 @@
 use {
     chalkcart_coordination::{
         crashes::{Crash, CrashBook, Standing, CONDEMNED_AFTER, MOST_DIGESTS},
-        dispatch::{Ask, DispatchEvent, SendOutcome},
+        dispatch::{DispatchEvent, DispatchRequest, SendOutcome},
     },
     chalkcart_protocol::peer::{CrashEvent, CrashWord, EngineView},
     chalkcart_state::{backends::Backend, ingress::RequestDigest},
@@ -19,8 +19,8 @@
 
 const ENGINE: &str = "engines-1";
 
-fn ask_of(fixture: &Fixture, body: &str) -> Ask {
-    Ask {
+fn ask_of(fixture: &Fixture, body: &str) -> DispatchRequest {
+    DispatchRequest {
         digest: digest(body),
         ..fixture.new_ask(ENGINES, Some("a"))
     }
@@ -159,7 +159,7 @@
 /// together, and the engine that held their adapter took both.
 #[test]
 fn two_that_are_suspected_do_not_run_beside_each_other() {
-    let suspected = |fixture: &Fixture, body: &str| Ask {
+    let suspected = |fixture: &Fixture, body: &str| DispatchRequest {
         is_suspected: true,
         ..ask_of(fixture, body)
     };
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -4,8 +4,8 @@
 
 use {
     chalkcart_coordination::dispatch::{
-        Ask, Decision, DispatchEvent, DispatchSettings, RefusalCause, SendOutcome, SharedBudget,
-        Ticket,
+        Decision, DispatchEvent, DispatchRequest, DispatchSettings, RejectionCause, SendOutcome,
+        SharedRetryBudget, Ticket,
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     dispatch_fixture::*,
@@ -47,14 +47,14 @@
     let decided = fixture.pass(ms(1_600));
     let Some((
         1,
-        Decision::Refuse {
+        Decision::Reject {
             cause, retry_after, ..
         },
     )) = decided.first()
     else {
         panic!("not refused: {decided:?}");
     };
-    assert_eq!(*cause, RefusalCause::NotLoaded);
+    assert_eq!(*cause, RejectionCause::NotLoaded);
     assert!(*retry_after >= ms(100));
     assert!(fixture.pass(ms(10)).is_empty(), "one answer only");
 }
@@ -88,12 +88,12 @@
 #[test]
 fn the_more_urgent_of_two_that_wait_goes_first() {
     let mut fixture = fixture_with_views();
-    let later = Ask {
+    let later = DispatchRequest {
         priority: 2,
         ..fixture.new_ask(ENGINES, Some("a"))
     };
     fixture.ask(1, later);
-    let urgent = Ask {
+    let urgent = DispatchRequest {
         priority: 0,
         ..fixture.new_ask(ENGINES, Some("a"))
     };
@@ -109,7 +109,7 @@
     for entries in [1, 4, 32] {
         let mut sum = 0;
         for _ in 0..entries {
-            let mut budget = SharedBudget::new(DispatchSettings::default().budget, None);
+            let mut budget = SharedRetryBudget::new(DispatchSettings::default().budget, None);
             for _ in 0..100 {
                 budget.on_request(now);
             }
@@ -142,7 +142,7 @@
     let mut fixture = Fixture::new(vec![engine]);
     fixture.view(1, view("engines-1", &[]));
     for ticket in 0..REPEATS {
-        let ask = Ask {
+        let ask = DispatchRequest {
             sends: 1,
             has_returned: true,
             ..fixture.new_ask(ENGINES, Some("a"))
@@ -169,7 +169,7 @@
     let repeat_all = |fixture: &mut Fixture| {
         let mut sent = 0;
         for ticket in 0..100 {
-            let ask = Ask {
+            let ask = DispatchRequest {
                 sends: 1,
                 ..fixture.new_ask(ENGINES, None)
             };
@@ -214,15 +214,15 @@
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     let mut refused = 0;
     for ticket in 0..60 {
-        let ask = Ask {
+        let ask = DispatchRequest {
             sends: 1,
             ..fixture.new_ask(PLAIN, None)
         };
         for (_, decision) in fixture.ask(ticket, ask) {
             match decision {
                 Decision::Send(_) => fixture.end(ticket, SendOutcome::Answered),
-                Decision::Refuse { cause, .. } => {
-                    assert_eq!(cause, RefusalCause::NoBudget);
+                Decision::Reject { cause, .. } => {
+                    assert_eq!(cause, RejectionCause::RetryBudgetExhausted);
                     refused += 1;
                 }
             }
@@ -286,14 +286,14 @@
     let decided = fixture.pass(ms(25));
     let Some((
         1,
-        Decision::Refuse {
+        Decision::Reject {
             cause, retry_after, ..
         },
     )) = decided.first()
     else {
         panic!("not refused: {decided:?}");
     };
-    assert_eq!(*cause, RefusalCause::LoadsLater);
+    assert_eq!(*cause, RejectionCause::LoadTooSlow);
     assert!(*retry_after >= ms(900));
     fixture.pass(*retry_after);
     assert_eq!(fixture.homes("a").len(), 1, "wanted until it comes back");
@@ -304,7 +304,7 @@
 /// these wait for their adapter instead
 #[test]
 fn a_request_is_not_refused_early_when_waiting_is_better() {
-    type Change = fn(&mut Ask);
+    type Change = fn(&mut DispatchRequest);
     let cases: &[(&str, u32, Change)] = &[
         ("the load is quick", 100, |_| {}),
         ("it was refused before", 900, |ask| ask.has_returned = true),
@@ -344,7 +344,7 @@
         };
         fixture.view(number, holds);
     }
-    let base = |fixture: &Fixture, model: &str| Ask {
+    let base = |fixture: &Fixture, model: &str| DispatchRequest {
         model: Some(model.to_string()),
         ..fixture.new_ask(ENGINES, None)
     };
--- a/coordination/tests/dispatch_copies.rs
+++ b/coordination/tests/dispatch_copies.rs
@@ -3,14 +3,15 @@
 mod dispatch_fixture;
 
 use {
-    chalkcart_coordination::dispatch::Ask, chalkcart_state::backends::Backend, dispatch_fixture::*,
+    chalkcart_coordination::dispatch::DispatchRequest, chalkcart_state::backends::Backend,
+    dispatch_fixture::*,
 };
 
 #[test]
 fn an_adapter_that_many_wait_for_is_loaded_at_several_homes() {
     let mut fixture = fixture_with_views();
     for (ticket, homes) in [(1, 1), (2, 1), (3, 2), (4, 2), (5, 3)] {
-        let ask = Ask {
+        let ask = DispatchRequest {
             prompt_tokens: 4_000,
             ..fixture.new_ask(ENGINES, Some("a"))
         };
@@ -49,7 +50,7 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     for ticket in 1..=4 {
-        let ask = Ask {
+        let ask = DispatchRequest {
             prompt_tokens: 3_000,
             ..fixture.new_ask(ENGINES, Some("a"))
         };
@@ -79,7 +80,7 @@
 /// send requests for the adapter, and say which engines are to load it then
 fn homes_after(fixture: &mut Fixture, requests: u64) -> Vec<String> {
     for ticket in 1..=requests {
-        let ask = Ask {
+        let ask = DispatchRequest {
             prompt_tokens: 10,
             ..fixture.new_ask(ENGINES, Some("a"))
         };
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -6,8 +6,8 @@
 use {
     chalkcart_coordination::{
         dispatch::{
-            Ask, Decision, DemandsDue, DispatchEvent, DispatchSettings, Dispatcher, SendOutcome,
-            Ticket,
+            Decision, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher, DueDemands,
+            SendOutcome, Ticket,
         },
         placement::{adapter_mark, AdapterMark},
     },
@@ -169,14 +169,14 @@
         self.now += time;
         self.tell(DispatchEvent::Tick)
     }
-    pub fn ask(&mut self, ticket: Ticket, ask: Ask) -> Vec<(Ticket, Decision)> {
+    pub fn ask(&mut self, ticket: Ticket, ask: DispatchRequest) -> Vec<(Ticket, Decision)> {
         self.tell(DispatchEvent::Asked { ticket, ask })
     }
     pub fn end(&mut self, ticket: Ticket, outcome: SendOutcome) {
         self.tell(DispatchEvent::Ended { ticket, outcome });
     }
-    pub fn new_ask(&self, service: &str, wanted: Option<&str>) -> Ask {
-        Ask {
+    pub fn new_ask(&self, service: &str, wanted: Option<&str>) -> DispatchRequest {
+        DispatchRequest {
             digest: digest("any"),
             is_suspected: false,
             service: service.to_string(),
@@ -199,7 +199,7 @@
     }
     /// the engines that are asked to load an adapter
     pub fn homes(&mut self, wanted: &str) -> Vec<String> {
-        let demands = self.dispatcher.demands(DemandsDue::All, self.now);
+        let demands = self.dispatcher.demands(DueDemands::All, self.now);
         let asked = demands.into_iter().filter(|(_, d)| {
             let mut adapters = d.wanted.iter();
             adapters.any(|w| w.adapter == adapter(wanted))
@@ -211,7 +211,7 @@
 pub fn sent_to(decisions: &[(Ticket, Decision)]) -> Vec<String> {
     let sent = decisions.iter().filter_map(|(_, d)| match d {
         Decision::Send(assignment) => Some(assignment.backend.to_string()),
-        Decision::Refuse { .. } => None,
+        Decision::Reject { .. } => None,
     });
     sent.collect()
 }
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -4,7 +4,7 @@
 mod dispatch_fixture;
 
 use {
-    chalkcart_coordination::dispatch::{Ask, DemandsDue, DispatchEvent, SendOutcome},
+    chalkcart_coordination::dispatch::{DispatchEvent, DispatchRequest, DueDemands, SendOutcome},
     chalkcart_protocol::peer::EngineFigures,
     chalkcart_state::backends::{Backend, HeldAdapter},
     dispatch_fixture::*,
@@ -39,7 +39,7 @@
 
 /// end one send to the first back end in this way
 fn one_fails(fixture: &mut Fixture, outcome: SendOutcome) {
-    let ask = Ask {
+    let ask = DispatchRequest {
         tried: vec!["plain-2".into()],
         ..fixture.new_ask(PLAIN, None)
     };
@@ -130,7 +130,7 @@
         adapter: adapter("a"),
         version: 2,
     });
-    let demands = fixture.dispatcher.demands(DemandsDue::Urgent, fixture.now);
+    let demands = fixture.dispatcher.demands(DueDemands::Urgent, fixture.now);
     let (_, told) = demands
         .iter()
         .find(|(_, d)| d.backend == "engines-1")
@@ -143,7 +143,7 @@
     let mut fixture = fixture_with_views();
     let told = |fixture: &mut Fixture| {
         let now = fixture.now;
-        let demands = fixture.dispatcher.demands(DemandsDue::Changed, now);
+        let demands = fixture.dispatcher.demands(DueDemands::Changed, now);
         let told = demands
             .into_iter()
             .map(|(_, d)| (d.backend.to_string(), d.used.len()));
@@ -168,7 +168,7 @@
         spoken.figures.fence = fence;
         fixture.view(1, spoken);
     }
-    let demands = fixture.dispatcher.demands(DemandsDue::All, fixture.now);
+    let demands = fixture.dispatcher.demands(DueDemands::All, fixture.now);
     let (_, told) = demands
         .iter()
         .find(|(_, d)| d.backend == "engines-1")
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -4,7 +4,7 @@
 
 use {
     chalkcart_coordination::{
-        dispatch::{urgency, Decision, DispatchEvent, ReadingRate, WishCause},
+        dispatch::{urgency, Decision, DispatchEvent, LoadCause, PrefillRate},
         mechanisms::Mechanisms,
     },
     dispatch_fixture::*,
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_rate_is_the_median_of_prompts_that_were_read_alone() {
-    let mut rate = ReadingRate::default();
+    let mut rate = PrefillRate::default();
     for _ in 0..4 {
         rate.on_read_alone(4_000, 100.0);
     }
@@ -100,7 +100,7 @@
                 assert_eq!(fixture.homes("a"), ["engines-2"], "{case}");
                 let wished = fixture.dispatcher.take_wished();
                 assert_eq!(wished.len(), 1, "{wished:?}");
-                assert_eq!(wished[0].cause, WishCause::Return);
+                assert_eq!(wished[0].cause, LoadCause::Reload);
             }
         }
     }
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -4,7 +4,7 @@
 
 use {
     chalkcart_coordination::{
-        dispatch::{Decision, DemandsDue, DispatchEvent, SendOutcome, Ticket},
+        dispatch::{Decision, DispatchEvent, DueDemands, SendOutcome, Ticket},
         mechanisms::Mechanisms,
     },
     dispatch_fixture::*,
@@ -103,7 +103,7 @@
         for (addr, demand) in self
             .fixture
             .dispatcher
-            .demands(DemandsDue::All, self.fixture.now)
+            .demands(DueDemands::All, self.fixture.now)
         {
             let number = addr
                 .ip()
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -7,7 +7,7 @@
 
 use {
     chalkcart_coordination::{
-        dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
+        dispatch::{Decision, DispatchEvent, RejectionCause, SendOutcome, Ticket},
         intake::{NamedLimit, Sharers},
         own_word::{LimitWord, OwnWord, RequestRate},
     },
@@ -79,9 +79,9 @@
     sent
 }
 
-fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<(RefusalCause, Duration)> {
+fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<(RejectionCause, Duration)> {
     let refused = decisions.iter().filter_map(|(_, d)| match d {
-        Decision::Refuse {
+        Decision::Reject {
             cause, retry_after, ..
         } => Some((*cause, *retry_after)),
         Decision::Send(_) => None,
@@ -175,7 +175,7 @@
     }
     assert!(told
         .iter()
-        .all(|(cause, _)| *cause == RefusalCause::Limited));
+        .all(|(cause, _)| *cause == RejectionCause::RateLimited));
     let after: Vec<Duration> = told.iter().map(|(_, after)| *after).collect();
     assert_eq!(after.len(), 4);
     let apart = after.windows(2).all(|w| w[1] >= w[0] + ms(900));
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -5,7 +5,7 @@
 
 use {
     chalkcart_coordination::{
-        dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
+        dispatch::{Decision, DispatchEvent, RejectionCause, SendOutcome, Ticket},
         own_word::{LimitWord, OwnWord, RequestRate},
         placement::{OrderAnswer, PlacementEvent, PlacementStep},
     },
@@ -124,9 +124,9 @@
 }
 
 /// back ends to which these decisions send, and causes of refusal with the time to come back
-fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<(RefusalCause, Duration)> {
+fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<(RejectionCause, Duration)> {
     let refused = decisions.iter().filter_map(|(_, d)| match d {
-        Decision::Refuse {
+        Decision::Reject {
             cause, retry_after, ..
         } => Some((*cause, *retry_after)),
         Decision::Send(_) => None,
@@ -178,7 +178,7 @@
     let ask = fixture.new_ask(PLAIN, None);
     let decided = fixture.ask(1, ask);
     let left = ms(REST_S * 1_000 - 1_000);
-    assert_eq!(refusals(&decided), [(RefusalCause::Resting, left)]);
+    assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
 }
 
 #[test]
@@ -207,7 +207,7 @@
     let ask = fixture.new_ask(ENGINES, Some("a"));
     let decided = fixture.ask(1, ask);
     let left = ms(REST_S * 1_000);
-    assert_eq!(refusals(&decided), [(RefusalCause::Resting, left)]);
+    assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
     assert!(fixture.homes("a").is_empty());
 }
 
--- a/coordination/tests/shared_budget.rs
+++ b/coordination/tests/shared_budget.rs
@@ -10,12 +10,12 @@
 //! property below finds the same with nothing but a budget and its clock.
 
 use {
-    chalkcart_coordination::dispatch::{BudgetBounds, SharedBudget},
+    chalkcart_coordination::dispatch::{RetryBudgetSettings, SharedRetryBudget},
     quickcheck::{Arbitrary, Gen, QuickCheck},
     std::time::{Duration, Instant},
 };
 
-const BOUNDS: BudgetBounds = BudgetBounds {
+const BOUNDS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     extra: 54.0,
     window: Duration::from_secs(10),
@@ -65,12 +65,12 @@
 /// repeats of each step
 fn play(day: &Day) -> Vec<u32> {
     let start = Instant::now();
-    let mut budget = SharedBudget::new(BOUNDS, None);
+    let mut budget = SharedRetryBudget::new(BOUNDS, None);
     let steps = day.requests.iter().enumerate();
     let repeats = steps.map(|(step, requests)| {
         let now = start + STEP * step as u32;
         if day.kills.contains(&(step as u16)) {
-            budget = SharedBudget::new(BOUNDS, Some(now));
+            budget = SharedRetryBudget::new(BOUNDS, Some(now));
         }
         (0..*requests).for_each(|_| budget.on_request(now));
         let mut repeats = 0;
--- a/coordination/tests/unheard.rs
+++ b/coordination/tests/unheard.rs
@@ -8,7 +8,7 @@
 
 use {
     chalkcart_coordination::dispatch::{
-        BringTime, Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket,
+        Decision, DispatchEvent, LoadDelay, RejectionCause, SendOutcome, Ticket,
     },
     chalkcart_state::backends::{Backend, HeldAdapter},
     dispatch_fixture::*,
@@ -38,9 +38,9 @@
         .collect()
 }
 
-fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<RefusalCause> {
+fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<RejectionCause> {
     let refused = decisions.iter().filter_map(|(_, d)| match d {
-        Decision::Refuse { cause, .. } => Some(*cause),
+        Decision::Reject { cause, .. } => Some(*cause),
         Decision::Send(_) => None,
     });
     refused.collect()
@@ -80,10 +80,13 @@
     assert_eq!(sent_to(&fixture.pass(ms(400))).len(), 1);
     assert_eq!(
         refusals(&again(&mut fixture, 1, 1)),
-        [RefusalCause::Unheard]
+        [RejectionCause::NoLoadingSidecar]
     );
     let ask = fixture.new_ask(ENGINES, Some("b"));
-    assert_eq!(refusals(&fixture.ask(2, ask)), [RefusalCause::Unheard]);
+    assert_eq!(
+        refusals(&fixture.ask(2, ask)),
+        [RejectionCause::NoLoadingSidecar]
+    );
     // after a while it is asked again
     fixture.pass(ms(6_000));
     let ask = fixture.new_ask(ENGINES, Some("b"));
@@ -179,7 +182,7 @@
 /// requests that came too early make later ones wait longer, those that did not shorter
 #[test]
 fn loads_that_take_longer_are_expected_later() {
-    let mut time = BringTime::default();
+    let mut time = LoadDelay::default();
     let at_first = time.get();
     time.on_early();
     time.on_early();
@@ -239,7 +242,10 @@
         fixture.tell(DispatchEvent::Demanded { addr, is_taken });
     }
     let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert_eq!(refusals(&fixture.ask(1, ask)), [RefusalCause::Unheard]);
+    assert_eq!(
+        refusals(&fixture.ask(1, ask)),
+        [RejectionCause::NoLoadingSidecar]
+    );
     // the next demand is taken
     fixture.tell(DispatchEvent::Demanded {
         addr: addr(2),
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -6,7 +6,9 @@
     anyhow::{Context, Result},
     arc_swap::ArcSwap,
     chalkcart_coordination::{
-        dispatch::{Ask, Decision, DemandsDue, DispatchEvent, Dispatcher, Ticket, Wished},
+        dispatch::{
+            Decision, DispatchEvent, DispatchRequest, Dispatcher, DueDemands, RequestedLoad, Ticket,
+        },
         relay::RelayCandidate,
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
@@ -45,7 +47,7 @@
     Event(DispatchEvent),
     Ask {
         ticket: Ticket,
-        ask: Ask,
+        ask: DispatchRequest,
         answer: oneshot::Sender<Decision>,
     },
 }
@@ -88,7 +90,7 @@
         self.engines.load_full()
     }
     /// ask for a back end; none if the control thread is gone
-    pub async fn decide(&self, ticket: Ticket, ask: Ask) -> Option<Decision> {
+    pub async fn decide(&self, ticket: Ticket, ask: DispatchRequest) -> Option<Decision> {
         let (answer, answered) = oneshot::channel();
         let command = Command::Ask {
             ticket,
@@ -267,16 +269,16 @@
         questions.into_iter().for_each(|q| self.intake.ask(q));
     }
 
-    fn demands_due(&self, now: Instant) -> Option<DemandsDue> {
+    fn demands_due(&self, now: Instant) -> Option<DueDemands> {
         let passed = |since: Instant| now.saturating_duration_since(since);
         if passed(self.last_all) >= ALL_DEMANDS_EVERY {
-            return Some(DemandsDue::All);
+            return Some(DueDemands::All);
         }
         if passed(self.last_changed) >= DEMANDS_EVERY {
-            return Some(DemandsDue::Changed);
+            return Some(DueDemands::Changed);
         }
         let is_urgent = self.dispatcher.has_urgent_demands();
-        (is_urgent && passed(self.last_urgent) >= URGENT_EVERY).then_some(DemandsDue::Urgent)
+        (is_urgent && passed(self.last_urgent) >= URGENT_EVERY).then_some(DueDemands::Urgent)
     }
 
     fn send_demands(&mut self) {
@@ -285,10 +287,10 @@
             return;
         };
         self.last_urgent = now;
-        if due != DemandsDue::Urgent {
+        if due != DueDemands::Urgent {
             self.last_changed = now;
         }
-        if due == DemandsDue::All {
+        if due == DueDemands::All {
             self.last_all = now;
             if let Some(entries) = self.dispatcher.counted_entries() {
                 self.entries.store(entries, Ordering::Relaxed);
@@ -300,7 +302,7 @@
     }
 }
 
-fn log_wished(wished: &Wished) {
+fn log_wished(wished: &RequestedLoad) {
     let backends: Vec<String> = wished.backends.iter().map(ToString::to_string).collect();
     log::info!(
         adapter = wished.adapter.to_string().as_str(),
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -9,7 +9,10 @@
     bytes::Bytes,
     chalkcart_coordination::{
         crashes::Standing,
-        dispatch::{Ask, Assignment, Basis, Decision, DispatchEvent, SendOutcome, Ticket},
+        dispatch::{
+            Assignment, Decision, DecisionInputs, DispatchEvent, DispatchRequest, SendOutcome,
+            Ticket,
+        },
         own_word::RequestRate,
     },
     chalkcart_state::{backends::BackendId, ids::Generation, regions::AllowedRegions},
@@ -51,7 +54,7 @@
     ticket: Ticket,
     pub(super) accepted: Accepted,
     deadline: Instant,
-    pub(super) ask: Ask,
+    pub(super) ask: DispatchRequest,
     /// the table by which its allowed regions are known
     judged_by: Option<Generation>,
     /// back ends on which it may have run
@@ -75,7 +78,7 @@
         let patience = accepted.head.deadline.unwrap_or(route.timeout);
         let deadline = accepted.arrived + patience.min(route.timeout);
         let service = route.pick_service(rand::random());
-        let ask = Ask {
+        let ask = DispatchRequest {
             digest: accepted.digest,
             is_suspected: false,
             service: service.cloned().unwrap_or_default(),
@@ -115,7 +118,7 @@
         loop {
             let assignment = match self.wait_for_decision().await {
                 Some(Decision::Send(assignment)) => assignment,
-                Some(Decision::Refuse {
+                Some(Decision::Reject {
                     cause,
                     retry_after,
                     basis,
@@ -124,7 +127,7 @@
                     return self.give_up(cause.code(), retry_after);
                 }
                 None => {
-                    self.log_refusal(LATE, LATE_RETRY, &Basis::default());
+                    self.log_refusal(LATE, LATE_RETRY, &DecisionInputs::default());
                     return self.give_up(LATE, LATE_RETRY);
                 }
             };
--- a/entry/src/ingress/exchange_log.rs
+++ b/entry/src/ingress/exchange_log.rs
@@ -5,7 +5,7 @@
         admission::Charge,
         exchange::{elapsed_ms, Exchange},
     },
-    chalkcart_coordination::dispatch::{Assignment, Basis, RefusalCause},
+    chalkcart_coordination::dispatch::{Assignment, DecisionInputs, RejectionCause},
     chalkcart_transport::clock,
     http::StatusCode,
     std::time::Duration,
@@ -49,9 +49,14 @@
         );
     }
 
-    pub(super) fn log_refusal(&self, cause: &'static str, retry_after: Duration, basis: &Basis) {
+    pub(super) fn log_refusal(
+        &self,
+        cause: &'static str,
+        retry_after: Duration,
+        basis: &DecisionInputs,
+    ) {
         self.shared.metrics.on_refused(cause);
-        if cause == RefusalCause::OutsideRegions.code() {
+        if cause == RejectionCause::OutsideRegions.code() {
             self.shared.metrics.on_outside_regions(self.account_name());
         }
         log::warn!(
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/intake_exchange.rs
@@ -1,6 +1,6 @@
 use {
     super::control::ControlHandle,
-    chalkcart_coordination::dispatch::{DispatchEvent, IntakeQuestion, NoDeal},
+    chalkcart_coordination::dispatch::{DispatchEvent, PermitError, PermitQuery},
     chalkcart_protocol::peer::{path, IntakeAnswer},
     chalkcart_transport::client::{ClientError, PeerClient},
     std::{net::SocketAddr, time::Duration},
@@ -30,11 +30,11 @@
     }
 
     /// ask, and tell the control thread what came of it
-    pub fn ask(&self, question: IntakeQuestion) {
+    pub fn ask(&self, question: PermitQuery) {
         let (peers, control) = (self.peers.clone(), self.control.clone());
         let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
-            let IntakeQuestion { report, asked, .. } = question;
+            let PermitQuery { report, asked, .. } = question;
             let answer = peers.call::<_, IntakeAnswer>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
             control.tell(DispatchEvent::Dealt {
@@ -46,11 +46,11 @@
     }
 }
 
-fn no_deal(dealer: SocketAddr, e: &ClientError) -> NoDeal {
+fn no_deal(dealer: SocketAddr, e: &ClientError) -> PermitError {
     log::warn!(dealer = dealer.to_string().as_str(), cause = e.to_string().as_str();
         "intake: no answer");
     match e.proves_other_build() {
-        true => NoDeal::Unknowing,
-        false => NoDeal::Silent,
+        true => PermitError::Unsupported,
+        false => PermitError::NoResponse,
     }
 }
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -16,7 +16,7 @@
     crate::conf::IngressSettings,
     anyhow::{Context, Result},
     chalkcart_coordination::{
-        dispatch::{BudgetBounds, DispatchEvent, DispatchSettings, Dispatcher},
+        dispatch::{DispatchEvent, DispatchSettings, Dispatcher, RetryBudgetSettings},
         drain::IngressDrain,
         following::FollowPacing,
         relay::RelayPacing,
@@ -180,7 +180,7 @@
         entry: settings.name.clone(),
         zone: settings.zone.clone(),
         regions: settings.regions.clone(),
-        budget: BudgetBounds {
+        budget: RetryBudgetSettings {
             ratio: settings.retry_ratio,
             extra: settings.retry_extra,
             window: Duration::from_secs_f64(settings.retry_window_s),
--- a/testkit/examples/capacity/dispatch.rs
+++ b/testkit/examples/capacity/dispatch.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::fit::Slope,
-    chalkcart_coordination::dispatch::{Ask, DispatchEvent, DispatchSettings, Dispatcher},
+    chalkcart_coordination::dispatch::{
+        DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher,
+    },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, HeldAdapter},
@@ -120,9 +122,9 @@
     dispatcher.handle(DispatchEvent::Viewed { addr, view }, now);
 }
 
-fn ask(number: usize, now: Instant) -> Ask {
+fn ask(number: usize, now: Instant) -> DispatchRequest {
     let body = number.to_le_bytes();
-    Ask {
+    DispatchRequest {
         digest: RequestDigest::of("POST", "/", "", &body),
         is_suspected: false,
         service: SERVICE.to_string(),
