--- a/coordination/src/crashes/crash_evidence.rs
+++ b/coordination/src/crashes/crash_evidence.rs
@@ -1,5 +1,5 @@
 use {
-    crate::dispatch::said_at,
+    crate::dispatch::reported_at,
     chalkcart_protocol::peer::EngineFigures,
     chalkcart_state::{backends::BackendId, ingress::RequestDigest},
     std::{
@@ -70,7 +70,7 @@
     pub fn on_word(&mut self, life: &BackendId, figures: &EngineFigures, now: Instant) {
         match figures.is_down {
             Some(true) => self.on_ended(life, now),
-            Some(false) => self.on_alive(life, said_at(figures, now)),
+            Some(false) => self.on_alive(life, reported_at(figures, now)),
             // a sidecar that does not say it may pass on what it read before
             None => {}
         }
--- a/coordination/src/dispatch/account_fair_queueing.rs
+++ b/coordination/src/dispatch/account_fair_queueing.rs
@@ -1,7 +1,7 @@
 use {chalkcart_state::accounts::AccountMark, std::collections::HashMap};
 
 /// accounts remembered before those without a request that waits are forgotten
-const MOST_ACCOUNTS: usize = 1_000;
+const MAX_TRACKED_ACCOUNTS: usize = 1_000;
 
 /// The order of accounts among requests of one priority: start-time fair queueing.
 ///
@@ -19,11 +19,11 @@
 impl AccountFairQueueing {
     /// the beginning of a request of this size; one without an account comes as it
     /// arrives
-    pub fn next(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
+    pub fn next_start_tag(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
         let Some(account) = account else {
             return self.now;
         };
-        if self.ends.len() >= MOST_ACCOUNTS {
+        if self.ends.len() >= MAX_TRACKED_ACCOUNTS {
             let now = self.now;
             self.ends.retain(|_, end| *end > now);
         }
@@ -34,7 +34,7 @@
     }
 
     /// a request left without having been served: it takes no turn of its account
-    pub fn on_left(&mut self, account: Option<AccountMark>, size: u32) {
+    pub fn on_withdrawn(&mut self, account: Option<AccountMark>, size: u32) {
         let end = account.and_then(|account| self.ends.get_mut(&account));
         if let Some(end) = end {
             *end = end.saturating_sub(u64::from(size.max(1))).max(self.now);
--- a/coordination/src/dispatch/backend_signal_tracker.rs
+++ b/coordination/src/dispatch/backend_signal_tracker.rs
@@ -10,7 +10,7 @@
 /// A back end's own word is kept for this long after its record is gone. Records vanish
 /// and return while the store is down, for seconds or minutes; a life that has left does
 /// not come back under its id.
-const KEPT: Duration = Duration::from_secs(600);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
 /// What back ends have said of themselves to this entry.
 ///
@@ -20,19 +20,19 @@
 pub(super) struct BackendSignalTracker {
     leaving: HashMap<BackendId, Instant>,
     /// until when they want rest
-    rests: HashMap<BackendId, Instant>,
+    backoffs: HashMap<BackendId, Instant>,
     /// of those whose record is gone
     limits: HashMap<BackendId, (NamedLimit, Instant)>,
 }
 
 impl BackendSignalTracker {
-    pub fn on_word(&mut self, backend: &BackendId, word: OwnWord, now: Instant) {
-        if word.is_leaving {
+    pub fn on_signal(&mut self, backend: &BackendId, signal: OwnWord, now: Instant) {
+        if signal.is_leaving {
             self.leaving.insert(backend.clone(), now);
         }
-        if let Some(rest) = word.rest {
+        if let Some(rest) = signal.rest {
             let until = now + rest;
-            let known = self.rests.entry(backend.clone()).or_insert(until);
+            let known = self.backoffs.entry(backend.clone()).or_insert(until);
             *known = until.max(*known);
         }
     }
@@ -41,8 +41,8 @@
         self.leaving.contains_key(backend)
     }
     /// when its rest ends, if it wants one
-    pub fn rests_until(&self, backend: &BackendId, now: Instant) -> Option<Instant> {
-        let until = self.rests.get(backend).copied();
+    pub fn backoff_until(&self, backend: &BackendId, now: Instant) -> Option<Instant> {
+        let until = self.backoffs.get(backend).copied();
         until.filter(|until| *until > now)
     }
     /// the record of a back end is gone; its limit holds if it comes back
@@ -56,12 +56,13 @@
         kept.map(|(limit, _)| limit).unwrap_or_default()
     }
     /// forget those that are known no more and said it long ago
-    pub fn forget_gone(&mut self, is_known: impl Fn(&BackendId) -> bool, now: Instant) {
-        self.rests.retain(|_, until| *until > now);
-        self.limits
-            .retain(|_, (_, gone)| now.saturating_duration_since(*gone) < KEPT);
-        self.leaving.retain(|backend, said| {
-            is_known(backend) || now.saturating_duration_since(*said) < KEPT
+    pub fn remove_expired(&mut self, is_known: impl Fn(&BackendId) -> bool, now: Instant) {
+        self.backoffs.retain(|_, until| *until > now);
+        self.limits.retain(|_, (_, unlisted_at)| {
+            now.saturating_duration_since(*unlisted_at) < UNLISTED_RETENTION
+        });
+        self.leaving.retain(|backend, signaled_at| {
+            is_known(backend) || now.saturating_duration_since(*signaled_at) < UNLISTED_RETENTION
         });
     }
 }
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        backend_state::{said_at, AffectedRequests},
+        backend_state::{reported_at, AffectedRequests},
         dispatcher::Dispatcher,
         BackendState,
     },
@@ -24,7 +24,7 @@
 pub(super) struct ReportedIncarnation {
     id: BackendId,
     /// when the sidecar said so
-    said: Instant,
+    reported_at: Instant,
 }
 
 impl Dispatcher {
@@ -35,65 +35,66 @@
         self.list_version = version;
         let listed: HashMap<&BackendName, &BackendId> =
             list.iter().map(|b| (&b.id.name, &b.id)).collect();
-        let ended: HashSet<BackendId> = self.ended().cloned().collect();
+        let ended: HashSet<BackendId> = self.ended_incarnations().cloned().collect();
         for (id, state) in &mut self.backends {
             let by_name = listed.get(&id.name);
             let is_listed = by_name.is_some_and(|listed| *listed == id);
             let is_followed = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
-            state.is_ahead &= !is_listed && !is_followed;
-            let was_gone = state.is_gone;
-            state.is_gone = !(is_listed || state.is_ahead && state.view.is_some());
+            state.is_ahead_of_list &= !is_listed && !is_followed;
+            let was_gone = state.is_unlisted;
+            state.is_unlisted = !(is_listed || state.is_ahead_of_list && state.view.is_some());
             // where a sidecar speaks, it sees the end itself
-            if state.is_gone && !was_gone && state.view.is_none() {
+            if state.is_unlisted && !was_gone && state.view.is_none() {
                 self.crashes.on_ended(id, now);
             }
         }
         for backend in list {
             let cold_left = backend.cold_left;
-            self.may_have_cold |= !cold_left.is_zero();
+            self.may_have_slow_start |= !cold_left.is_zero();
             let entry = &self.settings.entry;
             match self.backends.get_mut(&backend.id) {
                 Some(state) => {
                     // what was listed before has run on since
                     if state.listed.cold_left != cold_left {
-                        state.set_cold(entry, cold_left, now);
+                        state.set_slow_start(entry, cold_left, now);
                     }
                     state.listed = backend;
                 }
                 None => {
                     let id = backend.id.clone();
-                    self.urgent.insert(id.clone());
+                    self.urgent_demands.insert(id.clone());
                     let mut state = BackendState::new(backend, now);
-                    state.recall(&mut self.own_words, now);
+                    state.restore_signals(&mut self.signals, now);
                     if state.limit.named().is_some() {
-                        self.limited.insert(id.clone());
+                        self.limited_backends.insert(id.clone());
                     }
-                    state.set_cold(entry, cold_left, now);
+                    state.set_slow_start(entry, cold_left, now);
                     self.backends.insert(id, state);
                 }
             }
         }
-        self.forget_gone(now);
+        self.remove_unlisted(now);
         let backends = &self.backends;
-        self.own_words
-            .forget_gone(|id| backends.contains_key(id), now);
-        self.lives
-            .retain(|_, life| self.backends.contains_key(&life.id));
-        self.review_replaced();
+        self.signals
+            .remove_expired(|id| backends.contains_key(id), now);
+        self.incarnations
+            .retain(|_, reported| self.backends.contains_key(&reported.id));
+        self.update_replaced();
     }
 
     /// forget back ends that left the list, unless nothing else is left
-    pub(super) fn forget_gone(&mut self, now: Instant) {
+    pub(super) fn remove_unlisted(&mut self, now: Instant) {
         let services: HashSet<ServiceName> = self
             .backends
             .values()
-            .filter(|b| !b.is_gone)
+            .filter(|b| !b.is_unlisted)
             .map(|b| b.listed.service.clone())
             .collect();
         self.backends.retain(|id, b| {
-            let is_kept = !b.is_gone || b.in_flight > 0 || !services.contains(&b.listed.service);
+            let is_kept =
+                !b.is_unlisted || b.in_flight > 0 || !services.contains(&b.listed.service);
             if !is_kept {
-                self.own_words.keep_limit(id, &b.limit, now);
+                self.signals.keep_limit(id, &b.limit, now);
             }
             is_kept
         });
@@ -101,7 +102,7 @@
 
     pub(super) fn has_listed(&self, service: &ServiceName) -> bool {
         let mut of_service = self.backends.values();
-        of_service.any(|b| !b.is_gone && b.listed.service == *service)
+        of_service.any(|b| !b.is_unlisted && b.listed.service == *service)
     }
 
     /// says which requests may be sent now that waited
@@ -111,14 +112,14 @@
         view: EngineView,
         now: Instant,
     ) -> AffectedRequests {
-        self.last_heard = Some(now);
-        self.on_counted(view.figures.entries, now);
+        self.last_report_at = Some(now);
+        self.on_entry_count(view.figures.entries, now);
         self.on_fence(addr, view.figures.fence);
-        let nothing = AffectedRequests::Came(Vec::new());
+        let nothing = AffectedRequests::OfAdapters(Vec::new());
         if view.backend.is_empty() {
             return nothing;
         }
-        if !self.on_life(addr, &view, now) {
+        if !self.on_incarnation(addr, &view, now) {
             return nothing;
         }
         let Some(state) = self.backends.get_mut(&view.backend) else {
@@ -126,13 +127,13 @@
         };
         let is_first = state.view.is_none();
         self.crashes.on_word(&view.backend, &view.figures, now);
-        let told = (view.backend.clone(), view.figures);
-        let news = state.on_view(view, now);
-        self.on_own_word_told(&told.0, &told.1, now);
+        let reported = (view.backend.clone(), view.figures);
+        let affected = state.on_view(view, now);
+        self.on_reported_signals(&reported.0, &reported.1, now);
         if is_first {
-            self.review_replaced();
+            self.update_replaced();
         }
-        news
+        affected
     }
 
     /// The sidecar at an address says which life its engine lives; false if it said so
@@ -140,10 +141,10 @@
     ///
     /// It sees the engine itself, so a life that it spoke of before has ended, whatever
     /// the clock of the engine says.
-    fn on_life(&mut self, addr: SocketAddr, view: &EngineView, now: Instant) -> bool {
-        let said = said_at(&view.figures, now);
-        let known = self.lives.get(&addr);
-        if known.is_some_and(|known| known.id != view.backend && said < known.said) {
+    fn on_incarnation(&mut self, addr: SocketAddr, view: &EngineView, now: Instant) -> bool {
+        let reported_at = reported_at(&view.figures, now);
+        let known = self.incarnations.get(&addr);
+        if known.is_some_and(|known| known.id != view.backend && reported_at < known.reported_at) {
             return false;
         }
         let is_other = known.is_some_and(|known| known.id != view.backend);
@@ -153,10 +154,11 @@
         }
         if let Some(former) = former.and_then(|id| self.backends.get_mut(&id)) {
             self.crashes.on_ended(&former.listed.id, now);
-            former.end_life();
+            former.end_incarnation();
         }
         let id = view.backend.clone();
-        self.lives.insert(addr, ReportedIncarnation { id, said });
+        self.incarnations
+            .insert(addr, ReportedIncarnation { id, reported_at });
         if let Some(state) = self.backends.get_mut(&view.backend) {
             state.has_ended = false;
         }
@@ -164,7 +166,7 @@
     }
 
     /// lives that have ended, by the word of their sidecars
-    fn ended(&self) -> impl Iterator<Item = &BackendId> {
+    fn ended_incarnations(&self) -> impl Iterator<Item = &BackendId> {
         let ended = self.backends.values().filter(|b| b.has_ended);
         ended.map(|b| &b.listed.id)
     }
@@ -175,8 +177,8 @@
     /// of another service that got the address.
     fn is_replaced(&self, state: &BackendState) -> bool {
         let listed = &state.listed;
-        let life = self.lives.get(&listed.addr);
-        let living = life.and_then(|life| self.backends.get(&life.id));
+        let reported = self.incarnations.get(&listed.addr);
+        let living = reported.and_then(|reported| self.backends.get(&reported.id));
         living.is_some_and(|living| {
             let id = &living.listed.id;
             living.view.is_some()
@@ -186,7 +188,7 @@
         })
     }
 
-    fn review_replaced(&mut self) {
+    fn update_replaced(&mut self) {
         let replaced = self.backends.values().filter(|b| self.is_replaced(b));
         let replaced: HashSet<BackendId> = replaced.map(|b| b.listed.id.clone()).collect();
         for (id, state) in &mut self.backends {
@@ -197,38 +199,38 @@
     /// Its sidecar heard from the engine itself that it leaves, how many requests it takes or
     /// that it is cold: entries that had no answer of it know it by that, also while the
     /// store is silent.
-    fn on_own_word_told(&mut self, backend: &BackendId, figures: &EngineFigures, now: Instant) {
-        self.on_limit_told(backend, figures, now);
-        if figures.cold_left_ms > 0 {
-            let left = Duration::from_millis(u64::from(figures.cold_left_ms));
-            let said = Duration::from_millis(u64::from(figures.age_ms));
-            self.on_cold_told(backend, left.saturating_sub(said), now);
+    fn on_reported_signals(&mut self, backend: &BackendId, stats: &EngineFigures, now: Instant) {
+        self.on_limit_reported(backend, stats, now);
+        if stats.cold_left_ms > 0 {
+            let left = Duration::from_millis(u64::from(stats.cold_left_ms));
+            let age = Duration::from_millis(u64::from(stats.age_ms));
+            self.on_slow_start(backend, left.saturating_sub(age), now);
         }
-        if figures.is_leaving {
-            self.note_own_word(backend, OwnWord::new(true, None), now);
+        if stats.is_leaving {
+            self.record_signal(backend, OwnWord::new(true, None), now);
         }
     }
 
-    pub(super) fn on_figures(&mut self, backend: &BackendId, figures: EngineFigures, now: Instant) {
-        self.last_heard = Some(now);
-        self.on_counted(figures.entries, now);
+    pub(super) fn on_stats(&mut self, backend: &BackendId, stats: EngineFigures, now: Instant) {
+        self.last_report_at = Some(now);
+        self.on_entry_count(stats.entries, now);
         if let Some(state) = self.backends.get_mut(backend) {
-            self.crashes.on_word(backend, &figures, now);
-            state.on_figures(figures, now);
+            self.crashes.on_word(backend, &stats, now);
+            state.on_stats(stats, now);
             let addr = state.listed.addr;
-            self.on_own_word_told(backend, &figures, now);
-            self.on_fence(addr, figures.fence);
+            self.on_reported_signals(backend, &stats, now);
+            self.on_fence(addr, stats.fence);
         }
     }
 
-    fn on_counted(&mut self, entries: u32, now: Instant) {
+    fn on_entry_count(&mut self, entries: u32, now: Instant) {
         let window = self.settings.budget.window;
-        self.fleet_size.on_counted(entries, window, now);
+        self.fleet_size.on_entry_count(entries, window, now);
     }
 
-    fn on_fence(&mut self, addr: SocketAddr, spoken: u64) {
+    fn on_fence(&mut self, addr: SocketAddr, reported: u64) {
         let fence = self.fences.entry(addr).or_default();
-        *fence = spoken.max(*fence);
+        *fence = reported.max(*fence);
     }
 
     /// an engine that came back and is not in the list yet: its sidecar knows
@@ -238,7 +240,7 @@
             return;
         };
         self.crashes.on_ended(&former.listed.id, now);
-        former.end_life();
+        former.end_incarnation();
         let service = self.table.services.get(&former.listed.service);
         let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
         let listed = Backend {
@@ -250,13 +252,13 @@
             ..former.listed.clone()
         };
         let mut state = BackendState::new(listed, now);
-        state.recall(&mut self.own_words, now);
+        state.restore_signals(&mut self.signals, now);
         if state.limit.named().is_some() {
-            self.limited.insert(id.clone());
+            self.limited_backends.insert(id.clone());
         }
-        state.is_ahead = true;
-        self.may_have_cold |= !cold_left.is_zero();
-        state.set_cold(&self.settings.entry, cold_left, now);
+        state.is_ahead_of_list = true;
+        self.may_have_slow_start |= !cold_left.is_zero();
+        state.set_slow_start(&self.settings.entry, cold_left, now);
         self.backends.insert(id.clone(), state);
     }
 
@@ -265,19 +267,19 @@
             return;
         };
         state.on_view_lost(now);
-        state.is_gone |= state.is_ahead;
+        state.is_unlisted |= state.is_ahead_of_list;
         // the list has the last word where no sidecar speaks
-        self.review_replaced();
+        self.update_replaced();
     }
 
     pub(super) fn on_version(&mut self, adapter: AdapterRef, version: u64, now: Instant) {
         let grace = self.settings.version_grace;
-        if !self.versions.put(&adapter, version, grace, now) {
+        if !self.adapter_versions.put(&adapter, version, grace, now) {
             return;
         }
         for (id, state) in &self.backends {
             if state.held_version(&adapter, now).is_some() {
-                self.urgent.insert(id.clone());
+                self.urgent_demands.insert(id.clone());
             }
         }
     }
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -9,17 +9,17 @@
 
 /// an adapter is copied only while its requests, as estimated over all entries,
 /// take this part of the places of an engine
-const COPIED_FROM_PART: f64 = 0.25;
+const MIN_SLOT_DEMAND_RATIO: f64 = 0.25;
 /// a queue that takes this part of the time of a load is worth a copy
-const COPY_SAVES: f64 = 0.4;
+const MIN_QUEUE_TO_LOAD_RATIO: f64 = 0.4;
 /// a copy goes only to an engine that is pressed less than this part
-const PRESSED_LESS: f64 = 0.6;
+const COPY_TARGET_UTILIZATION_RATIO: f64 = 0.6;
 
 impl Dispatcher {
     /// engines for more copies, if those that hold the adapter are too busy;
     /// the copies grow by half each time, so that a new favourite has enough of
     /// them after a few loads
-    pub(super) fn homes_for_copies(
+    pub(super) fn copy_targets(
         &self,
         adapter: &AdapterRef,
         holders: &[&BackendState],
@@ -28,16 +28,16 @@
         now: Instant,
     ) -> Vec<BackendId> {
         let is_holder = |id: &BackendId| holders.iter().any(|h| h.listed.id == *id);
-        let pressure = match choice {
-            Choice::Send(assignment) => assignment.pressure,
+        let utilization = match choice {
+            Choice::Send(assignment) => assignment.utilization,
             Choice::Wait(_) => f64::INFINITY,
         };
-        let wished = self.wishes.get(adapter).filter(|w| w.until > now);
-        let is_coming = wished.is_some_and(|w| !w.backends.iter().all(is_holder));
-        if !self.settings.mechanisms.copies || pressure < 1.0 || is_coming {
+        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
+        let is_coming = pending.is_some_and(|w| !w.backends.iter().all(is_holder));
+        if !self.settings.features.copies || utilization < 1.0 || is_coming {
             return Vec::new();
         }
-        if self.needed_part(adapter, holders) < COPIED_FROM_PART {
+        if self.slot_demand_ratio(adapter, holders) < MIN_SLOT_DEMAND_RATIO {
             return Vec::new();
         }
         let candidates = loadable(candidates, adapter);
@@ -46,8 +46,10 @@
             .into_iter()
             .filter(|b| !is_holder(&b.listed.id) && !b.is_loading(adapter))
             .filter(|b| b.limit.named().is_none())
-            .filter(|b| self.pressure(b, now) < (pressure * PRESSED_LESS).min(1.0))
-            .filter(|b| self.is_worth_a_load(b, adapter, holders, now))
+            .filter(|b| {
+                self.utilization(b, now) < (utilization * COPY_TARGET_UTILIZATION_RATIO).min(1.0)
+            })
+            .filter(|b| self.is_copy_worthwhile(b, adapter, holders, now))
             .collect();
         let more = holders.len().div_ceil(2).saturating_sub(coming);
         let ranked = self.rank_homes(adapter, &others, now);
@@ -56,15 +58,15 @@
     }
 
     /// whether a copy comes soon enough to shorten the wait at those that hold it
-    fn is_worth_a_load(
+    fn is_copy_worthwhile(
         &self,
         target: &BackendState,
         adapter: &AdapterRef,
         holders: &[&BackendState],
         now: Instant,
     ) -> bool {
-        let is_weighed = self.settings.mechanisms.copies_weighed;
-        if !is_weighed || target.held_lately(adapter_mark(adapter)) {
+        let is_weighed = self.settings.features.copies_weighed;
+        if !is_weighed || target.has_recently_held(adapter_mark(adapter)) {
             return true;
         }
         let queues = holders.iter().map(|b| self.queue_ms(b, now));
@@ -73,17 +75,19 @@
         let load_ms = figures.map_or(0.0, |f| f64::from(f.next_load_ms));
         let is_full = holders
             .iter()
-            .all(|b| b.load(now) >= self.settings.copy_from_load);
-        is_full || shortest >= load_ms * COPY_SAVES
+            .all(|b| b.load(now) >= self.settings.copy_load_threshold);
+        is_full || shortest >= load_ms * MIN_QUEUE_TO_LOAD_RATIO
     }
 
     /// requests of an adapter that run or wait, as a part of the places of one
     /// engine; an estimate for all entries from those of this one. The request
     /// in hand is no evidence that other entries have some too
-    fn needed_part(&self, adapter: &AdapterRef, holders: &[&BackendState]) -> f64 {
-        let running = holders.iter().filter_map(|b| b.running_on.get(adapter));
-        let waiting = self.waiting.asks();
-        let waiting = waiting.filter(|ask| ask.adapter.as_ref() == Some(adapter));
+    fn slot_demand_ratio(&self, adapter: &AdapterRef, holders: &[&BackendState]) -> f64 {
+        let running = holders
+            .iter()
+            .filter_map(|b| b.running_by_adapter.get(adapter));
+        let waiting = self.waiting.requests();
+        let waiting = waiting.filter(|request| request.adapter.as_ref() == Some(adapter));
         let others = running.sum::<u32>() + waiting.count() as u32;
         let of_all = 1 + others * self.entry_count();
         let slots = holders.iter().map(|b| b.listed.slots).max();
--- a/coordination/src/dispatch/decision.rs
+++ b/coordination/src/dispatch/decision.rs
@@ -41,10 +41,10 @@
     /// 0 is the most urgent, 9 the least
     pub urgency: u8,
     /// how busy it is; at 1 its adapter is worth another copy
-    pub pressure: f64,
+    pub utilization: f64,
     /// it has named a limit: an answer without one says that this is over
     pub is_limited: bool,
-    pub basis: DecisionInputs,
+    pub inputs: DecisionInputs,
 }
 
 /// why a request is refused
@@ -98,6 +98,6 @@
         cause: RejectionCause,
         /// when it could be served
         retry_after: Duration,
-        basis: DecisionInputs,
+        inputs: DecisionInputs,
     },
 }
--- a/coordination/src/dispatch/demands.rs
+++ b/coordination/src/dispatch/demands.rs
@@ -19,13 +19,16 @@
     versions: &AdapterVersions,
 ) -> AdapterDemand {
     let mut used: Vec<AdapterUse> = state
-        .used
+        .used_adapters
         .drain()
         .map(|a| (a, 0))
         .map(adapter_use)
         .collect();
-    used.retain(|u| !state.running_on.contains_key(&u.adapter));
-    let running = state.running_on.iter().map(|(a, n)| (a.clone(), *n));
+    used.retain(|u| !state.running_by_adapter.contains_key(&u.adapter));
+    let running = state
+        .running_by_adapter
+        .iter()
+        .map(|(a, n)| (a.clone(), *n));
     used.extend(running.map(adapter_use));
     used.sort_by(|a, b| a.adapter.cmp(&b.adapter));
     AdapterDemand {
--- a/coordination/src/dispatch/dispatch_request.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -17,7 +17,7 @@
 pub struct DispatchRequest {
     pub digest: RequestDigest,
     /// an engine has ended under it since it was served last
-    pub is_suspected: bool,
+    pub is_crash_suspect: bool,
     pub service: ServiceName,
     /// the base model, also of requests without an adapter
     pub model: Option<BaseModelName>,
@@ -32,17 +32,17 @@
     /// of the route; 0 is the most urgent
     pub priority: u8,
     pub target_latency: Duration,
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// when the client or the route ends the request
     pub deadline: Instant,
     /// back ends that are not to be tried again
-    pub tried: Vec<BackendId>,
+    pub tried_backends: Vec<BackendId>,
     /// it was refused before and came back
-    pub has_returned: bool,
+    pub was_rejected_before: bool,
     /// it was weighed whether it should be refused and come back
-    pub is_judged: bool,
+    pub is_load_time_checked: bool,
     /// times that it was sent
-    pub sends: u32,
+    pub send_count: u32,
     /// its turn among those of its priority, given by the dispatcher
-    pub turn: u64,
+    pub start_tag: u64,
 }
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -51,58 +51,58 @@
 #[derive(Debug)]
 pub enum DispatchEvent {
     /// a request needs a back end
-    Asked {
+    RequestArrived {
         ticket: Ticket,
-        ask: DispatchRequest,
+        request: DispatchRequest,
     },
     /// a request that waited is gone
-    Withdrawn(Ticket),
+    RequestWithdrawn(Ticket),
     /// the first part of an answer came
-    Started(Ticket),
-    Ended {
+    ResponseStarted(Ticket),
+    SendEnded {
         ticket: Ticket,
         outcome: SendOutcome,
     },
     /// a back end said this of itself in the head of an answer
-    Said {
+    SignalReceived {
         backend: BackendId,
-        word: OwnWord,
+        signal: OwnWord,
         /// when the request was sent that it answered
-        sent: Instant,
+        sent_at: Instant,
     },
     /// the dealer of an engine's permits has answered a question that was asked then
-    Dealt {
+    PermitsReceived {
         backend: BackendId,
-        asked: Instant,
-        answer: Result<IntakeAnswer, PermitError>,
+        requested_at: Instant,
+        response: Result<IntakeAnswer, PermitError>,
     },
-    Listed {
+    ListUpdated {
         version: u64,
         list: BackendList,
     },
-    Configured(Arc<RouteTable>),
+    ConfigUpdated(Arc<RouteTable>),
     /// zones whose back ends are to be sent nothing
-    Evacuated(HashSet<ZoneName>),
+    ZonesEvacuated(HashSet<ZoneName>),
     /// the settings were read again
-    Tuned(DispatchSettings),
+    SettingsUpdated(DispatchSettings),
     /// the sidecar of the engine at this address said this
-    Viewed {
+    ViewReceived {
         addr: SocketAddr,
         view: EngineView,
     },
     /// nothing but these figures of a view has changed
-    Figures {
+    StatsReceived {
         backend: BackendId,
-        figures: EngineFigures,
+        stats: EngineFigures,
     },
     ViewLost(BackendId),
     /// whether the sidecar of the engine at this address takes demands
-    Demanded {
+    DemandSent {
         addr: SocketAddr,
-        is_taken: bool,
+        is_accepted: bool,
     },
     /// an adapter has a new version
-    Versioned {
+    VersionAnnounced {
         adapter: AdapterRef,
         version: u64,
     },
--- a/coordination/src/dispatch/expected_returns.rs
+++ b/coordination/src/dispatch/expected_returns.rs
@@ -8,9 +8,9 @@
 };
 
 /// added to the time of a load before its requests come back
-const PROMISE_MARGIN: Duration = Duration::from_millis(60);
+const RETURN_MARGIN: Duration = Duration::from_millis(60);
 /// an adapter stays wanted for this long after its requests should be back
-const PROMISE_KEPT: Duration = Duration::from_millis(400);
+const RETURN_GRACE: Duration = Duration::from_millis(400);
 
 /// requests that come back for an adapter
 #[derive(Debug, Clone)]
@@ -27,30 +27,37 @@
     /// it is refused, and its adapter goes on being wanted. A request is judged once:
     /// as soon as the sidecar that is to load the adapter has spoken after it was asked.
     /// Later it is better off where it waits.
-    pub(super) fn promise(&mut self, ask: &mut DispatchRequest, now: Instant) -> Option<Duration> {
-        if !self.settings.mechanisms.early_refusals || ask.is_judged || ask.sends > 0 {
+    pub(super) fn schedule_return(
+        &mut self,
+        request: &mut DispatchRequest,
+        now: Instant,
+    ) -> Option<Duration> {
+        if !self.settings.features.early_refusals
+            || request.is_load_time_checked
+            || request.send_count > 0
+        {
             return None;
         }
-        let adapter = ask.adapter.as_ref()?;
-        let wish = self.wishes.get(adapter)?;
+        let adapter = request.adapter.as_ref()?;
+        let pending = self.pending_loads.get(adapter)?;
         let may_serve = |id: &&BackendId| {
             let state = self.backends.get(*id);
-            state.is_some_and(|state| self.may_serve(ask, state))
+            state.is_some_and(|state| self.may_serve(request, state))
         };
-        let backend = wish.backends.iter().find(may_serve)?.clone();
-        let wished_at = wish.asked_at();
+        let backend = pending.backends.iter().find(may_serve)?.clone();
+        let requested_at = pending.requested_at();
         let state = self.backends.get(&backend)?;
-        if !state.has_spoken_since(wished_at) {
+        if !state.has_reported_since(requested_at) {
             return None;
         }
-        ask.is_judged = true;
-        if ask.has_returned {
+        request.is_load_time_checked = true;
+        if request.was_rejected_before {
             return None;
         }
         let view = state.view.as_ref()?;
-        let waited = now.saturating_duration_since(ask.arrived);
-        let returns = state.held_lately(adapter_mark(adapter));
-        let load_ms = match returns && self.settings.mechanisms.return_home {
+        let waited = now.saturating_duration_since(request.arrived_at);
+        let returns = state.has_recently_held(adapter_mark(adapter));
+        let load_ms = match returns && self.settings.features.return_home {
             true => view.figures.next_return_ms,
             false => view.figures.next_load_ms,
         };
@@ -58,23 +65,23 @@
             true => Duration::from_millis(u64::from(load_ms)) / 2,
             false => Duration::from_millis(u64::from(load_ms)),
         };
-        if waited + load + self.settings.first_token <= ask.target_latency {
+        if waited + load + self.settings.first_token_delay <= request.target_latency {
             return None;
         }
-        let retry_after = load + PROMISE_MARGIN;
-        let until = now + retry_after + PROMISE_KEPT;
-        let promise = self
-            .promises
+        let retry_after = load + RETURN_MARGIN;
+        let until = now + retry_after + RETURN_GRACE;
+        let expected = self
+            .expected_returns
             .entry(adapter.clone())
             .or_insert(ExpectedReturn {
                 backend,
-                priority: ask.priority,
+                priority: request.priority,
                 requests: 0,
                 until,
             });
-        promise.requests += 1;
-        promise.until = promise.until.max(until);
-        promise.priority = promise.priority.min(ask.priority);
+        expected.requests += 1;
+        expected.until = expected.until.max(until);
+        expected.priority = expected.priority.min(request.priority);
         Some(retry_after)
     }
 }
--- a/coordination/src/dispatch/fleet_size.rs
+++ b/coordination/src/dispatch/fleet_size.rs
@@ -13,7 +13,7 @@
 
 impl FleetSize {
     /// a sidecar counts so many; 0 says nothing
-    pub fn on_counted(&mut self, entries: u32, window: Duration, now: Instant) {
+    pub fn on_entry_count(&mut self, entries: u32, window: Duration, now: Instant) {
         let holds = |(highest, at): &(u32, Instant)| {
             *highest > entries && now.saturating_duration_since(*at) < window
         };
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        dispatcher::Dispatcher, pending_loads::WISHED_FOR, selection::with_model, BackendState,
-        DispatchRequest,
+        dispatcher::Dispatcher, pending_loads::PENDING_LOAD_TIMEOUT, selection::with_model,
+        BackendState, DispatchRequest,
     },
     crate::{membership::rendezvous_weight, placement::adapter_mark},
     chalkcart_state::backends::{AdapterRef, BackendId},
@@ -14,11 +14,11 @@
 };
 
 /// prompts that take longer to read than this are too many for one engine, in ms
-const READING_MS_A_HOME: f64 = 600.0;
+const MAX_PREFILL_MS_PER_HOME: f64 = 600.0;
 /// of the requests that wait at one entry, what other entries have as well
-const SHARED_BY_ENTRIES: f64 = 0.5;
+const COMMON_REQUEST_RATIO: f64 = 0.5;
 /// engines are told apart as homes by waits of this length, in ms
-const HOME_STEP_MS: f64 = 200.0;
+const HOME_WAIT_STEP_MS: f64 = 200.0;
 
 /// the order in which engines become homes of an adapter, the least first
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,14 +42,14 @@
         &self,
         adapter: &AdapterRef,
         candidates: &[&BackendState],
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         now: Instant,
     ) -> Vec<BackendId> {
-        let needed = self.homes_needed(adapter, ask);
-        let wished = self.wishes.get(adapter).filter(|w| w.until > now);
-        let may_bring = candidates.iter().filter(|b| b.sight.may_bring(now));
-        let may_bring: Vec<&BackendState> = may_bring.copied().collect();
-        let asked = wished.map_or(0, |w| w.known_among(&may_bring));
+        let needed = self.homes_needed(adapter, request);
+        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
+        let may_load = candidates.iter().filter(|b| b.observations.may_load(now));
+        let may_load: Vec<&BackendState> = may_load.copied().collect();
+        let asked = pending.map_or(0, |w| w.count_among(&may_load));
         if asked >= needed {
             return Vec::new();
         }
@@ -57,8 +57,8 @@
         let loading = candidates.iter().filter(|b| b.is_loading(adapter));
         let mut homes: Vec<BackendId> = loading.map(|b| b.listed.id.clone()).collect();
         let ranked = self.rank_homes(adapter, &candidates, now);
-        let waited = now.saturating_duration_since(ask.arrived);
-        let skip = (waited.as_millis() / WISHED_FOR.as_millis()) as usize;
+        let waited = now.saturating_duration_since(request.arrived_at);
+        let skip = (waited.as_millis() / PENDING_LOAD_TIMEOUT.as_millis()) as usize;
         let start = skip % ranked.len().max(1);
         let (before, from) = ranked.split_at(start);
         for home in from.iter().chain(before) {
@@ -74,9 +74,9 @@
 
     /// Engines that are to load an adapter whose holders take no request before it could be
     /// there; none where waiting for the holders is as good.
-    pub(super) fn homes_beside_limited(
+    pub(super) fn homes_while_holders_limited(
         &self,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         adapter: &AdapterRef,
         holders: &[&BackendState],
         candidates: &[&BackendState],
@@ -91,22 +91,23 @@
             .filter_map(|b| b.view.as_ref())
             .map(|v| Duration::from_millis(u64::from(v.figures.next_load_ms)))
             .min()?;
-        (opens_in > comes_in).then(|| self.homes_for(adapter, &free, ask, now))
+        (opens_in > comes_in).then(|| self.homes_for(adapter, &free, request, now))
     }
 
     /// engines that the requests for an adapter need while all of them wait.
     /// That several wait here is evidence that they do at other entries; a
     /// single one may be the only one
-    fn homes_needed(&self, adapter: &AdapterRef, ask: &DispatchRequest) -> usize {
-        if !self.settings.mechanisms.several_homes {
+    fn homes_needed(&self, adapter: &AdapterRef, request: &DispatchRequest) -> usize {
+        if !self.settings.features.several_homes {
             return 1;
         }
-        let waiting = self.waiting.asks();
-        let others = waiting.filter(|ask| ask.adapter.as_ref() == Some(adapter));
-        let tokens: u64 = others.map(|ask| u64::from(ask.prompt_tokens)).sum();
-        let of_all = tokens as f64 * f64::from(self.entry_count()) * SHARED_BY_ENTRIES;
-        let reading_ms = (f64::from(ask.prompt_tokens) + of_all) / self.tokens_per_ms(&ask.service);
-        ((reading_ms / READING_MS_A_HOME).ceil() as usize).max(1)
+        let waiting = self.waiting.requests();
+        let others = waiting.filter(|request| request.adapter.as_ref() == Some(adapter));
+        let tokens: u64 = others.map(|request| u64::from(request.prompt_tokens)).sum();
+        let of_all = tokens as f64 * f64::from(self.entry_count()) * COMMON_REQUEST_RATIO;
+        let prefill_ms =
+            (f64::from(request.prompt_tokens) + of_all) / self.tokens_per_ms(&request.service);
+        ((prefill_ms / MAX_PREFILL_MS_PER_HOME).ceil() as usize).max(1)
     }
 
     /// engines with a spare place in the adapter's own order, which is the same
@@ -119,22 +120,22 @@
         now: Instant,
     ) -> Vec<&'b BackendState> {
         // one that is not heard may be gone with its machine: where another is, it is asked
-        let is_any_heard = candidates.iter().any(|b| !b.is_unheard(now));
+        let is_any_heard = candidates.iter().any(|b| !b.is_sidecar_unresponsive(now));
         let may_load = |b: &&&BackendState| match is_any_heard {
             true => b.spare_slots() > 0,
-            false => b.sight.may_bring(now),
+            false => b.observations.may_load(now),
         };
         let spare = candidates.iter().filter(may_load);
-        let mark = adapter_mark(adapter);
-        let returns = self.settings.mechanisms.return_home;
+        let hash = adapter_mark(adapter);
+        let returns = self.settings.features.return_home;
         let mut ranked: Vec<(HomeRank, &BackendState)> = spare
             .map(|b| {
                 let rank = HomeRank {
                     is_limited: b.limit.named().is_some(),
-                    is_crowded: b.load(now) >= self.settings.copy_from_load,
-                    wait_steps: self.wait_steps(b, returns && b.held_lately(mark), now),
-                    is_new: !(returns && b.held_lately(mark)),
-                    weight: Reverse(rendezvous_weight(mark, b.home_hash())),
+                    is_crowded: b.load(now) >= self.settings.copy_load_threshold,
+                    wait_steps: self.wait_steps(b, returns && b.has_recently_held(hash), now),
+                    is_new: !(returns && b.has_recently_held(hash)),
+                    weight: Reverse(rendezvous_weight(hash, b.home_hash())),
                 };
                 (rank, *b)
             })
@@ -151,7 +152,7 @@
             true => 0.0,
             false => view.map_or(0.0, |v| f64::from(v.figures.next_load_ms)),
         };
-        ((self.queue_ms(state, now) + load_ms) / HOME_STEP_MS) as u32
+        ((self.queue_ms(state, now) + load_ms) / HOME_WAIT_STEP_MS) as u32
     }
 }
 
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -17,7 +17,7 @@
 
 /// Time between two looks at all limits: with a thousand limited engines each costs as much as
 /// many decisions.
-const SHARED_EVERY: Duration = Duration::from_millis(25);
+const LIMIT_REFRESH_INTERVAL: Duration = Duration::from_millis(25);
 
 /// why a dealer of permits has not answered
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,49 +32,49 @@
 pub struct PermitQuery {
     pub engine: SocketAddr,
     pub report: IntakeReport,
-    pub asked: Instant,
+    pub requested_at: Instant,
 }
 
 impl Dispatcher {
     /// an answer to a request that was sent then says this of a limit
-    pub(super) fn on_limit_word(
+    pub(super) fn on_limit_signal(
         &mut self,
         backend: &BackendId,
-        (word, sent): (LimitWord, Instant),
+        (signal, sent): (LimitWord, Instant),
         now: Instant,
     ) {
-        self.change_limit(backend, now, |limit, sharers| {
-            limit.on_word(word, sent, sharers, now);
+        self.update_limit(backend, now, |limit, sharing| {
+            limit.on_word(signal, sent, sharing, now);
         });
     }
 
     /// the sidecar of an engine says what limit it names
-    pub(super) fn on_limit_told(
+    pub(super) fn on_limit_reported(
         &mut self,
         backend: &BackendId,
         figures: &EngineFigures,
         now: Instant,
     ) {
-        let told = figures.limit_milli_per_s.map(RequestRate::of_milli);
-        if told.is_none() && !self.limited.contains(backend) {
+        let reported = figures.limit_milli_per_s.map(RequestRate::of_milli);
+        if reported.is_none() && !self.limited_backends.contains(backend) {
             return;
         }
-        self.change_limit(backend, now, |limit, sharers| {
-            limit.on_told(told, sharers, now);
+        self.update_limit(backend, now, |limit, sharing| {
+            limit.on_told(reported, sharing, now);
         });
     }
 
     /// the dealer beside an engine has answered, or has not
-    pub(super) fn on_dealt(
+    pub(super) fn on_permits(
         &mut self,
         backend: &BackendId,
-        asked: Instant,
-        answer: Result<IntakeAnswer, PermitError>,
+        requested_at: Instant,
+        response: Result<IntakeAnswer, PermitError>,
         now: Instant,
     ) {
-        self.change_limit(backend, now, |limit, sharers| match &answer {
-            Ok(answer) if answer.backend == *backend => {
-                limit.on_dealt(answer, asked, sharers, now);
+        self.update_limit(backend, now, |limit, sharing| match &response {
+            Ok(response) if response.backend == *backend => {
+                limit.on_dealt(response, requested_at, sharing, now);
             }
             // it speaks of another life, which may be the next one of the engine
             Ok(_) => limit.on_no_deal(false, now),
@@ -82,78 +82,85 @@
         });
     }
 
-    fn change_limit(
+    fn update_limit(
         &mut self,
         backend: &BackendId,
         now: Instant,
         change: impl FnOnce(&mut NamedLimit, Sharers),
     ) {
-        let sharers = self.sharers_of(backend, now);
-        let (Some(sharers), Some(state)) = (sharers, self.backends.get_mut(backend)) else {
+        let sharing = self.limit_sharing(backend, now);
+        let (Some(sharing), Some(state)) = (sharing, self.backends.get_mut(backend)) else {
             return;
         };
-        change(&mut state.limit, sharers);
+        change(&mut state.limit, sharing);
         match state.limit.named() {
-            Some(_) => self.limited.insert(backend.clone()),
+            Some(_) => self.limited_backends.insert(backend.clone()),
             // its dealer must hear that it is over
-            None if state.limit.is_question_due(now) => self.limited.insert(backend.clone()),
-            None => self.limited.remove(backend),
+            None if state.limit.is_question_due(now) => {
+                self.limited_backends.insert(backend.clone())
+            }
+            None => self.limited_backends.remove(backend),
         };
     }
 
     /// While back ends name limits: share them anew, and see what waits for them. Ticks do not
     /// do, since none comes while other events come more often.
-    pub(super) fn look_at_limits(&mut self, now: Instant) {
+    pub(super) fn refresh_limits(&mut self, now: Instant) {
         let is_early = self
-            .limits_shared
-            .is_some_and(|at| now.saturating_duration_since(at) < SHARED_EVERY);
-        if self.limited.is_empty() || is_early {
+            .limits_refreshed_at
+            .is_some_and(|at| now.saturating_duration_since(at) < LIMIT_REFRESH_INTERVAL);
+        if self.limited_backends.is_empty() || is_early {
             return;
         }
-        self.limits_shared = Some(now);
-        self.share_limits(now);
-        let waiting = self.serve_waiting(|_| true, now);
-        self.note_wanted(&waiting, true);
+        self.limits_refreshed_at = Some(now);
+        self.update_limit_sharing(now);
+        let waiting = self.dispatch_waiting(|_| true, now);
+        self.set_wanted_permits(&waiting, true);
     }
 
     /// the entries that share limits may be more or fewer
-    fn share_limits(&mut self, now: Instant) {
-        self.limited.retain(|id| self.backends.contains_key(id));
-        for id in self.limited.clone() {
-            let sharers = self.sharers_of(&id, now);
-            if let (Some(sharers), Some(state)) = (sharers, self.backends.get_mut(&id)) {
-                state.limit.share_among(sharers, now);
+    fn update_limit_sharing(&mut self, now: Instant) {
+        self.limited_backends
+            .retain(|id| self.backends.contains_key(id));
+        for id in self.limited_backends.clone() {
+            let sharing = self.limit_sharing(&id, now);
+            if let (Some(sharing), Some(state)) = (sharing, self.backends.get_mut(&id)) {
+                state.limit.share_among(sharing, now);
             }
         }
     }
 
-    fn sharers_of(&self, backend: &BackendId, now: Instant) -> Option<Sharers> {
+    fn limit_sharing(&self, backend: &BackendId, now: Instant) -> Option<Sharers> {
         let state = self.backends.get(backend)?;
         let service = self.table.services.get(&state.listed.service);
         let is_engine = service.is_some_and(|service| service.engine.is_some());
-        let entries = self.sharing_entries(now);
-        Some(state.sharers(&self.settings.entry, entries, is_engine))
+        let entries = self.sharing_entry_count(now);
+        Some(state.limit_sharing(&self.settings.entry, entries, is_engine))
     }
 
     /// so many requests wait for each limited back end
-    pub(super) fn note_wanted(&mut self, waiting: &HashMap<BackendId, (u32, u8)>, is_whole: bool) {
-        for id in &self.limited {
+    pub(super) fn set_wanted_permits(
+        &mut self,
+        waiting: &HashMap<BackendId, (u32, u8)>,
+        is_complete: bool,
+    ) {
+        for id in &self.limited_backends {
             let Some(state) = self.backends.get_mut(id) else {
                 continue;
             };
             match waiting.get(id) {
                 Some((wanted, priority)) => state.limit.set_wanted(*wanted, *priority),
-                None if is_whole => state.limit.set_wanted(0, 0),
+                None if is_complete => state.limit.set_wanted(0, 0),
                 None => {}
             }
         }
     }
 
     /// what the dealers beside limited engines should be asked now
-    pub fn intake_questions(&mut self, now: Instant) -> Vec<PermitQuery> {
-        let mut questions = Vec::new();
+    pub fn permit_queries(&mut self, now: Instant) -> Vec<PermitQuery> {
+        let mut queries = Vec::new();
         let mut done = Vec::new();
-        for id in &self.limited {
+        for id in &self.limited_backends {
             let Some(state) = self.backends.get_mut(id) else {
                 continue;
             };
@@ -161,27 +168,27 @@
                 continue;
             }
             let (wanted, priority) = state.limit.wanted();
-            let (news, unused) = state.limit.on_asked(now);
+            let (update, unused) = state.limit.on_asked(now);
             if state.limit.named().is_none() {
                 done.push(id.clone());
             }
-            questions.push(PermitQuery {
+            queries.push(PermitQuery {
                 engine: state.listed.addr,
                 report: IntakeReport {
                     entry: self.settings.entry.clone(),
                     backend: id.clone(),
-                    named: news.named,
-                    freed_ago_ms: news.freed_ago_ms,
+                    named: update.named,
+                    freed_ago_ms: update.freed_ago_ms,
                     wanted,
                     priority,
                     unused,
                 },
-                asked: now,
+                requested_at: now,
             });
         }
         for id in done {
-            self.limited.remove(&id);
+            self.limited_backends.remove(&id);
         }
-        questions
+        queries
     }
 }
--- a/coordination/src/dispatch/mod.rs
+++ b/coordination/src/dispatch/mod.rs
@@ -30,7 +30,7 @@
 mod urgency;
 mod waiting_list;
 
-pub(crate) use backend_state::said_at;
+pub(crate) use backend_state::reported_at;
 
 pub use {
     account_fair_queueing::AccountFairQueueing,
--- a/coordination/src/dispatch/pending_loads.rs
+++ b/coordination/src/dispatch/pending_loads.rs
@@ -13,7 +13,7 @@
 
 /// an adapter is wished for at one engine for this long; a request that still
 /// waits then asks at the next
-pub(super) const WISHED_FOR: Duration = Duration::from_millis(1_500);
+pub(super) const PENDING_LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// engines that are asked to load an adapter
 #[derive(Debug, Clone)]
@@ -24,11 +24,11 @@
 
 impl PendingLoad {
     /// when its engines were asked
-    pub(super) fn asked_at(&self) -> Instant {
-        self.until - WISHED_FOR
+    pub(super) fn requested_at(&self) -> Instant {
+        self.until - PENDING_LOAD_TIMEOUT
     }
     /// how many of its engines are among these
-    pub(super) fn known_among(&self, candidates: &[&BackendState]) -> usize {
+    pub(super) fn count_among(&self, candidates: &[&BackendState]) -> usize {
         let known = candidates
             .iter()
             .filter(|b| self.backends.contains(&b.listed.id));
@@ -50,26 +50,27 @@
     /// what sidecars must hear now: those of new wishes, also those of whom more
     /// or less is needed, or each of them
     pub fn demands(&mut self, due: DueDemands, now: Instant) -> Vec<(SocketAddr, AdapterDemand)> {
-        self.wishes.retain(|_, wish| wish.until > now);
-        self.promises.retain(|_, promise| promise.until > now);
-        let urgent = std::mem::take(&mut self.urgent);
-        let mut wanted = self.wanted(now);
+        self.pending_loads.retain(|_, pending| pending.until > now);
+        self.expected_returns
+            .retain(|_, expected| expected.until > now);
+        let urgent = std::mem::take(&mut self.urgent_demands);
+        let mut wanted = self.wanted_adapters(now);
         let mut demands = Vec::new();
         let table = self.table.clone();
         for (id, state) in &mut self.backends {
-            if state.is_gone || !state.may_live() {
+            if state.is_unlisted || !state.may_be_current() {
                 continue;
             }
-            let is_quiet = state.needs_nothing() && !wanted.contains_key(id);
+            let is_last_demand_empty = state.has_no_demand() && !wanted.contains_key(id);
             let is_due = match due {
                 DueDemands::Urgent => false,
-                DueDemands::Changed => !(is_quiet && state.is_quiet),
+                DueDemands::Changed => !(is_last_demand_empty && state.is_last_demand_empty),
                 DueDemands::All => true,
             };
             if !is_due && !urgent.contains(id) {
                 continue;
             }
-            state.is_quiet = is_quiet;
+            state.is_last_demand_empty = is_last_demand_empty;
             let Some(service) = table.services.get(&state.listed.service) else {
                 continue;
             };
@@ -77,7 +78,7 @@
                 continue;
             };
             let wanted = wanted.remove(id).unwrap_or_default();
-            let versions = &self.versions;
+            let versions = &self.adapter_versions;
             let settings = &self.settings;
             let demand = build_demand(
                 settings,
@@ -99,79 +100,94 @@
     }
 
     /// have the sidecars of engines load the adapter
-    pub(super) fn wish(&mut self, adapter: &AdapterRef, backends: Vec<BackendId>, now: Instant) {
-        self.urgent.extend(backends.iter().cloned());
-        let until = now + WISHED_FOR;
-        self.wishes
+    pub(super) fn request_load(
+        &mut self,
+        adapter: &AdapterRef,
+        backends: Vec<BackendId>,
+        now: Instant,
+    ) {
+        self.urgent_demands.extend(backends.iter().cloned());
+        let until = now + PENDING_LOAD_TIMEOUT;
+        self.pending_loads
             .insert(adapter.clone(), PendingLoad { backends, until });
     }
 
     /// The same for requests that are bound to regions: others may wish for the adapter at
     /// engines where these may not be served.
-    pub(super) fn wish_where_allowed(
+    pub(super) fn request_load_for_region(
         &mut self,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
         adapter: &AdapterRef,
         mut homes: Vec<BackendId>,
         now: Instant,
     ) {
-        let wished = self.wishes.get(adapter).filter(|w| w.until > now);
-        let elsewhere = wished.iter().flat_map(|w| &w.backends).filter(|id| {
+        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
+        let elsewhere = pending.iter().flat_map(|w| &w.backends).filter(|id| {
             let state = self.backends.get(*id);
-            state.is_some_and(|state| !self.may_serve(ask, state))
+            state.is_some_and(|state| !self.may_serve(request, state))
         });
         homes.extend(elsewhere.cloned().collect::<Vec<_>>());
-        self.wish(adapter, homes, now);
+        self.request_load(adapter, homes, now);
     }
 
     /// the same, beside the engines that are asked already
-    pub(super) fn wish_also(&mut self, adapter: &AdapterRef, homes: Vec<BackendId>, now: Instant) {
-        if self.is_wished(adapter, &homes, now) {
+    pub(super) fn request_additional_load(
+        &mut self,
+        adapter: &AdapterRef,
+        homes: Vec<BackendId>,
+        now: Instant,
+    ) {
+        if self.is_load_pending(adapter, &homes, now) {
             return;
         }
-        let wished = self.wishes.get(adapter).filter(|w| w.until > now);
-        let mut backends = wished.map_or(Vec::new(), |w| w.backends.clone());
+        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
+        let mut backends = pending.map_or(Vec::new(), |w| w.backends.clone());
         backends.extend(homes);
-        self.wish(adapter, backends, now);
+        self.request_load(adapter, backends, now);
     }
 
     /// whether each of these engines was asked to load the adapter
-    pub(super) fn is_wished(
+    pub(super) fn is_load_pending(
         &self,
         adapter: &AdapterRef,
         homes: &[BackendId],
         now: Instant,
     ) -> bool {
-        let wish = self.wishes.get(adapter).filter(|w| w.until > now);
-        wish.is_some_and(|w| homes.iter().all(|home| w.backends.contains(home)))
+        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
+        pending.is_some_and(|w| homes.iter().all(|home| w.backends.contains(home)))
     }
 
     /// what requests wait for, by the engine that is to load it
-    pub(super) fn wanted(&self, now: Instant) -> HashMap<BackendId, Vec<WantedAdapter>> {
+    pub(super) fn wanted_adapters(&self, now: Instant) -> HashMap<BackendId, Vec<WantedAdapter>> {
         let mut rows: BTreeMap<&AdapterRef, WantedAdapter> = BTreeMap::new();
-        for adapter in self.wishes.keys() {
+        for adapter in self.pending_loads.keys() {
             rows.insert(adapter, wanted_adapter(adapter));
         }
-        for (adapter, promise) in &self.promises {
+        for (adapter, expected) in &self.expected_returns {
             let row = rows
                 .entry(adapter)
                 .or_insert_with(|| wanted_adapter(adapter));
-            row.waiting += promise.requests;
-            row.priority = row.priority.min(promise.priority);
+            row.waiting += expected.requests;
+            row.priority = row.priority.min(expected.priority);
         }
-        for ask in self.waiting.asks() {
-            let Some(row) = ask.adapter.as_ref().and_then(|a| rows.get_mut(a)) else {
+        for request in self.waiting.requests() {
+            let Some(row) = request.adapter.as_ref().and_then(|a| rows.get_mut(a)) else {
                 continue;
             };
-            let waited = now.saturating_duration_since(ask.arrived).as_millis();
+            let waited = now
+                .saturating_duration_since(request.arrived_at)
+                .as_millis();
             row.waiting += 1;
-            row.priority = row.priority.min(ask.priority);
+            row.priority = row.priority.min(request.priority);
             row.waited_ms = row.waited_ms.max(waited as u32);
         }
         let mut wanted: HashMap<BackendId, Vec<WantedAdapter>> = HashMap::new();
         for (adapter, row) in rows {
-            let promised = self.promises.get(adapter).map(|p| vec![p.backend.clone()]);
-            let wished = self.wishes.get(adapter).map(|w| w.backends.clone());
+            let expected = self
+                .expected_returns
+                .get(adapter)
+                .map(|p| vec![p.backend.clone()]);
+            let pending = self.pending_loads.get(adapter).map(|w| w.backends.clone());
             // what is there and waited for by nobody needs no place kept
             let is_done = |id: &BackendId| {
                 let Some(state) = self.backends.get(id) else {
@@ -181,7 +197,7 @@
                 // nothing would be sent there
                 state.is_leaving() || row.waiting == 0 && is_there
             };
-            for backend in wished.or(promised).unwrap_or_default() {
+            for backend in pending.or(expected).unwrap_or_default() {
                 if is_done(&backend) {
                     continue;
                 }
--- a/coordination/src/dispatch/prefill_rate.rs
+++ b/coordination/src/dispatch/prefill_rate.rs
@@ -1,13 +1,13 @@
 use std::collections::VecDeque;
 
 /// samples that the rate is the median of
-const SAMPLES: usize = 31;
+const MAX_SAMPLES: usize = 31;
 /// samples below which the first guess holds
-const ENOUGH_SAMPLES: usize = 5;
+const MIN_SAMPLES: usize = 5;
 /// shorter prompts say more of steps and connections than of reading, in tokens
-const SHORTEST_PROMPT: u32 = 300;
+const MIN_PROMPT_TOKENS: u32 = 300;
 /// weight of the newest prompt in the mean size
-const NEWEST_PROMPT: f64 = 0.02;
+const PROMPT_AVERAGE_WEIGHT: f64 = 0.02;
 
 /// how fast the engines of one service read prompts, as observed, and how long
 /// prompts are.
@@ -24,19 +24,19 @@
     pub fn on_sent(&mut self, prompt_tokens: u32) {
         let tokens = f64::from(prompt_tokens);
         let mean = self.typical_prompt.unwrap_or(tokens);
-        self.typical_prompt = Some(mean + (tokens - mean) * NEWEST_PROMPT);
+        self.typical_prompt = Some(mean + (tokens - mean) * PROMPT_AVERAGE_WEIGHT);
     }
     /// the first token of a prompt came after `ms`, and nothing else was being
     /// read at its engine when it was sent
-    pub fn on_read_alone(&mut self, prompt_tokens: u32, ms: f64) {
-        if prompt_tokens < SHORTEST_PROMPT || ms <= 0.0 {
+    pub fn on_sole_prefill(&mut self, prompt_tokens: u32, ms: f64) {
+        if prompt_tokens < MIN_PROMPT_TOKENS || ms <= 0.0 {
             return;
         }
-        if self.samples.len() == SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back(f64::from(prompt_tokens) / ms);
-        if self.samples.len() < ENOUGH_SAMPLES {
+        if self.samples.len() < MIN_SAMPLES {
             return;
         }
         let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -15,10 +15,10 @@
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
-    pub(super) fn wait_or_refuse(
+    pub(super) fn wait_or_reject(
         &mut self,
         ticket: Ticket,
-        mut ask: DispatchRequest,
+        mut request: DispatchRequest,
         cause: RejectionCause,
         now: Instant,
     ) {
@@ -26,21 +26,23 @@
             cause,
             RejectionCause::NoLoadingSidecar | RejectionCause::OutsideRegions
         ) {
-            let basis = self.basis(&ask, now);
-            self.on_unsent(&ask);
-            let retry_after = ask.target_latency.max(MIN_RETRY_AFTER);
-            self.refuse(ticket, cause, retry_after, basis);
+            let inputs = self.decision_inputs(&request, now);
+            self.on_not_sent(&request);
+            let retry_after = request.target_latency.max(MIN_RETRY_AFTER);
+            self.reject(ticket, cause, retry_after, inputs);
             return;
         }
         if cause == RejectionCause::NotLoaded {
-            if let Some(retry_after) = self.promise(&mut ask, now) {
-                let basis = self.basis(&ask, now);
-                self.refuse(ticket, RejectionCause::LoadTooSlow, retry_after, basis);
+            if let Some(retry_after) = self.schedule_return(&mut request, now) {
+                let inputs = self.decision_inputs(&request, now);
+                self.reject(ticket, RejectionCause::LoadTooSlow, retry_after, inputs);
                 return;
             }
         }
         let part = match cause {
-            RejectionCause::NotLoaded | RejectionCause::Reloading => self.settings.wait_for_adapter,
+            RejectionCause::NotLoaded | RejectionCause::Reloading => {
+                self.settings.max_adapter_wait_ratio
+            }
             RejectionCause::NoLoadingSidecar
             | RejectionCause::OutsideRegions
             | RejectionCause::BackedOff
@@ -48,77 +50,80 @@
             | RejectionCause::Full
             | RejectionCause::NoBackend
             | RejectionCause::RetryBudgetExhausted
-            | RejectionCause::LoadTooSlow => self.settings.wait_for_place,
+            | RejectionCause::LoadTooSlow => self.settings.max_slot_wait_ratio,
         };
-        let longest = ask.target_latency.mul_f64(part);
-        let waited = now.saturating_duration_since(ask.arrived);
+        let longest = request.target_latency.mul_f64(part);
+        let waited = now.saturating_duration_since(request.arrived_at);
         let rest = match cause {
-            RejectionCause::BackedOff => self.shortest_rest(&ask, now).unwrap_or_default(),
+            RejectionCause::BackedOff => self.shortest_backoff(&request, now).unwrap_or_default(),
             _ => Duration::ZERO,
         };
         // what is not served within its wait is refused at once
-        if waited + rest >= longest || now + rest >= ask.deadline {
-            let retry_after = rest.max(ask.target_latency / 2);
-            let basis = self.basis(&ask, now);
-            self.on_unsent(&ask);
-            self.refuse(ticket, cause, retry_after.max(MIN_RETRY_AFTER), basis);
+        if waited + rest >= longest || now + rest >= request.deadline {
+            let retry_after = rest.max(request.target_latency / 2);
+            let inputs = self.decision_inputs(&request, now);
+            self.on_not_sent(&request);
+            self.reject(ticket, cause, retry_after.max(MIN_RETRY_AFTER), inputs);
         } else {
-            self.waiting.put(ticket, ask);
+            self.waiting.put(ticket, request);
         }
     }
 
     /// All that could serve a request take no more requests now: it waits if its turn comes in
     /// time. So many others go `ahead` of it at each of them.
-    pub(super) fn wait_for_limited(
+    pub(super) fn wait_for_rate_limit(
         &mut self,
         ticket: Ticket,
-        ask: DispatchRequest,
+        request: DispatchRequest,
         ahead: &mut HashMap<BackendId, (u32, u8)>,
         now: Instant,
     ) {
-        let Some((backend, opens_in)) = self.first_to_open(&ask, ahead, now) else {
-            self.wait_or_refuse(ticket, ask, RejectionCause::Full, now);
+        let Some((backend, opens_in)) = self.first_to_open(&request, ahead, now) else {
+            self.wait_or_reject(ticket, request, RejectionCause::Full, now);
             return;
         };
-        let longest = ask.target_latency.mul_f64(self.settings.wait_for_place);
-        let waited = now.saturating_duration_since(ask.arrived);
-        if waited + opens_in < longest && now + opens_in < ask.deadline {
-            let waiting = ahead.entry(backend).or_insert((0, ask.priority));
+        let longest = request
+            .target_latency
+            .mul_f64(self.settings.max_slot_wait_ratio);
+        let waited = now.saturating_duration_since(request.arrived_at);
+        if waited + opens_in < longest && now + opens_in < request.deadline {
+            let waiting = ahead.entry(backend).or_insert((0, request.priority));
             waiting.0 += 1;
-            waiting.1 = waiting.1.min(ask.priority);
-            self.waiting.put(ticket, ask);
+            waiting.1 = waiting.1.min(request.priority);
+            self.waiting.put(ticket, request);
             return;
         }
         let returns_in = self.backends.get_mut(&backend);
         let returns_in = returns_in.map_or(opens_in, |b| b.limit.return_in(now));
-        let basis = self.basis(&ask, now);
-        self.on_unsent(&ask);
+        let inputs = self.decision_inputs(&request, now);
+        self.on_not_sent(&request);
         let retry_after = returns_in.max(MIN_RETRY_AFTER);
-        self.refuse(ticket, RejectionCause::RateLimited, retry_after, basis);
+        self.reject(ticket, RejectionCause::RateLimited, retry_after, inputs);
     }
 
     /// a request has waited and is not sent
-    pub(super) fn on_unsent(&mut self, ask: &DispatchRequest) {
-        self.turns.on_left(ask.account, ask.prompt_tokens);
-        if ask.sends > 0 {
-            if let Some(budget) = self.budgets.get_mut(&ask.service) {
-                budget.give_back();
+    pub(super) fn on_not_sent(&mut self, request: &DispatchRequest) {
+        self.fair_queueing
+            .on_withdrawn(request.account, request.prompt_tokens);
+        if request.send_count > 0 {
+            if let Some(budget) = self.retry_budgets.get_mut(&request.service) {
+                budget.release();
             }
         }
     }
 
-    pub(super) fn refuse(
+    pub(super) fn reject(
         &mut self,
         ticket: Ticket,
         cause: RejectionCause,
         retry_after: Duration,
-        basis: DecisionInputs,
+        inputs: DecisionInputs,
     ) {
         let decision = Decision::Reject {
             cause,
             retry_after,
-            basis,
+            inputs,
         };
-        self.decided.push((ticket, decision));
+        self.decisions.push((ticket, decision));
     }
 }
--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -19,23 +19,23 @@
     pub budget: RetryBudgetSettings,
     /// when this process began, if the fleet served before: a former life of it may have
     /// used a share of the budget
-    pub began_anew: Option<Instant>,
+    pub restarted_at: Option<Instant>,
     /// longest wait for an adapter or a place, as a part of the objective
-    pub wait_for_adapter: f64,
-    pub wait_for_place: f64,
+    pub max_adapter_wait_ratio: f64,
+    pub max_slot_wait_ratio: f64,
     /// expected time to the first token once the adapter is there
-    pub first_token: Duration,
+    pub first_token_delay: Duration,
     /// prompt tokens that an engine reads in a ms, before the rate was observed
-    pub tokens_per_ms: f64,
+    pub default_tokens_per_ms: f64,
     /// a queue this long makes an adapter worth another copy, in ms
-    pub copy_from_queue_ms: f64,
+    pub copy_queue_threshold_ms: f64,
     /// so does this part of the places taken
-    pub copy_from_load: f64,
+    pub copy_load_threshold: f64,
     /// nothing was heard of any back end for this long: cut off
-    pub unheard_after: Duration,
+    pub disconnected_after: Duration,
     /// the former version of an adapter is used no longer than this
     pub version_grace: Duration,
-    pub mechanisms: Mechanisms,
+    pub features: Mechanisms,
 }
 
 impl Default for DispatchSettings {
@@ -49,16 +49,16 @@
                 extra: 50.0,
                 window: Duration::from_secs(10),
             },
-            began_anew: None,
-            wait_for_adapter: 4.0,
-            wait_for_place: 2.0,
-            first_token: Duration::from_millis(100),
-            tokens_per_ms: 16.0,
-            copy_from_queue_ms: 80.0,
-            copy_from_load: 0.5,
-            unheard_after: Duration::from_millis(1_200),
+            restarted_at: None,
+            max_adapter_wait_ratio: 4.0,
+            max_slot_wait_ratio: 2.0,
+            first_token_delay: Duration::from_millis(100),
+            default_tokens_per_ms: 16.0,
+            copy_queue_threshold_ms: 80.0,
+            copy_load_threshold: 0.5,
+            disconnected_after: Duration::from_millis(1_200),
             version_grace: Duration::from_millis(2_500),
-            mechanisms: Mechanisms::default(),
+            features: Mechanisms::default(),
         }
     }
 }
--- a/coordination/src/dispatch/waiting_list.rs
+++ b/coordination/src/dispatch/waiting_list.rs
@@ -15,27 +15,27 @@
 }
 
 impl WaitingList {
-    pub fn put(&mut self, ticket: Ticket, ask: DispatchRequest) {
+    pub fn put(&mut self, ticket: Ticket, request: DispatchRequest) {
         let key = (
-            ask.account_priority,
-            ask.priority,
-            ask.turn,
-            ask.arrived,
+            request.account_priority,
+            request.priority,
+            request.start_tag,
+            request.arrived_at,
             ticket,
         );
         self.keys.insert(ticket, key);
-        self.rows.insert(key, ask);
+        self.rows.insert(key, request);
     }
     pub fn take(&mut self, ticket: Ticket) -> Option<DispatchRequest> {
         let key = self.keys.remove(&ticket)?;
         self.rows.remove(&key)
     }
     /// tickets of those that are concerned, in the order in which they are served
-    pub fn tickets(&self, is_concerned: impl Fn(&DispatchRequest) -> bool) -> Vec<Ticket> {
-        let rows = self.rows.iter().filter(|(_, ask)| is_concerned(ask));
+    pub fn tickets(&self, is_included: impl Fn(&DispatchRequest) -> bool) -> Vec<Ticket> {
+        let rows = self.rows.iter().filter(|(_, request)| is_included(request));
         rows.map(|((.., ticket), _)| *ticket).collect()
     }
-    pub fn asks(&self) -> impl Iterator<Item = &DispatchRequest> {
+    pub fn requests(&self) -> impl Iterator<Item = &DispatchRequest> {
         self.rows.values()
     }
     pub fn len(&self) -> usize {
--- a/coordination/tests/account_turns.rs
+++ b/coordination/tests/account_turns.rs
@@ -22,7 +22,12 @@
     let mut put =
         |turns: &mut AccountFairQueueing, waiting: &mut BTreeSet<_>, account: u64, size| {
             number += 1;
-            waiting.insert((turns.next(Some(account), size), number, account, size));
+            waiting.insert((
+                turns.next_start_tag(Some(account), size),
+                number,
+                account,
+                size,
+            ));
         };
     for (account, size) in sizes.iter().enumerate() {
         for _ in 0..BACKLOG {
@@ -64,13 +69,15 @@
 #[test]
 fn who_comes_late_with_little_is_served_before_the_rest_of_a_flood() {
     let mut turns = AccountFairQueueing::default();
-    let flood: Vec<u64> = (0..100).map(|_| turns.next(Some(1), 1_000)).collect();
+    let flood: Vec<u64> = (0..100)
+        .map(|_| turns.next_start_tag(Some(1), 1_000))
+        .collect();
     turns.on_served(flood[10]);
-    let late = turns.next(Some(2), 1_000);
+    let late = turns.next_start_tag(Some(2), 1_000);
     assert!(late < flood[12], "{late}");
     // what left unserved is no debt of its account
-    (0..100).for_each(|_| turns.on_left(Some(1), 1_000));
-    assert!(turns.next(Some(1), 1_000) <= late);
+    (0..100).for_each(|_| turns.on_withdrawn(Some(1), 1_000));
+    assert!(turns.next_start_tag(Some(1), 1_000) <= late);
     // without accounts requests are served as they arrive
-    assert_eq!(turns.next(None, 5), turns.next(None, 5));
+    assert_eq!(turns.next_start_tag(None, 5), turns.next_start_tag(None, 5));
 }
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -94,8 +94,8 @@
 fn repeats_and_what_waits_are_bound_as_well() {
     let mut fixture = fixture(of_each_region(PLAIN));
     let repeat = DispatchRequest {
-        sends: 1,
-        tried: vec!["plain-3".into()],
+        send_count: 1,
+        tried_backends: vec!["plain-3".into()],
         ..bound(&fixture, PLAIN, None, &["south"])
     };
     assert!(sent_to(&fixture.ask(1, repeat)).is_empty());
@@ -217,7 +217,7 @@
 #[test]
 fn an_emptied_zone_is_none_of_them() {
     let mut fixture = fixture(of_each_region(PLAIN));
-    fixture.tell(DispatchEvent::Evacuated(HashSet::from([
+    fixture.tell(DispatchEvent::ZonesEvacuated(HashSet::from([
         "south".to_string()
     ])));
     let ask = bound(&fixture, PLAIN, None, &["south"]);
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -44,7 +44,7 @@
         service.cold_start = ms(3_000);
         service.cold_per_s = CARRIED;
     }
-    fixture.tell(DispatchEvent::Configured(Arc::new(table)));
+    fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table)));
     fixture.list(list);
     fixture
 }
@@ -57,7 +57,7 @@
         let ask = fixture.new_ask(ENGINES, Some("a"));
         let decided = fixture.ask(ticket, ask);
         sent += sent_to(&decided).len();
-        fixture.tell(DispatchEvent::Withdrawn(ticket));
+        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
         fixture.pass(ms(10));
     }
@@ -111,7 +111,7 @@
     }
     let zones = |names: &[&str]| {
         let names = names.iter().map(|name| name.to_string());
-        DispatchEvent::Evacuated(names.collect::<HashSet<String>>())
+        DispatchEvent::ZonesEvacuated(names.collect::<HashSet<String>>())
     };
     let ask = |fixture: &mut Fixture, ticket: u64| {
         let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -188,10 +188,10 @@
     let mut fixture = fixture(vec![cold(1, 0)]);
     fixture.view(1, view("engines-1", &[("a", 1)]));
     let sent = fixture.now;
-    fixture.tell(DispatchEvent::Said {
+    fixture.tell(DispatchEvent::SignalReceived {
         backend: "engines-1".into(),
-        word: OwnWord::default().with_cold(Some(ms(2_000))),
-        sent,
+        signal: OwnWord::default().with_cold(Some(ms(2_000))),
+        sent_at: sent,
     });
     let sent = sent_in(&mut fixture, ms(2_000), 0);
     assert!(
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -160,7 +160,7 @@
 #[test]
 fn two_that_are_suspected_do_not_run_beside_each_other() {
     let suspected = |fixture: &Fixture, body: &str| DispatchRequest {
-        is_suspected: true,
+        is_crash_suspect: true,
         ..ask_of(fixture, body)
     };
     let mut fixture = with_runs(&["clear"]);
@@ -170,7 +170,7 @@
     assert!(fixture.ask(12, innocent).is_empty(), "it waits");
     let other = ask_of(&fixture, "other");
     assert_eq!(sent_to(&fixture.ask(13, other)), [ENGINE], "others do not");
-    let decided = fixture.tell(DispatchEvent::Ended {
+    let decided = fixture.tell(DispatchEvent::SendEnded {
         ticket: 11,
         outcome: SendOutcome::Answered,
     });
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -64,7 +64,7 @@
     let mut fixture = fixture_with_views();
     let ask = fixture.new_ask(ENGINES, Some("a"));
     fixture.ask(1, ask);
-    fixture.tell(DispatchEvent::Withdrawn(1));
+    fixture.tell(DispatchEvent::RequestWithdrawn(1));
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     assert!(decided.is_empty());
 }
@@ -78,7 +78,7 @@
     }
     let ask = fixture.new_ask(PLAIN, None);
     assert!(fixture.ask(5, ask).is_empty(), "four places");
-    let ended = DispatchEvent::Ended {
+    let ended = DispatchEvent::SendEnded {
         ticket: 2,
         outcome: SendOutcome::Answered,
     };
@@ -113,8 +113,8 @@
             for _ in 0..100 {
                 budget.on_request(now);
             }
-            while budget.take(entries, now) {
-                budget.on_repeat(now);
+            while budget.try_reserve(entries, now) {
+                budget.on_retry_sent(now);
                 sum += 1;
             }
         }
@@ -143,8 +143,8 @@
     fixture.view(1, view("engines-1", &[]));
     for ticket in 0..REPEATS {
         let ask = DispatchRequest {
-            sends: 1,
-            has_returned: true,
+            send_count: 1,
+            was_rejected_before: true,
             ..fixture.new_ask(ENGINES, Some("a"))
         };
         fixture.ask(ticket, ask);
@@ -170,7 +170,7 @@
         let mut sent = 0;
         for ticket in 0..100 {
             let ask = DispatchRequest {
-                sends: 1,
+                send_count: 1,
                 ..fixture.new_ask(ENGINES, None)
             };
             let decided = fixture.ask(ticket, ask);
@@ -215,7 +215,7 @@
     let mut refused = 0;
     for ticket in 0..60 {
         let ask = DispatchRequest {
-            sends: 1,
+            send_count: 1,
             ..fixture.new_ask(PLAIN, None)
         };
         for (_, decision) in fixture.ask(ticket, ask) {
@@ -307,8 +307,10 @@
     type Change = fn(&mut DispatchRequest);
     let cases: &[(&str, u32, Change)] = &[
         ("the load is quick", 100, |_| {}),
-        ("it was refused before", 900, |ask| ask.has_returned = true),
-        ("it was sent before", 900, |ask| ask.sends = 1),
+        ("it was refused before", 900, |ask| {
+            ask.was_rejected_before = true
+        }),
+        ("it was sent before", 900, |ask| ask.send_count = 1),
     ];
     for (name, next_load_ms, change) in cases {
         let mut fixture = fixture_with_slow_loads(*next_load_ms);
@@ -370,9 +372,9 @@
     // room that no end of a request has announced
     let mut list = engines();
     list[0].slots = 5;
-    let figures = DispatchEvent::Figures {
+    let figures = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        figures: EngineFigures::default(),
+        stats: EngineFigures::default(),
     };
     fixture.tell(figures);
     let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -380,6 +382,6 @@
     fixture.list(list);
     let waiting = fixture.dispatcher.waiting_count();
     assert_eq!(waiting, 1, "one of the two was sent, the earlier one");
-    fixture.tell(DispatchEvent::Withdrawn(6));
+    fixture.tell(DispatchEvent::RequestWithdrawn(6));
     assert_eq!(fixture.dispatcher.waiting_count(), 0);
 }
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -128,14 +128,14 @@
             now: Instant::now(),
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::Configured(Arc::new(table())));
+        fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table())));
         fixture.list(list);
         fixture
     }
     /// a process that begins while its fleet serves
     pub fn started_again(list: Vec<Backend>, now: Instant) -> Self {
         let settings = DispatchSettings {
-            began_anew: Some(now),
+            restarted_at: Some(now),
             ..settings()
         };
         let mut fixture = Self {
@@ -143,7 +143,7 @@
             now,
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::Configured(Arc::new(table())));
+        fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table())));
         fixture.list(list);
         fixture
     }
@@ -153,32 +153,35 @@
     pub fn list(&mut self, list: Vec<Backend>) {
         self.list_version += 1;
         let version = self.list_version;
-        self.tell(DispatchEvent::Listed { version, list });
+        self.tell(DispatchEvent::ListUpdated { version, list });
     }
     /// change the settings while it runs
     pub fn tune(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
         let mut settings = settings();
         change(&mut settings);
-        self.tell(DispatchEvent::Tuned(settings));
+        self.tell(DispatchEvent::SettingsUpdated(settings));
     }
     pub fn view(&mut self, number: u8, view: EngineView) -> Vec<(Ticket, Decision)> {
         let addr = addr(number);
-        self.tell(DispatchEvent::Viewed { addr, view })
+        self.tell(DispatchEvent::ViewReceived { addr, view })
     }
     pub fn pass(&mut self, time: Duration) -> Vec<(Ticket, Decision)> {
         self.now += time;
         self.tell(DispatchEvent::Tick)
     }
     pub fn ask(&mut self, ticket: Ticket, ask: DispatchRequest) -> Vec<(Ticket, Decision)> {
-        self.tell(DispatchEvent::Asked { ticket, ask })
+        self.tell(DispatchEvent::RequestArrived {
+            ticket,
+            request: ask,
+        })
     }
     pub fn end(&mut self, ticket: Ticket, outcome: SendOutcome) {
-        self.tell(DispatchEvent::Ended { ticket, outcome });
+        self.tell(DispatchEvent::SendEnded { ticket, outcome });
     }
     pub fn new_ask(&self, service: &str, wanted: Option<&str>) -> DispatchRequest {
         DispatchRequest {
             digest: digest("any"),
-            is_suspected: false,
+            is_crash_suspect: false,
             service: service.to_string(),
             model: wanted.map(|_| "m".to_string()),
             adapter: wanted.map(adapter),
@@ -188,13 +191,13 @@
             account_priority: 0,
             priority: 1,
             target_latency: ms(400),
-            arrived: self.now,
+            arrived_at: self.now,
             deadline: self.now + ms(10_000),
-            tried: Vec::new(),
-            has_returned: false,
-            is_judged: false,
-            sends: 0,
-            turn: 0,
+            tried_backends: Vec::new(),
+            was_rejected_before: false,
+            is_load_time_checked: false,
+            send_count: 0,
+            start_tag: 0,
         }
     }
     /// the engines that are asked to load an adapter
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -40,7 +40,7 @@
 /// end one send to the first back end in this way
 fn one_fails(fixture: &mut Fixture, outcome: SendOutcome) {
     let ask = DispatchRequest {
-        tried: vec!["plain-2".into()],
+        tried_backends: vec!["plain-2".into()],
         ..fixture.new_ask(PLAIN, None)
     };
     fixture.ask(50, ask);
@@ -63,7 +63,7 @@
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     fixture.list(vec![backend(PLAIN, 2)]);
     let list = vec![backend(PLAIN, 1)];
-    fixture.tell(DispatchEvent::Listed { version: 1, list });
+    fixture.tell(DispatchEvent::ListUpdated { version: 1, list });
     let ask = fixture.new_ask(PLAIN, None);
     assert_eq!(sent_to(&fixture.ask(1, ask)), ["plain-2"]);
 }
@@ -109,7 +109,7 @@
 fn the_former_version_is_run_for_a_short_time_only() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
-    fixture.tell(DispatchEvent::Versioned {
+    fixture.tell(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version: 2,
     });
@@ -126,7 +126,7 @@
 fn sidecars_hear_of_adapters_with_a_newer_version() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
-    fixture.tell(DispatchEvent::Versioned {
+    fixture.tell(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version: 2,
     });
@@ -190,9 +190,9 @@
 fn figures_alone_count_in_the_next_decision_and_decide_nothing_themselves() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
-    let figures = |running| DispatchEvent::Figures {
+    let figures = |running| DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        figures: EngineFigures {
+        stats: EngineFigures {
             running,
             ..view("engines-1", &[]).figures
         },
@@ -212,9 +212,9 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.tell(DispatchEvent::ViewLost("engines-1".into()));
-    let figures = DispatchEvent::Figures {
+    let figures = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        figures: EngineFigures::default(),
+        stats: EngineFigures::default(),
     };
     fixture.tell(figures);
     let ask = fixture.new_ask(ENGINES, Some("a"));
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -18,15 +18,15 @@
 fn the_rate_is_the_median_of_prompts_that_were_read_alone() {
     let mut rate = PrefillRate::default();
     for _ in 0..4 {
-        rate.on_read_alone(4_000, 100.0);
+        rate.on_sole_prefill(4_000, 100.0);
     }
     assert_eq!(rate.tokens_per_ms(), None, "too few");
     // two that were kept there, and one at a slow engine
     for ms in [10.0, 10.0, 900.0] {
-        rate.on_read_alone(4_000, ms);
+        rate.on_sole_prefill(4_000, ms);
     }
     // says more of the connection than of reading
-    rate.on_read_alone(20, 10.0);
+    rate.on_sole_prefill(20, 10.0);
     assert_eq!(rate.tokens_per_ms(), Some(40.0));
 }
 
@@ -98,7 +98,7 @@
             true => {
                 assert!(decided.is_empty(), "{case}: {decided:?}");
                 assert_eq!(fixture.homes("a"), ["engines-2"], "{case}");
-                let wished = fixture.dispatcher.take_wished();
+                let wished = fixture.dispatcher.take_requested_loads();
                 assert_eq!(wished.len(), 1, "{wished:?}");
                 assert_eq!(wished[0].cause, LoadCause::Reload);
             }
@@ -122,7 +122,7 @@
         return_home: false,
         ..Mechanisms::default()
     };
-    fixture.tune(|settings| settings.mechanisms = mechanisms);
+    fixture.tune(|settings| settings.features = mechanisms);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert_eq!(sent_to(&fixture.ask(1, ask)), ["engines-1"]);
 }
@@ -172,7 +172,7 @@
     let mut ask = fixture.new_ask(ENGINES, Some("a"));
     ask.prompt_tokens = 2_000;
     let first = sent_to(&fixture.ask(1, ask.clone()));
-    fixture.tell(DispatchEvent::Started(1));
+    fixture.tell(DispatchEvent::ResponseStarted(1));
     for number in 1..=2u8 {
         let id = format!("engines-{number}");
         let mut seen = view(&id, &[("a", 1)]);
@@ -184,7 +184,7 @@
     let Some((2, Decision::Send(assignment))) = decided.first() else {
         panic!("not sent: {decided:?}");
     };
-    assert_eq!(assignment.basis.queue_ms, 0.0);
+    assert_eq!(assignment.inputs.queue_ms, 0.0);
 }
 
 #[test]
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -56,7 +56,7 @@
 impl World {
     fn new(mechanisms: Mechanisms) -> Self {
         let mut fixture = fixture_with_views();
-        fixture.tune(|settings| settings.mechanisms = mechanisms);
+        fixture.tune(|settings| settings.features = mechanisms);
         Self {
             fixture,
             held: (1..=3).map(|number| (number, Vec::new())).collect(),
@@ -93,9 +93,10 @@
             return Vec::new();
         };
         self.running.remove(&ticket);
-        self.fixture.tell(DispatchEvent::Started(ticket));
+        self.fixture.tell(DispatchEvent::ResponseStarted(ticket));
         let outcome = SendOutcome::Answered;
-        self.fixture.tell(DispatchEvent::Ended { ticket, outcome })
+        self.fixture
+            .tell(DispatchEvent::SendEnded { ticket, outcome })
     }
 
     /// each engine takes up what is wished for there, where a place is free
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -38,10 +38,10 @@
 /// an answer to a request that was sent at this moment, and came now
 fn say(fixture: &mut Fixture, backend: &str, word: OwnWord, sent: Instant) {
     let backend = BackendId::from(backend);
-    fixture.tell(DispatchEvent::Said {
+    fixture.tell(DispatchEvent::SignalReceived {
         backend,
-        word,
-        sent,
+        signal: word,
+        sent_at: sent,
     });
 }
 fn say_now(fixture: &mut Fixture, backend: &str, word: OwnWord) {
@@ -72,7 +72,7 @@
         let ask = fixture.new_ask(PLAIN, None);
         let decided = fixture.ask(ticket, ask);
         sent += sent_to(&decided).iter().filter(|b| *b == backend).count();
-        fixture.tell(DispatchEvent::Withdrawn(ticket));
+        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
         fixture.pass(STEP);
     }
@@ -143,7 +143,7 @@
         fixture.now += STEP;
         let ask = fixture.new_ask(PLAIN, None);
         sent += sent_to(&fixture.ask(ticket, ask)).len();
-        fixture.tell(DispatchEvent::Withdrawn(ticket));
+        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
     }
     assert!(sent >= 12, "{sent} of 16 in 8 s");
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -38,10 +38,10 @@
 fn say(fixture: &mut Fixture, backend: &str, word: OwnWord) {
     let backend = backend.into();
     let sent = fixture.now;
-    fixture.tell(DispatchEvent::Said {
+    fixture.tell(DispatchEvent::SignalReceived {
         backend,
-        word,
-        sent,
+        signal: word,
+        sent_at: sent,
     });
 }
 
@@ -228,7 +228,7 @@
     fixture.end(1, SendOutcome::Shed);
     assert_eq!(sent_to(&fixture.pass(ms(100))).len(), 1);
     // it has begun to run: all others follow
-    fixture.tell(DispatchEvent::Started(2));
+    fixture.tell(DispatchEvent::ResponseStarted(2));
     assert_eq!(sent_to(&fixture.pass(ms(1))).len(), 1);
     let ask = fixture.new_ask(PLAIN, None);
     assert_eq!(sent_to(&fixture.ask(4, ask)).len(), 1);
@@ -307,7 +307,10 @@
     let mut figures = view("engines-2", &[]).figures;
     figures.is_leaving = true;
     let backend = "engines-2".into();
-    fixture.tell(DispatchEvent::Figures { backend, figures });
+    fixture.tell(DispatchEvent::StatsReceived {
+        backend,
+        stats: figures,
+    });
     fixture.view(2, view("engines-2", &[("b", 1)]));
     let ask = fixture.new_ask(ENGINES, Some("b"));
     assert!(fixture.ask(2, ask).is_empty());
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -48,7 +48,7 @@
 fn goes_to(fixture: &mut Fixture, ticket: u64, wanted: &str) -> Option<String> {
     let ask = fixture.new_ask(ENGINES, Some(wanted));
     let sent = sent_to(&fixture.ask(ticket, ask));
-    fixture.tell(DispatchEvent::Withdrawn(ticket));
+    fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent.first().cloned()
 }
@@ -100,7 +100,7 @@
         assert_eq!(goes_to(&mut fixture, 1, "a"), None);
         assert_eq!(goes_to(&mut fixture, 2, "b"), text(born));
         let ended = fixture.list_version;
-        fixture.tell(DispatchEvent::Listed {
+        fixture.tell(DispatchEvent::ListUpdated {
             version: ended - 1,
             list: vec![listed(FIRST)],
         });
--- a/coordination/tests/shared_budget.rs
+++ b/coordination/tests/shared_budget.rs
@@ -74,8 +74,8 @@
         }
         (0..*requests).for_each(|_| budget.on_request(now));
         let mut repeats = 0;
-        while step >= usize::from(day.quiet_until) && budget.take(1, now) {
-            budget.on_repeat(now);
+        while step >= usize::from(day.quiet_until) && budget.try_reserve(1, now) {
+            budget.on_retry_sent(now);
             repeats += 1;
         }
         repeats
--- a/coordination/tests/unheard.rs
+++ b/coordination/tests/unheard.rs
@@ -50,7 +50,7 @@
 fn again(fixture: &mut Fixture, ticket: Ticket, sends: u32) -> Vec<(Ticket, Decision)> {
     fixture.end(ticket, SendOutcome::Misdirected);
     let mut ask = fixture.new_ask(ENGINES, Some("a"));
-    ask.sends = sends;
+    ask.send_count = sends;
     fixture.ask(ticket, ask)
 }
 
@@ -64,7 +64,7 @@
     assert_eq!(homes.len(), 1);
     assert_eq!(sent_to(&fixture.pass(ms(400))), homes);
     // it ran there: the next one goes there at once, also after the wish is forgotten
-    fixture.tell(DispatchEvent::Started(1));
+    fixture.tell(DispatchEvent::ResponseStarted(1));
     fixture.end(1, SendOutcome::Answered);
     fixture.pass(ms(3_000));
     let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -184,16 +184,16 @@
 fn loads_that_take_longer_are_expected_later() {
     let mut time = LoadDelay::default();
     let at_first = time.get();
-    time.on_early();
-    time.on_early();
+    time.on_adapter_missing();
+    time.on_adapter_missing();
     assert!(time.get() >= at_first + ms(200));
     for _ in 0..50 {
-        time.on_early();
+        time.on_adapter_missing();
     }
     // no longer than a sidecar is asked for an adapter
     assert!(time.get() < ms(1_500));
     for _ in 0..500 {
-        time.on_there();
+        time.on_adapter_present();
     }
     assert_eq!(time.get(), at_first);
 }
@@ -221,7 +221,7 @@
     let ask = fixture.new_ask(ENGINES, Some("a"));
     fixture.ask(1, ask);
     fixture.pass(ms(400));
-    fixture.tell(DispatchEvent::Started(1));
+    fixture.tell(DispatchEvent::ResponseStarted(1));
     let ask = fixture.new_ask(ENGINES, Some("b"));
     fixture.ask(2, ask);
     assert_eq!(sent_to(&fixture.pass(ms(400))).len(), 1);
@@ -239,7 +239,10 @@
     for number in [1, 2] {
         let addr = addr(number);
         let is_taken = false;
-        fixture.tell(DispatchEvent::Demanded { addr, is_taken });
+        fixture.tell(DispatchEvent::DemandSent {
+            addr,
+            is_accepted: is_taken,
+        });
     }
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert_eq!(
@@ -247,9 +250,9 @@
         [RejectionCause::NoLoadingSidecar]
     );
     // the next demand is taken
-    fixture.tell(DispatchEvent::Demanded {
+    fixture.tell(DispatchEvent::DemandSent {
         addr: addr(2),
-        is_taken: true,
+        is_accepted: true,
     });
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert!(fixture.ask(2, ask).is_empty());
--- a/coordination/tests/versions.rs
+++ b/coordination/tests/versions.rs
@@ -18,7 +18,7 @@
 const GRACE: Duration = Duration::from_millis(2_500);
 
 fn name_version(fixture: &mut Fixture, version: u64) {
-    fixture.tell(DispatchEvent::Versioned {
+    fixture.tell(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version,
     });
@@ -28,7 +28,7 @@
 fn begins(fixture: &mut Fixture, ticket: u64) -> bool {
     let ask = fixture.new_ask(ENGINES, Some("a"));
     let sent = !sent_to(&fixture.ask(ticket, ask)).is_empty();
-    fixture.tell(DispatchEvent::Withdrawn(ticket));
+    fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent
 }
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -104,7 +104,7 @@
 
 impl ViewSink for ControlHandle {
     fn on_view(&self, engine: SocketAddr, view: EngineView) {
-        self.tell(DispatchEvent::Viewed { addr: engine, view });
+        self.tell(DispatchEvent::ViewReceived { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
     fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
@@ -114,9 +114,9 @@
         self.tell(DispatchEvent::ViewLost(backend.clone()));
     }
     fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
-        self.tell(DispatchEvent::Demanded {
+        self.tell(DispatchEvent::DemandSent {
             addr: engine,
-            is_taken,
+            is_accepted: is_taken,
         });
     }
 }
@@ -202,7 +202,10 @@
 
     fn take_figures(&mut self) {
         for (backend, figures) in self.figures.take() {
-            self.on_event(DispatchEvent::Figures { backend, figures });
+            self.on_event(DispatchEvent::StatsReceived {
+                backend,
+                stats: figures,
+            });
         }
     }
 
@@ -223,7 +226,10 @@
                 answer,
             } => {
                 self.askers.insert(ticket, answer);
-                self.on_event(DispatchEvent::Asked { ticket, ask });
+                self.on_event(DispatchEvent::RequestArrived {
+                    ticket,
+                    request: ask,
+                });
             }
         }
     }
@@ -233,9 +239,9 @@
         // come after the list
         let may_change_engines = matches!(
             event,
-            DispatchEvent::Listed { .. } | DispatchEvent::Configured(_)
+            DispatchEvent::ListUpdated { .. } | DispatchEvent::ConfigUpdated(_)
         );
-        if let DispatchEvent::Withdrawn(ticket) = &event {
+        if let DispatchEvent::RequestWithdrawn(ticket) = &event {
             self.askers.remove(ticket);
         }
         for (ticket, decision) in self.dispatcher.handle(event, clock::now()) {
@@ -244,12 +250,15 @@
                 let _ = answer.send(decision);
             }
         }
-        self.dispatcher.take_wished().iter().for_each(log_wished);
-        self.crashes.on_served(self.dispatcher.take_served());
+        self.dispatcher
+            .take_requested_loads()
+            .iter()
+            .for_each(log_wished);
+        self.crashes.on_served(self.dispatcher.take_completed());
         self.crashes.on_crashes(self.dispatcher.take_crashes());
         if may_change_engines {
             let dispatcher = &self.dispatcher;
-            let engines = dispatcher.listed().filter(|b| {
+            let engines = dispatcher.listed_backends().filter(|b| {
                 let service = dispatcher.service(&b.service);
                 service.is_some_and(|s| s.engine.is_some())
             });
@@ -265,7 +274,7 @@
     }
 
     fn ask_dealers(&mut self) {
-        let questions = self.dispatcher.intake_questions(clock::now());
+        let questions = self.dispatcher.permit_queries(clock::now());
         questions.into_iter().for_each(|q| self.intake.ask(q));
     }
 
@@ -292,7 +301,7 @@
         }
         if due == DueDemands::All {
             self.last_all = now;
-            if let Some(entries) = self.dispatcher.counted_entries() {
+            if let Some(entries) = self.dispatcher.reported_entry_count() {
                 self.entries.store(entries, Ordering::Relaxed);
             }
         }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -80,7 +80,7 @@
         let service = route.pick_service(rand::random());
         let ask = DispatchRequest {
             digest: accepted.digest,
-            is_suspected: false,
+            is_crash_suspect: false,
             service: service.cloned().unwrap_or_default(),
             model: accepted.head.model.clone(),
             adapter: accepted.head.adapter.clone(),
@@ -90,13 +90,13 @@
             account_priority: accepted.caller.as_ref().map_or(0, |c| c.account.priority),
             priority: route.priority,
             target_latency: route.target_latency,
-            arrived: accepted.arrived,
+            arrived_at: accepted.arrived,
             deadline,
-            tried: Vec::new(),
-            has_returned: shared.has_returned(route, accepted.head.deadline),
-            is_judged: false,
-            sends: 0,
-            turn: 0,
+            tried_backends: Vec::new(),
+            was_rejected_before: shared.has_returned(route, accepted.head.deadline),
+            is_load_time_checked: false,
+            send_count: 0,
+            start_tag: 0,
         };
         Self {
             ticket: shared.new_ticket(),
@@ -121,9 +121,9 @@
                 Some(Decision::Reject {
                     cause,
                     retry_after,
-                    basis,
+                    inputs,
                 }) => {
-                    self.log_refusal(cause.code(), retry_after, &basis);
+                    self.log_refusal(cause.code(), retry_after, &inputs);
                     return self.give_up(cause.code(), retry_after);
                 }
                 None => {
@@ -148,7 +148,7 @@
                 self.decline(&assignment, ENDS_ENGINES);
                 return refusal;
             }
-            self.ask.sends += 1;
+            self.ask.send_count += 1;
             self.log_send(&assignment);
             self.set_may_have_run(true);
             match self.attempt(&assignment).await {
@@ -162,14 +162,14 @@
                     self.log_attempt(&assignment, outcome.code(), None);
                     // a back end that was full, or lacked the adapter, may do later
                     if outcome == SendOutcome::Unreachable {
-                        self.ask.tried.push(assignment.backend);
+                        self.ask.tried_backends.push(assignment.backend);
                     }
                 }
                 Attempt::Failed(failure) => {
                     let status = failure.as_ref().map(|f| f.status());
                     self.log_attempt(&assignment, "failed", status);
                     self.runs += 1;
-                    self.ask.tried.push(assignment.backend);
+                    self.ask.tried_backends.push(assignment.backend);
                     self.failure = failure;
                     let may_repeat = self.accepted.route.kind.is_repeatable()
                         && self.runs < self.accepted.route.max_attempts
@@ -179,14 +179,14 @@
                     }
                 }
             }
-            if self.ask.sends >= MAX_SENDS {
+            if self.ask.send_count >= MAX_SENDS {
                 return self.give_up("sends", LATE_RETRY);
             }
         }
     }
 
     async fn wait_for_decision(&mut self) -> Option<Decision> {
-        self.ask.is_suspected = self.is_suspected();
+        self.ask.is_crash_suspect = self.is_suspected();
         self.judge_regions();
         let control = &self.shared.control;
         let mut guard = WaitGuard::new(control.clone(), self.ticket);
@@ -225,7 +225,7 @@
             account = self.account_name(),
             ended = ended,
             age_ms = age.as_millis() as u64,
-            sends = self.ask.sends,
+            sends = self.ask.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived);
             "crashes: request refused"
         );
@@ -423,10 +423,10 @@
             total_ms = elapsed_ms(self.accepted.arrived);
             "backend: says of itself"
         );
-        self.shared.control.tell(DispatchEvent::Said {
+        self.shared.control.tell(DispatchEvent::SignalReceived {
             backend,
-            word,
-            sent,
+            signal: word,
+            sent_at: sent,
         });
     }
 
--- a/entry/src/ingress/exchange_log.rs
+++ b/entry/src/ingress/exchange_log.rs
@@ -13,12 +13,12 @@
 
 impl Exchange {
     pub(super) fn log_send(&self, to: &Assignment) {
-        let basis = &to.basis;
+        let inputs = &to.inputs;
         let route = &self.accepted.route.name;
         let waited = clock::elapsed(self.accepted.arrived);
         self.shared
             .metrics
-            .on_sent(route, waited, self.ask.sends > 1);
+            .on_sent(route, waited, self.ask.send_count > 1);
         log::info!(
             request = self.accepted.head.id.as_str(),
             digest = self.accepted.digest.to_string().as_str(),
@@ -30,21 +30,21 @@
             version = to.version.unwrap_or(0),
             backend = to.backend.as_str(),
             born = to.backend.born,
-            send = self.ask.sends,
+            send = self.ask.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived),
-            candidates = basis.candidates,
-            holders = basis.holders,
-            left_out_leaving = basis.leaving,
-            left_out_resting = basis.resting,
-            limited = basis.limited,
-            queue_ms = basis.queue_ms,
-            occupied = basis.occupied,
+            candidates = inputs.candidates,
+            holders = inputs.holders,
+            left_out_leaving = inputs.leaving,
+            left_out_resting = inputs.resting,
+            limited = inputs.limited,
+            queue_ms = inputs.queue_ms,
+            occupied = inputs.occupied,
             urgency = to.urgency,
-            view_age_ms = basis.view_age.map_or(-1, |age| age.as_millis() as i64),
-            list_version = basis.list_version,
-            budget_requests = basis.budget.requests,
-            budget_repeats = basis.budget.repeats,
-            budget_entries = basis.budget.entries;
+            view_age_ms = inputs.view_age.map_or(-1, |age| age.as_millis() as i64),
+            list_version = inputs.list_version,
+            budget_requests = inputs.budget.requests,
+            budget_repeats = inputs.budget.retries,
+            budget_entries = inputs.budget.entries;
             "dispatch: sent"
         );
     }
@@ -53,7 +53,7 @@
         &self,
         cause: &'static str,
         retry_after: Duration,
-        basis: &DecisionInputs,
+        inputs: &DecisionInputs,
     ) {
         self.shared.metrics.on_refused(cause);
         if cause == RejectionCause::OutsideRegions.code() {
@@ -68,19 +68,19 @@
             regions = self.ask.allowed_regions.to_string().as_str(),
             cause = cause,
             retry_after_ms = retry_after.as_millis() as u64,
-            sends = self.ask.sends,
+            sends = self.ask.send_count,
             runs = self.runs,
             waited_ms = elapsed_ms(self.accepted.arrived),
-            candidates = basis.candidates,
-            holders = basis.holders,
-            left_out_leaving = basis.leaving,
-            left_out_resting = basis.resting,
-            limited = basis.limited,
-            waiting = basis.waiting,
-            list_version = basis.list_version,
-            budget_requests = basis.budget.requests,
-            budget_repeats = basis.budget.repeats,
-            budget_entries = basis.budget.entries;
+            candidates = inputs.candidates,
+            holders = inputs.holders,
+            left_out_leaving = inputs.leaving,
+            left_out_resting = inputs.resting,
+            limited = inputs.limited,
+            waiting = inputs.waiting,
+            list_version = inputs.list_version,
+            budget_requests = inputs.budget.requests,
+            budget_repeats = inputs.budget.retries,
+            budget_entries = inputs.budget.entries;
             "dispatch: refused"
         );
     }
@@ -97,7 +97,7 @@
             digest = self.accepted.digest.to_string().as_str(),
             backend = at.backend.as_str(),
             born = at.backend.born,
-            send = self.ask.sends,
+            send = self.ask.send_count,
             outcome = outcome,
             status = status.map_or(0, |s| s.as_u16()),
             total_ms = elapsed_ms(self.accepted.arrived);
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/intake_exchange.rs
@@ -34,13 +34,17 @@
         let (peers, control) = (self.peers.clone(), self.control.clone());
         let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
-            let PermitQuery { report, asked, .. } = question;
+            let PermitQuery {
+                report,
+                requested_at,
+                ..
+            } = question;
             let answer = peers.call::<_, IntakeAnswer>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
-            control.tell(DispatchEvent::Dealt {
+            control.tell(DispatchEvent::PermitsReceived {
                 backend: report.backend,
-                asked,
-                answer,
+                requested_at,
+                response: answer,
             });
         });
     }
--- a/entry/src/ingress/observers.rs
+++ b/entry/src/ingress/observers.rs
@@ -37,14 +37,16 @@
     pub fn start(&mut self) {
         if !self.has_started {
             self.has_started = true;
-            self.control.tell(DispatchEvent::Started(self.ticket));
+            self.control
+                .tell(DispatchEvent::ResponseStarted(self.ticket));
         }
     }
     pub fn end(&mut self, outcome: SendOutcome) {
         if !self.has_ended {
             self.has_ended = true;
             let ticket = self.ticket;
-            self.control.tell(DispatchEvent::Ended { ticket, outcome });
+            self.control
+                .tell(DispatchEvent::SendEnded { ticket, outcome });
         }
     }
 }
@@ -135,9 +137,10 @@
             return;
         }
         let ticket = self.ticket;
-        self.control.tell(DispatchEvent::Withdrawn(ticket));
+        self.control.tell(DispatchEvent::RequestWithdrawn(ticket));
         // it may have been decided at the same moment
         let outcome = SendOutcome::Abandoned;
-        self.control.tell(DispatchEvent::Ended { ticket, outcome });
+        self.control
+            .tell(DispatchEvent::SendEnded { ticket, outcome });
     }
 }
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -123,7 +123,7 @@
         self.shared.set_knows_backends();
         self.shared.metrics.on_list(heard.at);
         let version = heard.at;
-        self.shared.control.tell(DispatchEvent::Listed {
+        self.shared.control.tell(DispatchEvent::ListUpdated {
             version,
             list: told,
         });
@@ -137,7 +137,7 @@
                 self.take_table(*table);
             }
             Record::AdapterVersion { adapter, version } => {
-                let event = DispatchEvent::Versioned { adapter, version };
+                let event = DispatchEvent::VersionAnnounced { adapter, version };
                 self.shared.control.tell(event);
             }
             Record::Zone { .. } => {}
@@ -176,7 +176,9 @@
         let zones: Vec<&str> = known.iter().map(String::as_str).collect();
         log::info!(zones = zones.join(",").as_str(); "store: zones to be emptied");
         let zones = known.clone();
-        self.shared.control.tell(DispatchEvent::Evacuated(zones));
+        self.shared
+            .control
+            .tell(DispatchEvent::ZonesEvacuated(zones));
     }
 
     /// a configuration never goes back to an earlier version
@@ -209,7 +211,9 @@
         }
         let table = Arc::new(table);
         self.shared.table.store(Some(table.clone()));
-        self.shared.control.tell(DispatchEvent::Configured(table));
+        self.shared
+            .control
+            .tell(DispatchEvent::ConfigUpdated(table));
     }
 }
 
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -114,7 +114,7 @@
 ) {
     let apply = |settings: IngressSettings| {
         store.set_addr(settings.store);
-        let tuned = DispatchEvent::Tuned(dispatch_settings(&settings));
+        let tuned = DispatchEvent::SettingsUpdated(dispatch_settings(&settings));
         shared.control.tell(tuned);
     };
     if let Err(e) = follower.run(apply).await {
@@ -185,9 +185,9 @@
             extra: settings.retry_extra,
             window: Duration::from_secs_f64(settings.retry_window_s),
         },
-        began_anew: (!settings.first_start).then(Instant::now),
+        restarted_at: (!settings.first_start).then(Instant::now),
         version_grace: Duration::from_millis(settings.version_ms / 2),
-        mechanisms: settings.mechanisms,
+        features: settings.mechanisms,
         ..DispatchSettings::default()
     }
 }
--- a/testkit/examples/capacity/dispatch.rs
+++ b/testkit/examples/capacity/dispatch.rs
@@ -96,7 +96,7 @@
         cold_per_s: 0.0,
     };
     let table = RouteTable::new(1, IngressLimits::default(), vec![service]);
-    dispatcher.handle(DispatchEvent::Configured(Arc::new(table)), now);
+    dispatcher.handle(DispatchEvent::ConfigUpdated(Arc::new(table)), now);
     let list = (0..engines).map(|number| Backend {
         id: format!("i-{number:010x}").into(),
         service: SERVICE.to_string(),
@@ -109,7 +109,7 @@
         held: Vec::new(),
     });
     let list = list.collect();
-    dispatcher.handle(DispatchEvent::Listed { version: 1, list }, now);
+    dispatcher.handle(DispatchEvent::ListUpdated { version: 1, list }, now);
     for number in 0..engines {
         on_view(&mut dispatcher, number, 1, now);
     }
@@ -119,14 +119,14 @@
 fn on_view(dispatcher: &mut Dispatcher, number: usize, running: u32, now: Instant) {
     let view = view(number, running);
     let addr = addr(number);
-    dispatcher.handle(DispatchEvent::Viewed { addr, view }, now);
+    dispatcher.handle(DispatchEvent::ViewReceived { addr, view }, now);
 }
 
 fn ask(number: usize, now: Instant) -> DispatchRequest {
     let body = number.to_le_bytes();
     DispatchRequest {
         digest: RequestDigest::of("POST", "/", "", &body),
-        is_suspected: false,
+        is_crash_suspect: false,
         service: SERVICE.to_string(),
         model: Some("model-0".to_string()),
         adapter: Some(adapter(number)),
@@ -136,13 +136,13 @@
         account_priority: 0,
         priority: 1,
         target_latency: Duration::from_millis(800),
-        arrived: now,
+        arrived_at: now,
         deadline: now + Duration::from_secs(15),
-        tried: Vec::new(),
-        has_returned: false,
-        is_judged: false,
-        sends: 0,
-        turn: 0,
+        tried_backends: Vec::new(),
+        was_rejected_before: false,
+        is_load_time_checked: false,
+        send_count: 0,
+        start_tag: 0,
     }
 }
 
@@ -151,7 +151,13 @@
     let mut dispatcher = dispatcher(engines, now);
     for ticket in 0..WAITING {
         let ask = ask(1_000_000 + ticket as usize, now);
-        dispatcher.handle(DispatchEvent::Asked { ticket, ask }, now);
+        dispatcher.handle(
+            DispatchEvent::RequestArrived {
+                ticket,
+                request: ask,
+            },
+            now,
+        );
     }
     let started = Instant::now();
     for round in 0..ROUNDS {
@@ -166,7 +172,13 @@
     let started = Instant::now();
     for ticket in 0..u64::from(ROUNDS) {
         let ask = ask(ticket as usize * 7 % (engines * HELD), now);
-        dispatcher.handle(DispatchEvent::Asked { ticket, ask }, now);
+        dispatcher.handle(
+            DispatchEvent::RequestArrived {
+                ticket,
+                request: ask,
+            },
+            now,
+        );
     }
     started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
