--- a/coordination/src/dispatch/account_fair_queueing.rs
+++ b/coordination/src/dispatch/account_fair_queueing.rs
@@ -1,48 +1,51 @@
 use {chalkcart_state::accounts::AccountMark, std::collections::HashMap};
 
-/// accounts remembered before those without a request that waits are forgotten
+/// Accounts tracked before those without a waiting request are dropped.
 const MAX_TRACKED_ACCOUNTS: usize = 1_000;
 
-/// The order of accounts among requests of one priority: start-time fair queueing.
+/// Start-time fair queueing of the accounts among requests of one priority.
 ///
-/// Each request begins, in virtual time, where the one before it of its account ends,
-/// and takes as long as it is large. Those that begin first are served first: an
-/// account that asks for much waits behind itself, not before others.
+/// A request's start tag is the virtual time at which the previous request of its account
+/// finishes; it takes as much virtual time as its size. Requests are served by start tag,
+/// so an account with many requests delays only itself.
 #[derive(Debug, Default)]
 pub struct AccountFairQueueing {
-    /// beginning of the request that was served last
-    now: u64,
-    /// where the last request of each account ends
-    ends: HashMap<AccountMark, u64>,
+    /// Start tag of the request served last.
+    virtual_time: u64,
+    /// Finish tag of the last request of each account.
+    finish_tags: HashMap<AccountMark, u64>,
 }
 
 impl AccountFairQueueing {
-    /// the beginning of a request of this size; one without an account comes as it
-    /// arrives
+    /// Returns the start tag of a request; a request without an account starts at the
+    /// current virtual time.
     pub fn next_start_tag(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
         let Some(account) = account else {
-            return self.now;
+            return self.virtual_time;
         };
-        if self.ends.len() >= MAX_TRACKED_ACCOUNTS {
-            let now = self.now;
-            self.ends.retain(|_, end| *end > now);
+        if self.finish_tags.len() >= MAX_TRACKED_ACCOUNTS {
+            let virtual_time = self.virtual_time;
+            self.finish_tags
+                .retain(|_, finish_tag| *finish_tag > virtual_time);
         }
-        let end = self.ends.entry(account).or_default();
-        let begin = (*end).max(self.now);
-        *end = begin + u64::from(size.max(1));
-        begin
+        let finish_tag = self.finish_tags.entry(account).or_default();
+        let start_tag = (*finish_tag).max(self.virtual_time);
+        *finish_tag = start_tag + u64::from(size.max(1));
+        start_tag
     }
 
-    /// a request left without having been served: it takes no turn of its account
+    /// Handles a request that left without being served: it costs its account nothing.
     pub fn on_withdrawn(&mut self, account: Option<AccountMark>, size: u32) {
-        let end = account.and_then(|account| self.ends.get_mut(&account));
-        if let Some(end) = end {
-            *end = end.saturating_sub(u64::from(size.max(1))).max(self.now);
+        let finish_tag = account.and_then(|account| self.finish_tags.get_mut(&account));
+        if let Some(finish_tag) = finish_tag {
+            *finish_tag = finish_tag
+                .saturating_sub(u64::from(size.max(1)))
+                .max(self.virtual_time);
         }
     }
 
-    /// a request that began there was served
-    pub fn on_served(&mut self, begin: u64) {
-        self.now = self.now.max(begin);
+    /// Handles a request with this start tag that was served.
+    pub fn on_served(&mut self, start_tag: u64) {
+        self.virtual_time = self.virtual_time.max(start_tag);
     }
 }
--- a/coordination/src/dispatch/adapter_versions.rs
+++ b/coordination/src/dispatch/adapter_versions.rs
@@ -6,51 +6,58 @@
     },
 };
 
-/// The versions of adapters that were named, each with the moment at which this entry
-/// heard of it: one may be named before the last is everywhere, and each has its own time
-/// until nothing older may begin.
+/// Announced versions of adapters, each with the time at which this entry learned of it. A
+/// version may be announced before the previous one is loaded everywhere, so each has its
+/// own grace period for older ones.
 #[derive(Debug, Default)]
 pub struct AdapterVersions {
-    /// ascending; those that a later one has outlived are forgotten
-    named: HashMap<AdapterRef, Vec<(u64, Instant)>>,
+    /// Ascending; versions whose grace period for the next one is over are dropped.
+    announced: HashMap<AdapterRef, Vec<(u64, Instant)>>,
 }
 
 impl AdapterVersions {
-    /// a version was named; false if a newer one is known. Requests may begin on older
-    /// ones for `grace` longer.
-    pub fn put(
+    /// Adds an announced version; returns false if a newer one is known. Requests may start
+    /// on older versions for `grace` longer.
+    pub fn insert(
         &mut self,
         adapter: &AdapterRef,
         version: u64,
         grace: Duration,
         now: Instant,
     ) -> bool {
-        let rows = self.named.entry(adapter.clone()).or_default();
-        if rows.last().is_some_and(|(newest, _)| *newest >= version) {
+        let versions = self.announced.entry(adapter.clone()).or_default();
+        if versions
+            .last()
+            .is_some_and(|(newest, _)| *newest >= version)
+        {
             return false;
         }
         let is_over = |(_, at): &(u64, Instant)| now.saturating_duration_since(*at) >= grace;
-        let outlived = rows.iter().take_while(|row| is_over(row)).count();
-        rows.drain(..outlived.saturating_sub(1));
-        rows.push((version, now));
+        let outdated = versions
+            .iter()
+            .take_while(|version| is_over(version))
+            .count();
+        versions.drain(..outdated.saturating_sub(1));
+        versions.push((version, now));
         true
     }
-    /// the newest version, 0 if none was named
+    /// Returns the newest version, 0 if none was announced.
     pub fn newest(&self, adapter: &AdapterRef) -> u64 {
-        let rows = self.named.get(adapter);
-        let newest = rows.and_then(|rows| rows.last());
+        let versions = self.announced.get(adapter);
+        let newest = versions.and_then(|versions| versions.last());
         newest.map_or(0, |(version, _)| *version)
     }
-    /// whether a request may begin on a version: all newer ones were named within `grace`
-    pub fn may_begin(
+    /// Returns whether a request may start on a version: all newer ones were announced
+    /// within `grace`.
+    pub fn may_start(
         &self,
         adapter: &AdapterRef,
         version: u64,
         grace: Duration,
         now: Instant,
     ) -> bool {
-        let rows = self.named.get(adapter).into_iter().flatten();
-        let mut newer = rows.filter(|(named, _)| *named > version);
+        let versions = self.announced.get(adapter).into_iter().flatten();
+        let mut newer = versions.filter(|(announced, _)| *announced > version);
         newer.all(|(_, at)| now.saturating_duration_since(*at) < grace)
     }
 }
--- a/coordination/src/dispatch/backend_signal_tracker.rs
+++ b/coordination/src/dispatch/backend_signal_tracker.rs
@@ -7,21 +7,21 @@
     },
 };
 
-/// A back end's own word is kept for this long after its record is gone. Records vanish
-/// and return while the store is down, for seconds or minutes; a life that has left does
-/// not come back under its id.
+/// How long the signals of a back end are kept after its record is gone. Records disappear
+/// and return while the store is down; an incarnation that has left never returns under its
+/// id.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
-/// What back ends have said of themselves to this entry.
+/// Signals that back ends sent about themselves to this entry.
 ///
-/// It stands beside the list and is not replaced by it: the store may be silent for long,
-/// or have a record that is older than the word.
+/// They are kept beside the list, not replaced by it: the store may be down for long, or
+/// hold a record that is older than the signal.
 #[derive(Debug, Default)]
 pub(super) struct BackendSignalTracker {
     leaving: HashMap<BackendId, Instant>,
-    /// until when they want rest
+    /// Ends of requested back-offs.
     backoffs: HashMap<BackendId, Instant>,
-    /// of those whose record is gone
+    /// Rate limits of back ends whose records are gone.
     limits: HashMap<BackendId, (NamedLimit, Instant)>,
 }
 
@@ -30,32 +30,32 @@
         if signal.is_leaving {
             self.leaving.insert(backend.clone(), now);
         }
-        if let Some(rest) = signal.rest {
-            let until = now + rest;
+        if let Some(backoff) = signal.rest {
+            let until = now + backoff;
             let known = self.backoffs.entry(backend.clone()).or_insert(until);
             *known = until.max(*known);
         }
     }
-    /// it has said that it leaves; none do that take it back
+    /// Returns whether a back end announced that it is leaving, which is final.
     pub fn is_leaving(&self, backend: &BackendId) -> bool {
         self.leaving.contains_key(backend)
     }
-    /// when its rest ends, if it wants one
+    /// Returns when the requested back-off ends, if there is one.
     pub fn backoff_until(&self, backend: &BackendId, now: Instant) -> Option<Instant> {
         let until = self.backoffs.get(backend).copied();
         until.filter(|until| *until > now)
     }
-    /// the record of a back end is gone; its limit holds if it comes back
-    pub fn keep_limit(&mut self, backend: &BackendId, limit: &NamedLimit, now: Instant) {
+    /// Keeps the rate limit of a back end whose record is gone, in case it returns.
+    pub fn save_limit(&mut self, backend: &BackendId, limit: &NamedLimit, now: Instant) {
         if limit.named().is_some() {
             self.limits.insert(backend.clone(), (limit.clone(), now));
         }
     }
     pub fn take_limit(&mut self, backend: &BackendId) -> NamedLimit {
-        let kept = self.limits.remove(backend);
-        kept.map(|(limit, _)| limit).unwrap_or_default()
+        let saved = self.limits.remove(backend);
+        saved.map(|(limit, _)| limit).unwrap_or_default()
     }
-    /// forget those that are known no more and said it long ago
+    /// Drops expired signals of unknown back ends.
     pub fn remove_expired(&mut self, is_known: impl Fn(&BackendId) -> bool, now: Instant) {
         self.backoffs.retain(|_, until| *until > now);
         self.limits.retain(|_, (_, unlisted_at)| {
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -18,12 +18,12 @@
     },
 };
 
-/// a view older than this says nothing of queues
+/// Maximum age of a view whose queue lengths are used.
 const MAX_VIEW_AGE: Duration = Duration::from_secs(1);
-/// time for a sidecar to speak before the list is believed
+/// Time for a sidecar to report before the list is trusted instead.
 const SIDECAR_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// a request on its way at a back end
+/// A request that was sent to a back end.
 #[derive(Debug, Clone)]
 pub struct InFlightRequest {
     pub digest: RequestDigest,
@@ -31,19 +31,19 @@
     pub adapter: Option<AdapterRef>,
     pub prompt_tokens: u32,
     pub sent_at: Instant,
-    /// its first token came
+    /// Whether the first part of the response arrived.
     pub has_started: bool,
-    /// nothing else was being read there when it was sent
+    /// Whether no other prompt was being prefilled on the engine when it was sent.
     pub is_sole_prefill: bool,
-    /// it shows whether the rest that the back end asked for is over
+    /// Whether it probes if the requested back-off is over.
     pub is_trial: bool,
 }
 
-/// requests that a view concerns, of those that wait
+/// Waiting requests that a new view may allow to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AffectedRequests {
     All,
-    /// those for adapters that came
+    /// Requests for adapters that were loaded.
     OfAdapters(Vec<AdapterRef>),
 }
 
@@ -62,52 +62,52 @@
     }
 }
 
-/// what an entry knows of one back end
+/// What an entry knows about one back end.
 #[derive(Debug, Clone)]
 pub struct BackendState {
     pub listed: Backend,
-    /// it has said itself that it leaves
+    /// Whether the back end itself announced that it is leaving.
     pub has_announced_leaving: bool,
-    /// the rest that it has asked for
+    /// The back-off that the back end requested.
     pub backoff: AskedRest,
-    /// the requests that it takes, by its own word
+    /// The rate limit that the back end advertises.
     pub limit: NamedLimit,
-    /// what was seen of it while its sidecar is not heard
+    /// What this entry observed while the sidecar didn't report.
     pub observations: EngineObservations,
-    /// no longer in the list; used only where nothing else is
+    /// Whether it left the list; it is used only if the service has no other back end.
     pub is_unlisted: bool,
-    /// its sidecar spoke of it before the list did
+    /// Whether its sidecar reported it before the list had it.
     pub is_ahead_of_list: bool,
-    /// another incarnation has answered at its address
+    /// Whether another incarnation responded at its address.
     pub is_superseded: bool,
-    /// the sidecar at its address speaks of another incarnation
+    /// Whether the sidecar at its address reports another incarnation.
     pub is_replaced: bool,
-    /// its sidecar has spoken of another life after it
+    /// Whether its sidecar reported a later incarnation.
     pub has_ended: bool,
     discovered_at: Instant,
     pub health: Health,
     pub in_flight: u32,
-    /// of these, requests that engines ended under before
+    /// Of these, requests that are suspected of crashing engines.
     crash_suspects: u32,
-    /// of these, waiting for their first token
+    /// Of these, requests that wait for their first token.
     waiting_prefills: u32,
     waiting_prefill_tokens: u64,
     pub view: Option<EngineView>,
     viewed_at: Instant,
-    /// versions of the adapters in the view
+    /// Versions of the adapters in the view.
     held_versions: HashMap<AdapterRef, u64>,
-    /// what it has held before, by the views of it
+    /// Adapters that were in earlier views.
     recently_held: LatelyHeld,
-    /// hash of its address, for the order of homes
+    /// Hash of the address, for the rendezvous order of homes.
     home_hash: u64,
     pub running_by_adapter: HashMap<AdapterRef, u32>,
     pub used_adapters: HashSet<AdapterRef>,
-    /// its sidecar was told last that nothing is needed of it
+    /// Whether the last demand sent to its sidecar was empty.
     pub is_last_demand_empty: bool,
-    /// adapters that the engine has refused since the last view
+    /// Adapters that the engine refused since the last view.
     refused_adapters: HashSet<AdapterRef>,
     saturation: FullPause,
-    /// while it is cold, or was when this was looked at last
+    /// Present while the engine is in slow start, or was at the last check.
     pub slow_start: Option<ColdBound>,
 }
 
@@ -144,14 +144,15 @@
         }
     }
 
-    /// what it has said of itself, if its record was away for a while
+    /// Restores the signals of a back end whose record was gone for a while.
     pub(super) fn restore_signals(&mut self, signals: &mut BackendSignalTracker, now: Instant) {
         self.has_announced_leaving = signals.is_leaving(&self.listed.id);
         self.backoff
             .set_until(signals.backoff_until(&self.listed.id, now));
         self.limit = signals.take_limit(&self.listed.id);
     }
-    /// who shares what it takes: so many entries, of which `entry` is one
+    /// Returns how the limit of the back end is shared by `entries` entries, one of which
+    /// is `entry`.
     pub fn limit_sharing(&self, entry: &str, entries: u32, is_engine: bool) -> Sharers {
         let weight = rendezvous_weight(stable_hash(entry), self.home_hash);
         Sharers {
@@ -162,46 +163,50 @@
         }
     }
 
-    /// it says how much longer it is cold; `entry` is the one that asks
+    /// Sets the time left of the slow start; `entry` is the entry that sends.
     pub fn set_slow_start(&mut self, entry: &str, left: Duration, now: Instant) {
         match &mut self.slow_start {
-            Some(cold) => cold.set_left(left, now),
+            Some(slow_start) => slow_start.set_left(left, now),
             None if left.is_zero() => {}
             None => self.slow_start = Some(ColdBound::new(entry, &self.listed.id, left, now)),
         }
     }
     pub fn advance_slow_start(&mut self, pace: ColdPace, entries: u32, now: Instant) {
-        self.slow_start = self.slow_start.take().filter(|cold| cold.is_cold(now));
-        // a service without a pace does not bound its cold ones
+        self.slow_start = self
+            .slow_start
+            .take()
+            .filter(|slow_start| slow_start.is_cold(now));
+        // slow start is not limited in services without a rate for it
         self.slow_start = self.slow_start.take().filter(|_| pace.per_s > 0.0);
-        if let Some(cold) = &mut self.slow_start {
-            cold.pass(pace, entries, now);
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.pass(pace, entries, now);
         }
     }
 
-    /// its sidecar has spoken; says which requests may be sent now that waited
+    /// Applies a view of the sidecar; returns the waiting requests that may be sent now.
     pub fn on_view(&mut self, view: EngineView, now: Instant) -> AffectedRequests {
         let known = self.view.as_ref();
         let affected = self.affected_requests(&view);
         if known.is_none_or(|known| known.held != view.held) {
             let held = view.held.iter().map(|h| (h.adapter.clone(), h.version));
             let before = std::mem::replace(&mut self.held_versions, held.collect());
-            let left = before
+            let unloaded = before
                 .keys()
                 .filter(|a| !self.held_versions.contains_key(a));
-            left.for_each(|a| self.recently_held.put(adapter_mark(a)));
+            unloaded.for_each(|a| self.recently_held.put(adapter_mark(a)));
         }
         view.lately
             .iter()
-            .for_each(|mark| self.recently_held.put(*mark));
+            .for_each(|adapter_hash| self.recently_held.put(*adapter_hash));
         self.viewed_at = reported_at(&view.figures, now);
         self.view = Some(view);
         self.observations.on_report();
         self.refused_adapters.clear();
         affected
     }
-    /// A place that became free is not news: requests that lack a home are looked
-    /// at with the next tick, as views come many times between two ticks.
+    /// Returns the requests that a view affects. A free adapter slot alone affects none:
+    /// requests without a home are checked at the next tick, since many views arrive
+    /// between two ticks.
     fn affected_requests(&self, view: &EngineView) -> AffectedRequests {
         let Some(known) = self.view.as_ref().filter(|v| v.models == view.models) else {
             return AffectedRequests::All;
@@ -209,10 +214,10 @@
         if !self.refused_adapters.is_empty() {
             return AffectedRequests::All;
         }
-        let came = view.held.iter().filter(|h| !known.held.contains(h));
-        AffectedRequests::OfAdapters(came.map(|h| h.adapter.clone()).collect())
+        let loaded = view.held.iter().filter(|h| !known.held.contains(h));
+        AffectedRequests::OfAdapters(loaded.map(|h| h.adapter.clone()).collect())
     }
-    /// its sidecar says that nothing but these figures has changed
+    /// Applies a report in which only the stats changed.
     pub fn on_stats(&mut self, figures: EngineFigures, now: Instant) {
         if let Some(view) = &mut self.view {
             view.figures = figures;
@@ -220,22 +225,23 @@
             self.refused_adapters.clear();
         }
     }
-    /// another life has begun at its address
+    /// Handles the start of another incarnation at the same address.
     pub fn end_incarnation(&mut self) {
         self.has_ended = true;
         self.is_ahead_of_list = false;
         self.view = None;
         self.held_versions.clear();
     }
-    /// the link to its sidecar is gone; what it held is most likely there still
+    /// Handles the loss of the link to the sidecar; the engine most likely still holds its
+    /// adapters.
     pub fn on_view_lost(&mut self, now: Instant) {
         self.view = None;
         let held = std::mem::take(&mut self.held_versions);
         self.observations.on_view_lost(held.into_keys(), now);
     }
     pub fn on_sent(&mut self, sent: &InFlightRequest) {
-        if let Some(cold) = &mut self.slow_start {
-            cold.on_sent();
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.on_sent();
         }
         self.limit.on_sent(sent.sent_at);
         self.in_flight += 1;
@@ -271,18 +277,19 @@
             }
         }
     }
-    /// no request of this entry runs or ran there since the last demand
+    /// Returns whether no request of this entry runs there or ran since the last demand.
     pub fn has_no_demand(&self) -> bool {
         self.running_by_adapter.is_empty() && self.used_adapters.is_empty()
     }
     pub fn on_saturated(&mut self, now: Instant) {
         self.saturation.on_full(now);
     }
-    /// it lacks an adapter, or has another version of it; says whether a request looked for
-    /// it there too early
+    /// Records that the engine lacks an adapter or has another version of it. Returns
+    /// whether the sidecar doesn't report and the adapter had not been seen there before:
+    /// the request came before the load was done.
     pub fn on_adapter_refused(&mut self, adapter: &AdapterRef, now: Instant) -> bool {
         match self.is_sidecar_unresponsive(now) {
-            // no view will say that it has it again
+            // no view will report the adapter again
             true => self.observations.on_missing(adapter, now),
             false => {
                 self.refused_adapters.insert(adapter.clone());
@@ -290,13 +297,13 @@
             }
         }
     }
-    /// its sidecar does not speak, and has had time to
+    /// Returns whether the sidecar doesn't report although it had time to.
     pub fn is_sidecar_unresponsive(&self, now: Instant) -> bool {
-        let known = now.saturating_duration_since(self.discovered_at);
-        self.view.is_none() && known > SIDECAR_REPORT_TIMEOUT
+        let known_for = now.saturating_duration_since(self.discovered_at);
+        self.view.is_none() && known_for > SIDECAR_REPORT_TIMEOUT
     }
 
-    /// the version of an adapter that requests may be sent to
+    /// Returns the version of an adapter that requests may be sent to.
     pub fn held_version(&self, adapter: &AdapterRef, now: Instant) -> Option<u64> {
         if self.refused_adapters.contains(adapter) {
             return None;
@@ -304,14 +311,14 @@
         if self.view.is_some() {
             return self.held_versions.get(adapter).copied();
         }
-        // the list lags: it is used only where no sidecar speaks
+        // the list lags behind the views and is used only without them
         if !self.is_sidecar_unresponsive(now) || self.observations.is_missing(adapter, now) {
             return None;
         }
         let found = self.listed.held.iter().find(|h| h.adapter == *adapter);
         found.map(|h| h.version)
     }
-    /// whether it holds a base model, as far as is known
+    /// Returns whether the back end holds a base model, as far as is known.
     pub fn has_model(&self, model: &str) -> bool {
         let models = match &self.view {
             Some(view) => &view.models,
@@ -323,9 +330,9 @@
         let view = self.view.as_ref();
         view.is_some_and(|v| v.loading.contains(adapter))
     }
-    /// it can bring the adapter back from its own memory
-    pub fn has_recently_held(&self, mark: AdapterMark) -> bool {
-        self.recently_held.has(mark)
+    /// Returns whether the engine can reload the adapter from its host cache.
+    pub fn has_recently_held(&self, adapter_hash: AdapterMark) -> bool {
+        self.recently_held.has(adapter_hash)
     }
     pub fn home_hash(&self) -> u64 {
         self.home_hash
@@ -334,61 +341,62 @@
         self.view.as_ref().map_or(0, |v| v.figures.spare_slots)
     }
     pub fn is_available(&self, now: Instant) -> bool {
-        let is_resting = self.health.is_resting(now) || self.backoff.is_on(now);
-        self.may_receive_requests() && !self.is_unlisted && !is_resting
+        let is_paused = self.health.is_resting(now) || self.backoff.is_on(now);
+        self.may_receive_requests() && !self.is_unlisted && !is_paused
     }
-    /// it takes no new work, by its record or its own word
+    /// Returns whether the back end takes no new requests, by its record or its own signal.
     pub fn is_leaving(&self) -> bool {
         self.listed.leaving || self.has_announced_leaving
     }
-    /// it lives, as far as is known, and does not leave
+    /// Returns whether the back end may be running and isn't leaving.
     pub fn may_receive_requests(&self) -> bool {
         self.may_be_current() && !self.is_leaving()
     }
-    /// nothing says that another incarnation is at its address
+    /// Returns whether no other incarnation is known at its address.
     pub fn may_be_current(&self) -> bool {
         !self.is_superseded && !self.is_replaced && !self.has_ended
     }
 
-    /// requests that run or wait there, all entries together
+    /// Returns the number of requests that run or wait there, from all entries.
     pub fn occupied(&self, now: Instant) -> u32 {
-        let seen = self.fresh_view(now).map_or(0, |v| {
+        let reported = self.fresh_view(now).map_or(0, |v| {
             let figures = &v.figures;
             figures.running + figures.queued
         });
-        seen.max(self.in_flight)
+        reported.max(self.in_flight)
     }
-    /// part of its places that is taken
+    /// Returns the fraction of its slots that is taken.
     pub fn load(&self, now: Instant) -> f64 {
         f64::from(self.occupied(now)) / f64::from(self.listed.slots.max(1))
     }
-    /// Two requests that are suspected do not run beside each other: an innocent one that
-    /// stood beside the cause each time would be condemned with it.
+    /// Returns whether the back end can take this request now. Two crash suspects never run
+    /// side by side: an innocent one could be blocked together with the cause.
     pub fn can_accept_request(&self, request: &DispatchRequest, now: Instant) -> bool {
         self.can_accept(now) && !(request.is_crash_suspect && self.crash_suspects > 0)
     }
     pub fn can_accept(&self, now: Instant) -> bool {
         self.closed_reason(now).is_none()
     }
-    /// nothing but the limit that it has named may keep a request from it
+    /// Returns whether nothing but the advertised rate limit keeps a request from it.
     pub fn can_accept_beyond_limit(&self, now: Instant) -> bool {
-        let limited = self.limit.code();
-        self.closed_reason(now).is_none_or(|code| code == limited)
+        let limit_code = self.limit.code();
+        self.closed_reason(now)
+            .is_none_or(|code| code == limit_code)
     }
-    /// The code of what keeps one more request from it now. That it takes no more by its own
-    /// word comes last, so that it is named only where nothing else does.
+    /// Returns the code of the reason why it takes no request now. The advertised rate
+    /// limit is checked last, so that it is returned only if it is the sole reason.
     pub fn closed_reason(&self, now: Instant) -> Option<&'static str> {
-        let cold = self
+        let slow_start = self
             .slow_start
             .as_ref()
-            .map(|cold| cold as &dyn IntakeReason);
-        let before = [
+            .map(|slow_start| slow_start as &dyn IntakeReason);
+        let reasons = [
             Some(&self.backoff as &dyn IntakeReason),
-            cold,
+            slow_start,
             Some(&self.saturation),
         ];
-        let mut before = before.into_iter().flatten();
-        if let Some(reason) = before.find(|reason| reason.closed_for(now).is_some()) {
+        let mut reasons = reasons.into_iter().flatten();
+        if let Some(reason) = reasons.find(|reason| reason.closed_for(now).is_some()) {
             return Some(reason.code());
         }
         if self.occupied(now) >= self.listed.slots {
@@ -397,23 +405,23 @@
         let is_limited = self.limit.closed_for(now).is_some();
         is_limited.then(|| self.limit.code())
     }
-    /// prompts that are read or wait there, as far as is known
+    /// Returns the number of prompts that are being prefilled or wait for it.
     pub fn pending_prefills(&self, now: Instant) -> u32 {
-        let seen = self.fresh_view(now).map_or(0, |v| v.figures.reading);
-        seen.max(self.waiting_prefills)
+        let reported = self.fresh_view(now).map_or(0, |v| v.figures.reading);
+        reported.max(self.waiting_prefills)
     }
-    /// Prompt tokens that wait to be read. Of prompts that other entries have
-    /// sent only the number is known, so each counts as a typical one.
+    /// Returns the number of prompt tokens that wait for prefill. Of prompts from other
+    /// entries only the number is known, so each counts as a typical one.
     pub fn queued_tokens(&self, typical_prompt: f64, now: Instant) -> f64 {
-        let unseen = self.pending_prefills(now) - self.waiting_prefills;
-        self.waiting_prefill_tokens as f64 + f64::from(unseen) * typical_prompt
+        let from_other_entries = self.pending_prefills(now) - self.waiting_prefills;
+        self.waiting_prefill_tokens as f64 + f64::from(from_other_entries) * typical_prompt
     }
 
-    /// whether its sidecar has spoken after this moment
+    /// Returns whether its sidecar reported after `at`.
     pub fn has_reported_since(&self, at: Instant) -> bool {
         self.view.is_some() && self.viewed_at > at
     }
-    /// age of the sidecar's last word
+    /// Returns the age of the sidecar's last report.
     pub fn view_age(&self, now: Instant) -> Option<Duration> {
         let age = now.saturating_duration_since(self.viewed_at);
         self.view.as_ref().map(|_| age)
@@ -425,7 +433,7 @@
     }
 }
 
-/// when the sidecar said this; relays count how long ago that was
+/// Returns when the sidecar wrote the report; relays add the time that it spent on the way.
 pub(crate) fn reported_at(figures: &EngineFigures, now: Instant) -> Instant {
     let age = Duration::from_millis(u64::from(figures.age_ms));
     now.checked_sub(age).unwrap_or(now)
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -1,4 +1,4 @@
-//! what is known of the back ends: the list, the sidecars' views, versions
+//! Updates of what is known about back ends: the list, sidecar views and adapter versions.
 
 use {
     super::{
@@ -19,11 +19,10 @@
     },
 };
 
-/// the life of the engine at an address, by its sidecar's last word
+/// The incarnation that a sidecar last reported for the engine at an address.
 #[derive(Debug, Clone)]
 pub(super) struct ReportedIncarnation {
     id: BackendId,
-    /// when the sidecar said so
     reported_at: Instant,
 }
 
@@ -39,12 +38,12 @@
         for (id, state) in &mut self.backends {
             let by_name = listed.get(&id.name);
             let is_listed = by_name.is_some_and(|listed| *listed == id);
-            let is_followed = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
-            state.is_ahead_of_list &= !is_listed && !is_followed;
-            let was_gone = state.is_unlisted;
+            let has_successor = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
+            state.is_ahead_of_list &= !is_listed && !has_successor;
+            let was_unlisted = state.is_unlisted;
             state.is_unlisted = !(is_listed || state.is_ahead_of_list && state.view.is_some());
-            // where a sidecar speaks, it sees the end itself
-            if state.is_unlisted && !was_gone && state.view.is_none() {
+            // a reporting sidecar detects the end itself
+            if state.is_unlisted && !was_unlisted && state.view.is_none() {
                 self.crashes.on_ended(id, now);
             }
         }
@@ -54,7 +53,7 @@
             let entry = &self.settings.entry;
             match self.backends.get_mut(&backend.id) {
                 Some(state) => {
-                    // what was listed before has run on since
+                    // an unchanged value has been counting down since it was listed
                     if state.listed.cold_left != cold_left {
                         state.set_slow_start(entry, cold_left, now);
                     }
@@ -82,7 +81,7 @@
         self.update_replaced();
     }
 
-    /// forget back ends that left the list, unless nothing else is left
+    /// Removes back ends that left the list, unless their service has no other.
     pub(super) fn remove_unlisted(&mut self, now: Instant) {
         let services: HashSet<ServiceName> = self
             .backends
@@ -94,7 +93,7 @@
             let is_kept =
                 !b.is_unlisted || b.in_flight > 0 || !services.contains(&b.listed.service);
             if !is_kept {
-                self.signals.keep_limit(id, &b.limit, now);
+                self.signals.save_limit(id, &b.limit, now);
             }
             is_kept
         });
@@ -105,7 +104,7 @@
         of_service.any(|b| !b.is_unlisted && b.listed.service == *service)
     }
 
-    /// says which requests may be sent now that waited
+    /// Applies a view of a sidecar; returns the waiting requests that may be sent now.
     pub(super) fn on_view(
         &mut self,
         addr: SocketAddr,
@@ -115,15 +114,15 @@
         self.last_report_at = Some(now);
         self.on_entry_count(view.figures.entries, now);
         self.on_fence(addr, view.figures.fence);
-        let nothing = AffectedRequests::OfAdapters(Vec::new());
+        let none_affected = AffectedRequests::OfAdapters(Vec::new());
         if view.backend.is_empty() {
-            return nothing;
+            return none_affected;
         }
         if !self.on_incarnation(addr, &view, now) {
-            return nothing;
+            return none_affected;
         }
         let Some(state) = self.backends.get_mut(&view.backend) else {
-            return nothing;
+            return none_affected;
         };
         let is_first = state.view.is_none();
         self.crashes.on_word(&view.backend, &view.figures, now);
@@ -136,25 +135,26 @@
         affected
     }
 
-    /// The sidecar at an address says which life its engine lives; false if it said so
-    /// before the last word from there, as a relay may that has not heard it lately.
+    /// Records the incarnation that the sidecar at an address reports. Returns false if the
+    /// report is older than the last one from there, as it may be from a relay that lags
+    /// behind.
     ///
-    /// It sees the engine itself, so a life that it spoke of before has ended, whatever
-    /// the clock of the engine says.
+    /// The sidecar observes the engine itself, so an incarnation that it reported before
+    /// has ended, whatever the engine's clock says.
     fn on_incarnation(&mut self, addr: SocketAddr, view: &EngineView, now: Instant) -> bool {
         let reported_at = reported_at(&view.figures, now);
         let known = self.incarnations.get(&addr);
         if known.is_some_and(|known| known.id != view.backend && reported_at < known.reported_at) {
             return false;
         }
-        let is_other = known.is_some_and(|known| known.id != view.backend);
-        let former = known.map(|known| known.id.clone()).filter(|_| is_other);
+        let is_different = known.is_some_and(|known| known.id != view.backend);
+        let previous = known.map(|known| known.id.clone()).filter(|_| is_different);
         if !self.backends.contains_key(&view.backend) {
             self.add_ahead_of_list(addr, &view.backend, now);
         }
-        if let Some(former) = former.and_then(|id| self.backends.get_mut(&id)) {
-            self.crashes.on_ended(&former.listed.id, now);
-            former.end_incarnation();
+        if let Some(previous) = previous.and_then(|id| self.backends.get_mut(&id)) {
+            self.crashes.on_ended(&previous.listed.id, now);
+            previous.end_incarnation();
         }
         let id = view.backend.clone();
         self.incarnations
@@ -165,24 +165,26 @@
         true
     }
 
-    /// lives that have ended, by the word of their sidecars
+    /// Returns the incarnations that ended according to their sidecars.
     fn ended_incarnations(&self) -> impl Iterator<Item = &BackendId> {
         let ended = self.backends.values().filter(|b| b.has_ended);
         ended.map(|b| &b.listed.id)
     }
 
-    /// After a restart the list may have the former life of an engine beside the new one,
-    /// or have a life that the sidecar has not seen yet. The sidecar knows which one lives
-    /// while it speaks, unless the list has one that was surely born later, or a back end
-    /// of another service that got the address.
+    /// Returns whether another incarnation runs at the address of a back end.
+    ///
+    /// After a restart the list may hold the previous incarnation beside the new one, or
+    /// one that the sidecar hasn't seen yet. A reporting sidecar is authoritative unless
+    /// the list has an incarnation that certainly started later, or a back end of another
+    /// service at that address.
     fn is_replaced(&self, state: &BackendState) -> bool {
         let listed = &state.listed;
         let reported = self.incarnations.get(&listed.addr);
-        let living = reported.and_then(|reported| self.backends.get(&reported.id));
-        living.is_some_and(|living| {
-            let id = &living.listed.id;
-            living.view.is_some()
-                && living.listed.service == listed.service
+        let current = reported.and_then(|reported| self.backends.get(&reported.id));
+        current.is_some_and(|current| {
+            let id = &current.listed.id;
+            current.view.is_some()
+                && current.listed.service == listed.service
                 && *id != listed.id
                 && !listed.id.follows(id)
         })
@@ -196,9 +198,9 @@
         }
     }
 
-    /// Its sidecar heard from the engine itself that it leaves, how many requests it takes or
-    /// that it is cold: entries that had no answer of it know it by that, also while the
-    /// store is silent.
+    /// Applies the engine's own signals that its sidecar forwards: leaving, a rate limit or
+    /// slow start. They also reach entries that got no response from the engine, and arrive
+    /// while the store is down.
     fn on_reported_signals(&mut self, backend: &BackendId, stats: &EngineFigures, now: Instant) {
         self.on_limit_reported(backend, stats, now);
         if stats.cold_left_ms > 0 {
@@ -233,15 +235,15 @@
         *fence = reported.max(*fence);
     }
 
-    /// an engine that came back and is not in the list yet: its sidecar knows
+    /// Adds an engine that restarted and isn't listed yet, as its sidecar reports.
     pub(super) fn add_ahead_of_list(&mut self, addr: SocketAddr, id: &BackendId, now: Instant) {
         let mut states = self.backends.values_mut();
-        let Some(former) = states.find(|b| b.listed.addr == addr) else {
+        let Some(previous) = states.find(|b| b.listed.addr == addr) else {
             return;
         };
-        self.crashes.on_ended(&former.listed.id, now);
-        former.end_incarnation();
-        let service = self.table.services.get(&former.listed.service);
+        self.crashes.on_ended(&previous.listed.id, now);
+        previous.end_incarnation();
+        let service = self.table.services.get(&previous.listed.service);
         let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
         let listed = Backend {
             id: id.clone(),
@@ -249,7 +251,7 @@
             cold_left,
             models: Vec::new(),
             held: Vec::new(),
-            ..former.listed.clone()
+            ..previous.listed.clone()
         };
         let mut state = BackendState::new(listed, now);
         state.restore_signals(&mut self.signals, now);
@@ -268,13 +270,13 @@
         };
         state.on_view_lost(now);
         state.is_unlisted |= state.is_ahead_of_list;
-        // the list has the last word where no sidecar speaks
+        // the list is authoritative where no sidecar reports
         self.update_replaced();
     }
 
     pub(super) fn on_version(&mut self, adapter: AdapterRef, version: u64, now: Instant) {
         let grace = self.settings.version_grace;
-        if !self.adapter_versions.put(&adapter, version, grace, now) {
+        if !self.adapter_versions.insert(&adapter, version, grace, now) {
             return;
         }
         for (id, state) in &self.backends {
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -1,4 +1,4 @@
-//! engines that load an adapter beside those that hold it
+//! Selects engines that load another copy of an adapter.
 
 use {
     super::{dispatcher::Dispatcher, homes::loadable, selection::Choice, BackendState},
@@ -7,18 +7,19 @@
     std::time::Instant,
 };
 
-/// an adapter is copied only while its requests, as estimated over all entries,
-/// take this part of the places of an engine
+/// Minimum estimated demand for an adapter over all entries, as a fraction of one engine's
+/// slots, from which it is copied.
 const MIN_SLOT_DEMAND_RATIO: f64 = 0.25;
-/// a queue that takes this part of the time of a load is worth a copy
+/// Minimum prefill queue for which a copy is worthwhile, as a fraction of the load time.
 const MIN_QUEUE_TO_LOAD_RATIO: f64 = 0.4;
-/// a copy goes only to an engine that is pressed less than this part
+/// Maximum utilization of an engine that loads a copy, as a fraction of the holders'
+/// utilization.
 const COPY_TARGET_UTILIZATION_RATIO: f64 = 0.6;
 
 impl Dispatcher {
-    /// engines for more copies, if those that hold the adapter are too busy;
-    /// the copies grow by half each time, so that a new favourite has enough of
-    /// them after a few loads
+    /// Returns engines for more copies if the holders are too busy. Each round adds half as
+    /// many copies as there are, so that an adapter in sudden demand has enough of them after
+    /// a few loads.
     pub(super) fn copy_targets(
         &self,
         adapter: &AdapterRef,
@@ -32,16 +33,19 @@
             Choice::Send(assignment) => assignment.utilization,
             Choice::Wait(_) => f64::INFINITY,
         };
-        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
-        let is_coming = pending.is_some_and(|w| !w.backends.iter().all(is_holder));
-        if !self.settings.features.copies || utilization < 1.0 || is_coming {
+        let pending = self
+            .pending_loads
+            .get(adapter)
+            .filter(|load| load.until > now);
+        let is_copy_pending = pending.is_some_and(|load| !load.backends.iter().all(is_holder));
+        if !self.settings.features.copies || utilization < 1.0 || is_copy_pending {
             return Vec::new();
         }
         if self.slot_demand_ratio(adapter, holders) < MIN_SLOT_DEMAND_RATIO {
             return Vec::new();
         }
         let candidates = loadable(candidates, adapter);
-        let coming = candidates.iter().filter(|b| b.is_loading(adapter)).count();
+        let loading_count = candidates.iter().filter(|b| b.is_loading(adapter)).count();
         let others: Vec<&BackendState> = candidates
             .into_iter()
             .filter(|b| !is_holder(&b.listed.id) && !b.is_loading(adapter))
@@ -51,13 +55,14 @@
             })
             .filter(|b| self.is_copy_worthwhile(b, adapter, holders, now))
             .collect();
-        let more = holders.len().div_ceil(2).saturating_sub(coming);
+        let new_copies = holders.len().div_ceil(2).saturating_sub(loading_count);
         let ranked = self.rank_homes(adapter, &others, now);
-        let chosen = ranked.iter().take(more).map(|b| b.listed.id.clone());
+        let chosen = ranked.iter().take(new_copies).map(|b| b.listed.id.clone());
         chosen.collect()
     }
 
-    /// whether a copy comes soon enough to shorten the wait at those that hold it
+    /// Returns whether a copy would be loaded soon enough to shorten the wait at the
+    /// holders.
     fn is_copy_worthwhile(
         &self,
         target: &BackendState,
@@ -65,32 +70,32 @@
         holders: &[&BackendState],
         now: Instant,
     ) -> bool {
-        let is_weighed = self.settings.features.copies_weighed;
-        if !is_weighed || target.has_recently_held(adapter_mark(adapter)) {
+        let is_load_time_weighed = self.settings.features.copies_weighed;
+        if !is_load_time_weighed || target.has_recently_held(adapter_mark(adapter)) {
             return true;
         }
         let queues = holders.iter().map(|b| self.queue_ms(b, now));
         let shortest = queues.min_by(f64::total_cmp).unwrap_or(0.0);
         let figures = target.view.as_ref().map(|v| v.figures);
         let load_ms = figures.map_or(0.0, |f| f64::from(f.next_load_ms));
-        let is_full = holders
+        let are_holders_busy = holders
             .iter()
             .all(|b| b.load(now) >= self.settings.copy_load_threshold);
-        is_full || shortest >= load_ms * MIN_QUEUE_TO_LOAD_RATIO
+        are_holders_busy || shortest >= load_ms * MIN_QUEUE_TO_LOAD_RATIO
     }
 
-    /// requests of an adapter that run or wait, as a part of the places of one
-    /// engine; an estimate for all entries from those of this one. The request
-    /// in hand is no evidence that other entries have some too
+    /// Estimates the requests of all entries for an adapter, as a fraction of one engine's
+    /// slots, from those of this entry. The current request doesn't count for other
+    /// entries.
     fn slot_demand_ratio(&self, adapter: &AdapterRef, holders: &[&BackendState]) -> f64 {
         let running = holders
             .iter()
             .filter_map(|b| b.running_by_adapter.get(adapter));
-        let waiting = self.waiting.requests();
+        let waiting = self.waiting.iter();
         let waiting = waiting.filter(|request| request.adapter.as_ref() == Some(adapter));
         let others = running.sum::<u32>() + waiting.count() as u32;
-        let of_all = 1 + others * self.entry_count();
+        let estimated_total = 1 + others * self.entry_count();
         let slots = holders.iter().map(|b| b.listed.slots).max();
-        f64::from(of_all) / f64::from(slots.unwrap_or(1).max(1))
+        f64::from(estimated_total) / f64::from(slots.unwrap_or(1).max(1))
     }
 }
--- a/coordination/src/dispatch/decision.rs
+++ b/coordination/src/dispatch/decision.rs
@@ -4,76 +4,75 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// what a decision was made from, for logs
+/// Inputs of a decision, for logs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DecisionInputs {
-    /// back ends that might take the request
+    /// Back ends that may take the request.
     pub candidates: u32,
-    /// of these, those that hold its adapter
+    /// Of these, the ones that hold its adapter.
     pub holders: u32,
-    /// back ends of the service that are left out because they leave
+    /// Back ends of the service that are excluded because they are leaving.
     pub leaving: u32,
-    /// the same, because they rest
-    pub resting: u32,
-    /// back ends of the service that name how many requests they take
+    /// Back ends of the service that are excluded because they are backed off.
+    pub backed_off: u32,
+    /// Back ends of the service that advertise a rate limit.
     pub limited: u32,
-    /// expected wait for the first token at the chosen one, in ms
+    /// Expected wait until prefill at the chosen back end, in ms.
     pub queue_ms: f64,
-    /// requests that run or wait there
+    /// Requests that run or wait at the chosen back end.
     pub occupied: u32,
-    /// age of the sidecar's last word about it
+    /// Age of the sidecar's last report on the chosen back end.
     pub view_age: Option<Duration>,
-    /// requests that wait in this entry
+    /// Requests that wait in this entry.
     pub waiting: u32,
-    /// version of the list
     pub list_version: u64,
-    /// the budget for repeats of the service, before this send
+    /// Retry budget of the service before this send.
     pub budget: BudgetUsage,
 }
 
-/// where a request goes
+/// Where a request is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assignment {
     pub backend: BackendId,
     pub addr: SocketAddr,
-    /// the version of the adapter that must run
+    /// Version of the adapter that must run.
     pub version: Option<u64>,
-    /// 0 is the most urgent, 9 the least
+    /// 0 is the most urgent, 9 the least.
     pub urgency: u8,
-    /// how busy it is; at 1 its adapter is worth another copy
+    /// How busy it is; from 1 on its adapter is worth another copy.
     pub utilization: f64,
-    /// it has named a limit: an answer without one says that this is over
+    /// Whether it advertises a rate limit; a response without one ends the limit.
     pub is_limited: bool,
     pub inputs: DecisionInputs,
 }
 
-/// why a request is refused
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RejectionCause {
-    /// the service has no back end that takes work
+    /// The service has no back end that takes requests.
     NoBackend,
-    /// each back end has asked for rest
+    /// Every back end requested a back-off.
     BackedOff,
-    /// each that could serve it takes no more requests a second
+    /// Every back end that could serve it has reached its rate limit.
     RateLimited,
-    /// no region in which it may be served has a back end that takes work
+    /// No allowed region has a back end that takes requests.
     OutsideRegions,
-    /// its adapter is nowhere, and no sidecar that is heard would bring it
+    /// No engine holds its adapter, and no reporting sidecar could load it.
     NoLoadingSidecar,
-    /// each back end is full
+    /// Every back end is full.
     Full,
-    /// its adapter was not loaded in time
+    /// Its adapter was not loaded in time.
     NotLoaded,
-    /// its adapter is on its way back to an engine that is less busy
+    /// Its adapter is being reloaded on a less busy engine.
     Reloading,
-    /// its adapter comes too late for its objective
+    /// Loading its adapter takes longer than its latency objective allows.
     LoadTooSlow,
-    /// the budget for repeats is used up
+    /// The retry budget is used up.
     RetryBudgetExhausted,
 }
 
 impl RejectionCause {
-    /// the word in logs and metrics
+    /// Returns the code in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::NoBackend => "no_backend",
@@ -90,13 +89,13 @@
     }
 }
 
-/// what becomes of a request
+/// The decision on a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     Send(Assignment),
     Reject {
         cause: RejectionCause,
-        /// when it could be served
+        /// When the request is likely to be served.
         retry_after: Duration,
         inputs: DecisionInputs,
     },
--- a/coordination/src/dispatch/demands.rs
+++ b/coordination/src/dispatch/demands.rs
@@ -7,8 +7,7 @@
     },
 };
 
-/// write what this entry needs of one engine, and begin its next count of
-/// adapters that were used
+/// Builds what this entry needs of one engine, and resets its set of used adapters.
 pub fn build_demand(
     settings: &DispatchSettings,
     list_version: u64,
@@ -63,7 +62,7 @@
     }
 }
 
-/// held adapters with a newer version, in that version
+/// Returns the newest versions of held adapters that are outdated.
 fn outdated(state: &BackendState, versions: &AdapterVersions) -> Vec<HeldAdapter> {
     let held = state.view.iter().flat_map(|v| &v.held);
     let newer = held.filter_map(|h| {
--- a/coordination/src/dispatch/dispatch_request.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -9,40 +9,39 @@
     std::time::{Duration, Instant},
 };
 
-/// number of a request within one life of an entry
+/// Number of a request within one run of an entry.
 pub type Ticket = u64;
 
-/// a request that needs a back end
+/// A request that needs a back end.
 #[derive(Debug, Clone)]
 pub struct DispatchRequest {
     pub digest: RequestDigest,
-    /// an engine has ended under it since it was served last
+    /// Whether an engine crashed under it since it last completed.
     pub is_crash_suspect: bool,
     pub service: ServiceName,
-    /// the base model, also of requests without an adapter
+    /// The base model, also set for requests without an adapter.
     pub model: Option<BaseModelName>,
     pub adapter: Option<AdapterRef>,
     pub prompt_tokens: u32,
-    /// the client account that asks, none on a route without keys
+    /// The client account, none on a route without keys.
     pub account: Option<AccountMark>,
-    /// where it may be served
     pub allowed_regions: AllowedRegions,
-    /// of the client account, goes before that of the route; 0 is the most urgent
+    /// Priority of the client account; compared before that of the route. 0 is the most
+    /// urgent.
     pub account_priority: u8,
-    /// of the route; 0 is the most urgent
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u8,
     pub target_latency: Duration,
     pub arrived_at: Instant,
-    /// when the client or the route ends the request
+    /// When the client or the route gives up.
     pub deadline: Instant,
-    /// back ends that are not to be tried again
+    /// Back ends that must not be tried again.
     pub tried_backends: Vec<BackendId>,
-    /// it was refused before and came back
+    /// Whether it was rejected before and came back.
     pub was_rejected_before: bool,
-    /// it was weighed whether it should be refused and come back
+    /// Whether the load time of its adapter was compared with its latency objective.
     pub is_load_time_checked: bool,
-    /// times that it was sent
     pub send_count: u32,
-    /// its turn among those of its priority, given by the dispatcher
+    /// Order among requests of equal priority, set by the dispatcher.
     pub start_tag: u64,
 }
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -24,10 +24,10 @@
     },
 };
 
-/// entries assumed before a sidecar has counted them
+/// Number of entries assumed until a sidecar reports it.
 const DEFAULT_ENTRY_COUNT: u32 = 8;
 
-/// one back end, for logs and operators
+/// Summary of one back end for logs and operators.
 #[derive(Debug, Clone)]
 pub struct BackendSummary {
     pub id: BackendId,
@@ -37,7 +37,7 @@
     pub failure_rate: f64,
 }
 
-/// chooses back ends for one entry's requests
+/// Chooses back ends for the requests of one entry.
 pub struct Dispatcher {
     pub(super) settings: DispatchSettings,
     pub(super) backends: BTreeMap<BackendId, BackendState>,
@@ -46,44 +46,44 @@
     pub(super) waiting: WaitingList,
     pub(super) fair_queueing: AccountFairQueueing,
     pub(super) in_flight: HashMap<Ticket, (BackendId, ServiceName, InFlightRequest)>,
-    /// how fast prompts are read, by service
+    /// Prefill rates by service.
     pub(super) prefill_rates: HashMap<ServiceName, PrefillRate>,
     pub(super) retry_budgets: HashMap<ServiceName, SharedRetryBudget>,
     pub(super) adapter_versions: AdapterVersions,
-    /// adapters that engines were asked to load
+    /// Adapters that sidecars were requested to load.
     pub(super) pending_loads: HashMap<AdapterRef, PendingLoad>,
-    /// what the sidecars say of the lives of engines, by the engine's address
+    /// Incarnations that sidecars reported, by engine address.
     pub(super) incarnations: HashMap<SocketAddr, ReportedIncarnation>,
-    /// what back ends say of themselves
+    /// Signals that back ends sent about themselves.
     pub(super) signals: BackendSignalTracker,
-    /// highest fences of the sidecars, by the address of their engine
+    /// Highest fence that a sidecar reported, by engine address.
     pub(super) fences: HashMap<SocketAddr, u64>,
-    /// wishes since the last call of `take_wished`
+    /// Loads requested since the last call of `take_requested_loads`.
     pub(super) requested_loads: Vec<RequestedLoad>,
-    /// time until adapters come that sidecars were asked for which are not heard
+    /// Time until an adapter is expected at an engine without a reporting sidecar.
     pub(super) load_delay: LoadDelay,
-    /// requests that were told to come back for an adapter
+    /// Rejected requests that are expected to return once their adapter is loaded.
     pub(super) expected_returns: HashMap<AdapterRef, ExpectedReturn>,
-    /// engines whose sidecars must hear of a new wish
+    /// Engines whose sidecars must receive a new load request.
     pub(super) urgent_demands: HashSet<BackendId>,
     pub(super) decisions: Vec<(Ticket, Decision)>,
-    /// zones whose back ends are to be sent nothing
+    /// Zones whose back ends receive no requests.
     pub(super) evacuated_zones: HashSet<ZoneName>,
-    /// back ends that name a limit
+    /// Back ends that advertise a rate limit.
     pub(super) limited_backends: HashSet<BackendId>,
-    /// when their limits were last shared anew
+    /// Time of the last update of the limits.
     pub(super) limits_refreshed_at: Option<Instant>,
-    /// an engine was cold when this was looked at last: with thousands of engines a look at
-    /// each event would cost as much as a decision
+    /// Whether any engine was in slow start at the last check; avoids a scan of all engines
+    /// at each event.
     pub(super) may_have_slow_start: bool,
-    /// which runs the ends of engines belong to
+    /// Attributes engine crashes to the requests that were running.
     pub(super) crashes: CrashEvidence,
-    /// requests that were served since the last call of `take_served`
+    /// Requests completed since the last call of `take_completed`.
     completed: Vec<RequestDigest>,
-    /// when this process began, if the fleet served before
+    /// Start time of this process, if the fleet was already serving.
     restarted_at: Option<Instant>,
     pub(super) fleet_size: FleetSize,
-    /// when a sidecar spoke or a back end answered
+    /// Time of the last sidecar report or completed response.
     pub(super) last_report_at: Option<Instant>,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// take in what happened; gives what was decided by it
+    /// Handles an event and returns the decisions that follow from it.
     pub fn handle(&mut self, event: DispatchEvent, now: Instant) -> Vec<(Ticket, Decision)> {
         self.advance_slow_starts(now);
         self.refresh_limits(now);
@@ -130,7 +130,7 @@
                 self.on_request_arrived(ticket, request, now)
             }
             DispatchEvent::RequestWithdrawn(ticket) => {
-                if let Some(request) = self.waiting.take(ticket) {
+                if let Some(request) = self.waiting.remove(ticket) {
                     self.on_not_sent(&request);
                 }
             }
@@ -151,11 +151,11 @@
                 response,
             } => {
                 self.on_permits(&backend, requested_at, response, now);
-                let held = self
+                let service = self
                     .backends
                     .get(&backend)
                     .map(|b| b.listed.service.clone());
-                self.dispatch_waiting(|request| Some(&request.service) == held.as_ref(), now);
+                self.dispatch_waiting(|request| Some(&request.service) == service.as_ref(), now);
             }
             DispatchEvent::ViewReceived { .. } | DispatchEvent::StatsReceived { .. }
                 if !self.settings.features.sidecar_views => {}
@@ -193,42 +193,42 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// what engines were asked to load since the last call, for logs
+    /// Returns the loads requested since the last call, for logs.
     pub fn take_requested_loads(&mut self) -> Vec<RequestedLoad> {
         std::mem::take(&mut self.requested_loads)
     }
-    /// engines that ended under runs since the last call
+    /// Returns the engine crashes detected since the last call.
     pub fn take_crashes(&mut self) -> Vec<Crash> {
         self.crashes.take_crashes()
     }
-    /// requests that were run to their end since the last call
+    /// Returns the requests completed since the last call.
     pub fn take_completed(&mut self) -> Vec<RequestDigest> {
         std::mem::take(&mut self.completed)
     }
     pub fn has_urgent_demands(&self) -> bool {
         !self.urgent_demands.is_empty()
     }
-    /// whether any back end was heard of lately; a process that is cut off
-    /// should not be sent clients
+    /// Returns whether any back end was reachable recently; an entry that is cut off should
+    /// receive no clients.
     pub fn reaches_backends(&self, now: Instant) -> bool {
-        let Some(heard) = self.last_report_at else {
-            // nothing was ever heard: the list alone must do
+        let Some(reported_at) = self.last_report_at else {
+            // without any report so far, the list alone has to do
             return true;
         };
-        now.saturating_duration_since(heard) < self.settings.disconnected_after
+        now.saturating_duration_since(reported_at) < self.settings.disconnected_after
     }
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
     pub fn backend_summaries(&self, now: Instant) -> Vec<BackendSummary> {
-        let rows = self.backends.values().map(|b| BackendSummary {
+        let summaries = self.backends.values().map(|b| BackendSummary {
             id: b.listed.id.clone(),
             in_flight: b.in_flight,
             occupied: b.occupied(now),
             held: b.view.as_ref().map_or(0, |v| v.held.len()),
             failure_rate: b.health.failure_rate(now),
         });
-        rows.collect()
+        summaries.collect()
     }
 
     fn on_settings(&mut self, settings: DispatchSettings) {
@@ -244,8 +244,8 @@
             .next_start_tag(request.account, request.prompt_tokens);
         let entries = self.retry_budget_entries();
         let budget = self.retry_budgets.entry(request.service.clone());
-        let bounds = self.settings.budget;
-        let budget = budget.or_insert_with(|| SharedRetryBudget::new(bounds, self.restarted_at));
+        let settings = self.settings.budget;
+        let budget = budget.or_insert_with(|| SharedRetryBudget::new(settings, self.restarted_at));
         match request.send_count {
             0 => budget.on_request(now),
             _ if !budget.try_reserve(entries, now) => {
@@ -257,14 +257,14 @@
             _ => {}
         }
         let (service, adapter) = (request.service.clone(), request.adapter.clone());
-        self.waiting.put(ticket, request);
-        // those that wait for the same go first
+        self.waiting.insert(ticket, request);
+        // requests that wait for the same adapter go first
         self.dispatch_waiting(|a| a.service == service && a.adapter == adapter, now);
     }
 
-    /// The back end itself knows that it leaves before its record does: where the store is
-    /// silent, its answers are all that says so. It alone knows how long it needs, too: tried
-    /// each 60 ms, the repeats of a service were used up within 2 s.
+    /// Records what a back end reports about itself. It may announce that it is leaving
+    /// before its record in the registry does, and it alone knows how long it needs to
+    /// recover.
     pub(super) fn record_signal(&mut self, backend: &BackendId, signal: OwnWord, now: Instant) {
         self.signals.on_signal(backend, signal, now);
         let backoff_until = self.signals.backoff_until(backend, now);
@@ -274,10 +274,10 @@
         }
     }
 
-    /// an answer to a request that was sent then says this of its back end
-    fn on_signal(&mut self, backend: &BackendId, signal: OwnWord, sent: Instant, now: Instant) {
+    /// Handles a signal in the response to a request that was sent at `sent_at`.
+    fn on_signal(&mut self, backend: &BackendId, signal: OwnWord, sent_at: Instant, now: Instant) {
         self.record_signal(backend, signal, now);
-        self.on_limit_signal(backend, (signal.limit, sent), now);
+        self.on_limit_signal(backend, (signal.limit, sent_at), now);
         if let Some(left) = signal.cold {
             self.on_slow_start(backend, left, now);
         }
@@ -297,9 +297,9 @@
             }
         }
         if sent.is_sole_prefill {
-            let took = now.saturating_duration_since(sent.sent_at);
+            let prefill_time = now.saturating_duration_since(sent.sent_at);
             let rate = self.prefill_rates.entry(service.clone()).or_default();
-            rate.on_sole_prefill(sent.prompt_tokens, took.as_secs_f64() * 1_000.0);
+            rate.on_sole_prefill(sent.prompt_tokens, prefill_time.as_secs_f64() * 1_000.0);
         }
         sent.has_started = true;
         if let (Some(state), Some(adapter)) = (self.backends.get_mut(backend), &sent.adapter) {
@@ -309,7 +309,7 @@
         }
     }
 
-    /// gives the service whose back end has a free place now
+    /// Returns the service whose back end has a free slot now.
     fn on_request_ended(
         &mut self,
         ticket: Ticket,
@@ -337,7 +337,7 @@
                         self.load_delay.on_adapter_missing();
                     }
                 }
-                // it lacks the base model
+                // the engine lacks the base model
                 None => state.on_saturated(now),
             },
             SendOutcome::Superseded => {
@@ -348,25 +348,25 @@
             SendOutcome::Failed => state.health.on_failure(now),
             SendOutcome::Broken => {
                 state.health.on_failure(now);
-                // what breaks off while an engine leaves is its planned end
+                // responses cut off by a leaving engine belong to its planned stop
                 if !state.is_leaving() {
                     self.crashes.on_broken(&backend, sent.digest, now);
                 }
             }
             SendOutcome::Abandoned => {}
         }
-        let is_idle_and_gone = state.is_unlisted && state.in_flight == 0;
-        if is_idle_and_gone && self.has_listed(&service) {
+        let is_removable = state.is_unlisted && state.in_flight == 0;
+        if is_removable && self.has_listed(&service) {
             if let Some(state) = self.backends.remove(&backend) {
-                self.signals.keep_limit(&backend, &state.limit, now);
+                self.signals.save_limit(&backend, &state.limit, now);
             }
         }
         Some(service)
     }
 
-    /// give back ends to those of the requests that wait, in order, and refuse
-    /// those whose wait is over; gives how many wait for each limited back end, and the
-    /// priority of the most urgent
+    /// Sends waiting requests in order and rejects those whose wait is over. Returns, for
+    /// each rate-limited back end, the number of requests that wait for it and the priority
+    /// of the most urgent one.
     pub(super) fn dispatch_waiting(
         &mut self,
         is_affected: impl Fn(&DispatchRequest) -> bool,
@@ -374,7 +374,7 @@
     ) -> HashMap<BackendId, (u32, u8)> {
         let mut ahead = HashMap::new();
         for ticket in self.waiting.tickets(is_affected) {
-            let Some(request) = self.waiting.take(ticket) else {
+            let Some(request) = self.waiting.remove(ticket) else {
                 continue;
             };
             match self.choose(&request, now) {
@@ -439,29 +439,29 @@
         })
     }
 
-    /// entries of the fleet, as the sidecars count them
+    /// Returns the number of entries that sidecars report.
     pub fn reported_entry_count(&self) -> Option<u32> {
         let views = self.backends.values().filter_map(|b| b.view.as_ref());
-        let counted = views.map(|v| v.figures.entries).max();
-        counted.filter(|n| *n > 0)
+        let reported = views.map(|v| v.figures.entries).max();
+        reported.filter(|n| *n > 0)
     }
-    /// The same; where none has counted them, this one alone: it can't tell what others wait
-    /// for, and homes for eight entries had twice the adapters brought that were needed.
+    /// Returns the number of entries, or 1 until a sidecar reports it: too high a number
+    /// would load adapters that no request waits for.
     pub fn entry_count(&self) -> u32 {
         self.reported_entry_count().unwrap_or(1)
     }
 
-    /// Entries that share the budgets. Copies and homes go by the count of the moment: one
-    /// that is too high for a while would have adapters loaded that nobody waits for.
+    /// Returns the number of entries that share the retry budgets. Unlike `entry_count`,
+    /// it stays at its recent maximum after entries have left.
     fn retry_budget_entries(&self) -> u32 {
         self.fleet_size.entries().unwrap_or(DEFAULT_ENTRY_COUNT)
     }
 
-    /// the configuration of a service
+    /// Returns the configuration of a service.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.table.services.get(name)
     }
-    /// a back end as it was last listed
+    /// Returns the back ends of the current list.
     pub fn listed_backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends
             .values()
--- a/coordination/src/dispatch/engine_observations.rs
+++ b/coordination/src/dispatch/engine_observations.rs
@@ -6,53 +6,53 @@
     },
 };
 
-/// an adapter that the engine ran is expected there for this long after its last run: a
-/// sidecar unloads what nobody asks for where it needs the place
+/// How long after its last run an adapter is expected on the engine: a sidecar unloads idle
+/// adapters when it needs the slot.
 const RECENT_RUN_WINDOW: Duration = Duration::from_secs(10);
-/// an adapter that the engine lacked is not looked for there for this long
+/// How long an adapter that the engine lacked isn't looked for there.
 const MISSING_ADAPTER_PAUSE: Duration = Duration::from_millis(700);
-/// A sidecar that did not bring what it was asked for is not asked for this long: requests
-/// that would wait for it are refused at once. One that brought something within this time
-/// is slow, and is asked on.
+/// How long a sidecar that failed to load an adapter is not asked again, so that requests
+/// are rejected at once rather than wait for it. One that loaded something within this time
+/// is merely slow.
 const FAILED_LOAD_PAUSE: Duration = Duration::from_secs(5);
-/// an engine turns a request away within this time: ten times a way there and back between
-/// availability zones
+/// Time within which an engine refuses a request for an adapter that it lacks; ten round
+/// trips between zones.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// what an entry has seen itself of an engine whose sidecar it does not hear
+/// What this entry observed of an engine whose sidecar doesn't report.
 #[derive(Debug, Clone, Default)]
 pub struct EngineObservations {
     last_runs: HashMap<AdapterRef, Instant>,
     missing: HashMap<AdapterRef, Instant>,
-    /// the first request for an adapter that was not seen to run here yet
+    /// Times of the first requests for adapters that were not yet seen to run here.
     first_attempts: HashMap<AdapterRef, Instant>,
-    /// demands do not reach its sidecar
+    /// Whether demands don't reach the sidecar.
     is_demand_undelivered: bool,
-    /// when an adapter was first seen to be there
+    /// When an adapter was last seen to have been loaded.
     last_load_seen: Option<Instant>,
-    /// when the sidecar was last found not to have brought an adapter, unless it brought
-    /// one since
+    /// When a load was last found missing, unless one succeeded since.
     last_load_missing: Option<Instant>,
 }
 
 impl EngineObservations {
-    /// its sidecar speaks
+    /// Handles a report of the sidecar.
     pub fn on_report(&mut self) {
         self.missing.clear();
         self.first_attempts.clear();
         self.last_load_missing = None;
     }
-    /// its sidecar, which speaks no more, has last said that it holds these
+    /// Handles the loss of the sidecar's reports, the last of which listed these adapters.
     pub fn on_view_lost(&mut self, held: impl Iterator<Item = AdapterRef>, now: Instant) {
         self.last_runs.extend(held.map(|adapter| (adapter, now)));
     }
-    /// a request on an adapter goes there
+    /// Records that a request for an adapter is sent to the engine.
     pub fn on_sent(&mut self, adapter: &AdapterRef, now: Instant) {
         if !self.ran_recently(adapter, now) {
             self.first_attempts.entry(adapter.clone()).or_insert(now);
         }
     }
-    /// the engine ran a request on an adapter; says whether that was not seen before
+    /// Records that the engine ran a request on an adapter; returns whether it had not been
+    /// seen there before.
     pub fn on_ran(&mut self, adapter: &AdapterRef, now: Instant) -> bool {
         let is_new = self.first_attempts.remove(adapter).is_some();
         self.last_runs.insert(adapter.clone(), now);
@@ -64,10 +64,11 @@
         self.remove_expired(now);
         is_new
     }
-    /// the engine lacked it; says whether it was not seen to run there before
+    /// Records that the engine lacked an adapter; returns whether it had not been seen to
+    /// run there before.
     pub fn on_missing(&mut self, adapter: &AdapterRef, now: Instant) -> bool {
         self.first_attempts.remove(adapter);
-        // what it ran before was unloaded, which proves nothing of its sidecar
+        // an adapter that ran before was unloaded, which is no failure to load
         let is_new = self.last_runs.remove(adapter).is_none();
         let has_loaded_recently = is_within(self.last_load_seen.as_ref(), FAILED_LOAD_PAUSE, now);
         if is_new && !has_loaded_recently {
@@ -83,16 +84,16 @@
     pub fn ran_recently(&self, adapter: &AdapterRef, now: Instant) -> bool {
         is_within(self.last_runs.get(adapter), RECENT_RUN_WINDOW, now)
     }
-    /// A first request shows whether the adapter is there; those that would go with it wait
-    /// until it could have been turned away, or each of them would cost a repeat.
+    /// Returns whether the first request for an adapter is still out. Further ones wait
+    /// until the engine could have refused it, as each would cost a retry.
     pub fn is_being_probed(&self, adapter: &AdapterRef, now: Instant) -> bool {
         is_within(self.first_attempts.get(adapter), REFUSAL_TIMEOUT, now)
     }
-    /// a demand has reached its sidecar, or has not
+    /// Records whether a demand reached the sidecar.
     pub fn on_demand_sent(&mut self, is_accepted: bool) {
         self.is_demand_undelivered = !is_accepted;
     }
-    /// whether its sidecar may load what it is asked for, for all that is known
+    /// Returns whether the sidecar may load what it is requested to, as far as is known.
     pub fn may_load(&self, now: Instant) -> bool {
         !self.is_demand_undelivered
             && !is_within(self.last_load_missing.as_ref(), FAILED_LOAD_PAUSE, now)
--- a/coordination/src/dispatch/engines_without_sidecar.rs
+++ b/coordination/src/dispatch/engines_without_sidecar.rs
@@ -1,6 +1,6 @@
-//! Engines whose sidecar is not heard: it is gone, cut off, or of a build that is not
-//! understood. They are used by what the list says, what they answered, and what their
-//! sidecar was asked for; docs/design/upgrades.md has the ways that were weighed.
+//! Engines without a reporting sidecar: it is gone, cut off, or of an incompatible build.
+//! They are used according to the list, their responses, and the loads requested from their
+//! sidecar; see docs/design/upgrades.md.
 
 use {
     super::{dispatcher::Dispatcher, BackendState, DispatchRequest},
@@ -9,15 +9,16 @@
 };
 
 impl Dispatcher {
-    /// a demand has reached the sidecar of the engine at this address, or has not
+    /// Records whether a demand reached the sidecar of the engine at this address.
     pub(super) fn on_demand_sent(&mut self, addr: SocketAddr, is_accepted: bool) {
         let states = self.backends.values_mut();
-        let there = states.filter(|b| b.listed.addr == addr);
-        there.for_each(|b| b.observations.on_demand_sent(is_accepted));
+        let at_addr = states.filter(|b| b.listed.addr == addr);
+        at_addr.for_each(|b| b.observations.on_demand_sent(is_accepted));
     }
 
-    /// engines, not heard, that may have an adapter: they ran it, or were asked to load it
-    /// long enough ago. They refuse it without running anything if they don't.
+    /// Returns engines without a reporting sidecar that may hold an adapter: they ran it,
+    /// or its load was requested long enough ago. An engine that lacks it refuses the
+    /// request without running it.
     pub(super) fn expected_holders<'b>(
         &self,
         candidates: &[&'b BackendState],
@@ -25,12 +26,13 @@
         now: Instant,
     ) -> Vec<&'b BackendState> {
         let pending = self.pending_loads.get(adapter);
-        let is_due = pending.is_some_and(|pending| {
+        let is_load_due = pending.is_some_and(|pending| {
             now.saturating_duration_since(pending.requested_at()) >= self.load_delay.get()
         });
         let is_expected = |b: &&BackendState| {
-            let was_asked = is_due && pending.is_some_and(|w| w.backends.contains(&b.listed.id));
-            let may_have = was_asked || b.observations.ran_recently(adapter, now);
+            let was_requested =
+                is_load_due && pending.is_some_and(|load| load.backends.contains(&b.listed.id));
+            let may_have = was_requested || b.observations.ran_recently(adapter, now);
             let is_ruled_out = b.observations.is_missing(adapter, now)
                 || b.observations.is_being_probed(adapter, now);
             b.is_sidecar_unresponsive(now) && may_have && !is_ruled_out
@@ -38,8 +40,8 @@
         candidates.iter().copied().filter(is_expected).collect()
     }
 
-    /// whether no engine will get the adapter, for all that is known: each that could is
-    /// not heard, and its sidecar did not bring what it was asked for lately
+    /// Returns whether no engine is expected to load the adapter: no suitable one has a
+    /// reporting sidecar, and none of their sidecars performs loads.
     pub(super) fn is_unloadable(
         &self,
         request: &DispatchRequest,
@@ -48,7 +50,7 @@
     ) -> bool {
         let with_model = |b: &&&BackendState| request.model.as_ref().is_none_or(|m| b.has_model(m));
         let able: Vec<_> = candidates.iter().filter(with_model).collect();
-        // engines that have just begun get their base model by themselves
+        // engines that just started load their base model unasked
         !able.is_empty()
             && able
                 .iter()
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -10,29 +10,29 @@
     std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Instant},
 };
 
-/// how a send ended
+/// How a send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// answered whole
+    /// The response is complete.
     Answered,
-    /// the back end said that it did not run it, being full
+    /// The back end was full and didn't run it.
     Shed,
-    /// it lacks the adapter, or has another version of it
+    /// The back end lacks the adapter, or has another version of it.
     Misdirected,
-    /// another incarnation answers at its address
+    /// Another incarnation responded at its address.
     Superseded,
-    /// never reached it
+    /// The request never reached the back end.
     Unreachable,
-    /// it failed, or its answer was spoilt
+    /// The back end failed, or its response was invalid.
     Failed,
-    /// the connection ended before the answer did
+    /// The connection closed before the response was complete.
     Broken,
-    /// the client left, or its time ran out
+    /// The client disconnected, or its deadline passed.
     Abandoned,
 }
 
 impl SendOutcome {
-    /// the word in logs and metrics
+    /// Returns the code in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -47,30 +47,31 @@
     }
 }
 
-/// what happens to the dispatcher
+/// Input of the dispatcher.
 #[derive(Debug)]
 pub enum DispatchEvent {
-    /// a request needs a back end
+    /// A request needs a back end.
     RequestArrived {
         ticket: Ticket,
         request: DispatchRequest,
     },
-    /// a request that waited is gone
+    /// A waiting request was cancelled.
     RequestWithdrawn(Ticket),
-    /// the first part of an answer came
+    /// The first part of a response arrived.
     ResponseStarted(Ticket),
     SendEnded {
         ticket: Ticket,
         outcome: SendOutcome,
     },
-    /// a back end said this of itself in the head of an answer
+    /// A back end sent signals about itself in a response head.
     SignalReceived {
         backend: BackendId,
         signal: OwnWord,
-        /// when the request was sent that it answered
+        /// When the request of that response was sent.
         sent_at: Instant,
     },
-    /// the dealer of an engine's permits has answered a question that was asked then
+    /// The permit issuer of an engine responded, or failed to, to a query sent at
+    /// `requested_at`.
     PermitsReceived {
         backend: BackendId,
         requested_at: Instant,
@@ -81,27 +82,27 @@
         list: BackendList,
     },
     ConfigUpdated(Arc<RouteTable>),
-    /// zones whose back ends are to be sent nothing
+    /// The zones whose back ends receive no requests.
     ZonesEvacuated(HashSet<ZoneName>),
-    /// the settings were read again
+    /// The settings were reloaded.
     SettingsUpdated(DispatchSettings),
-    /// the sidecar of the engine at this address said this
+    /// The sidecar of the engine at this address sent a view.
     ViewReceived {
         addr: SocketAddr,
         view: EngineView,
     },
-    /// nothing but these figures of a view has changed
+    /// Only these stats of a view changed.
     StatsReceived {
         backend: BackendId,
         stats: EngineFigures,
     },
     ViewLost(BackendId),
-    /// whether the sidecar of the engine at this address takes demands
+    /// A demand was sent to the sidecar of the engine at this address.
     DemandSent {
         addr: SocketAddr,
         is_accepted: bool,
     },
-    /// an adapter has a new version
+    /// An adapter has a new version.
     VersionAnnounced {
         adapter: AdapterRef,
         version: u64,
--- a/coordination/src/dispatch/expected_returns.rs
+++ b/coordination/src/dispatch/expected_returns.rs
@@ -1,4 +1,4 @@
-//! requests that are told to come back when their adapter is there
+//! Requests that are rejected with the time at which their adapter will be loaded.
 
 use {
     super::{dispatcher::Dispatcher, DispatchRequest},
@@ -7,26 +7,27 @@
     std::time::{Duration, Instant},
 };
 
-/// added to the time of a load before its requests come back
+/// Added to the load time before the requests of an adapter return.
 const RETURN_MARGIN: Duration = Duration::from_millis(60);
-/// an adapter stays wanted for this long after its requests should be back
+/// How long an adapter stays wanted after its requests should have returned.
 const RETURN_GRACE: Duration = Duration::from_millis(400);
 
-/// requests that come back for an adapter
+/// Rejected requests that are expected to return for an adapter.
 #[derive(Debug, Clone)]
 pub(super) struct ExpectedReturn {
     pub(super) backend: BackendId,
     pub(super) priority: u8,
     pub(super) requests: u32,
-    /// when the last of them should be back
+    /// When the last of them should have returned.
     pub(super) until: Instant,
 }
 
 impl Dispatcher {
-    /// When a request should come back whose adapter is too late for its objective;
-    /// it is refused, and its adapter goes on being wanted. A request is judged once:
-    /// as soon as the sidecar that is to load the adapter has spoken after it was asked.
-    /// Later it is better off where it waits.
+    /// Returns when a request should come back whose adapter can't be loaded within its
+    /// latency objective; it is then rejected, and its adapter stays wanted.
+    ///
+    /// A request is checked once, as soon as the sidecar that is to load the adapter
+    /// reports after the load was requested. After that, waiting is better.
     pub(super) fn schedule_return(
         &mut self,
         request: &mut DispatchRequest,
@@ -42,7 +43,7 @@
         let pending = self.pending_loads.get(adapter)?;
         let may_serve = |id: &&BackendId| {
             let state = self.backends.get(*id);
-            state.is_some_and(|state| self.may_serve(request, state))
+            state.is_some_and(|state| self.is_region_allowed(request, state))
         };
         let backend = pending.backends.iter().find(may_serve)?.clone();
         let requested_at = pending.requested_at();
@@ -56,8 +57,8 @@
         }
         let view = state.view.as_ref()?;
         let waited = now.saturating_duration_since(request.arrived_at);
-        let returns = state.has_recently_held(adapter_mark(adapter));
-        let load_ms = match returns && self.settings.features.return_home {
+        let is_reload = state.has_recently_held(adapter_mark(adapter));
+        let load_ms = match is_reload && self.settings.features.return_home {
             true => view.figures.next_return_ms,
             false => view.figures.next_load_ms,
         };
--- a/coordination/src/dispatch/fleet_size.rs
+++ b/coordination/src/dispatch/fleet_size.rs
@@ -1,18 +1,18 @@
 use std::time::{Duration, Instant};
 
-/// The number of entries that share a budget, by the sidecars' counts.
+/// Number of entries that share a budget, as counted by the sidecars.
 ///
-/// A sidecar that has just begun, or is cut off, counts the entries that it hears. So the
-/// highest count of the last window holds: a share is too small for one window after
-/// entries have left, and never too large because sidecars have lost sight of some.
+/// A sidecar that just started or is cut off counts too few entries, so the maximum over
+/// the last window is used. Shares are too small for one window after entries have left,
+/// but never too large.
 #[derive(Debug, Default)]
 pub struct FleetSize {
-    /// the highest count, and when a sidecar gave it last
+    /// The highest count, and when a sidecar last reported it.
     highest: Option<(u32, Instant)>,
 }
 
 impl FleetSize {
-    /// a sidecar counts so many; 0 says nothing
+    /// Handles a count reported by a sidecar; 0 means unknown.
     pub fn on_entry_count(&mut self, entries: u32, window: Duration, now: Instant) {
         let holds = |(highest, at): &(u32, Instant)| {
             *highest > entries && now.saturating_duration_since(*at) < window
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -1,4 +1,7 @@
-//! engines that load an adapter which none holds
+//! Selects the engines that load an adapter which no engine holds.
+//!
+//! The home of an adapter is the engine that every entry prefers for it, by rendezvous
+//! hashing among engines in a similar state.
 
 use {
     super::{
@@ -13,31 +16,31 @@
     },
 };
 
-/// prompts that take longer to read than this are too many for one engine, in ms
+/// Prefill time of the waiting prompts above which an adapter gets another home, in ms.
 const MAX_PREFILL_MS_PER_HOME: f64 = 600.0;
-/// of the requests that wait at one entry, what other entries have as well
+/// Fraction of the requests waiting at one entry that other entries are assumed to have
+/// too.
 const COMMON_REQUEST_RATIO: f64 = 0.5;
-/// engines are told apart as homes by waits of this length, in ms
+/// Resolution of expected waits when homes are ranked, in ms.
 const HOME_WAIT_STEP_MS: f64 = 200.0;
 
-/// the order in which engines become homes of an adapter, the least first
+/// Sort key of an adapter's possible homes, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct HomeRank {
-    /// it names a limit
+    /// Whether it advertises a rate limit.
     is_limited: bool,
-    /// half of its places or more are taken
+    /// Whether its load is at the threshold for copies.
     is_crowded: bool,
-    /// how long a request would wait there, in coarse steps, so that entries that
-    /// see a little more or less agree
+    /// Expected wait in coarse steps, so that entries with slightly different views agree.
     wait_steps: u32,
-    /// it has to bring the adapter from the weight store
-    is_new: bool,
+    /// Whether the adapter has to be fetched from the weight store.
+    is_fetch_needed: bool,
     weight: Reverse<u64>,
 }
 
 impl Dispatcher {
-    /// engines that are to load an adapter that none holds, if they are not asked
-    /// to yet: one, and more while many requests wait
+    /// Returns engines that should load an adapter which none holds, unless enough are
+    /// loading it: one, and more while many requests wait.
     pub(super) fn homes_for(
         &self,
         adapter: &AdapterRef,
@@ -46,11 +49,14 @@
         now: Instant,
     ) -> Vec<BackendId> {
         let needed = self.homes_needed(adapter, request);
-        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
-        let may_load = candidates.iter().filter(|b| b.observations.may_load(now));
-        let may_load: Vec<&BackendState> = may_load.copied().collect();
-        let asked = pending.map_or(0, |w| w.count_among(&may_load));
-        if asked >= needed {
+        let pending = self
+            .pending_loads
+            .get(adapter)
+            .filter(|load| load.until > now);
+        let able = candidates.iter().filter(|b| b.observations.may_load(now));
+        let able: Vec<&BackendState> = able.copied().collect();
+        let requested = pending.map_or(0, |load| load.count_among(&able));
+        if requested >= needed {
             return Vec::new();
         }
         let candidates = loadable(candidates, adapter);
@@ -60,8 +66,8 @@
         let waited = now.saturating_duration_since(request.arrived_at);
         let skip = (waited.as_millis() / PENDING_LOAD_TIMEOUT.as_millis()) as usize;
         let start = skip % ranked.len().max(1);
-        let (before, from) = ranked.split_at(start);
-        for home in from.iter().chain(before) {
+        let (wrapped, from) = ranked.split_at(start);
+        for home in from.iter().chain(wrapped) {
             if homes.len() >= needed {
                 break;
             }
@@ -72,8 +78,8 @@
         homes
     }
 
-    /// Engines that are to load an adapter whose holders take no request before it could be
-    /// there; none where waiting for the holders is as good.
+    /// Returns engines that should load an adapter whose holders are rate-limited for
+    /// longer than a load takes.
     pub(super) fn homes_while_holders_limited(
         &self,
         request: &DispatchRequest,
@@ -85,56 +91,60 @@
         let is_free = |b: &&BackendState| b.limit.named().is_none();
         let free: Vec<&BackendState> = candidates.iter().copied().filter(is_free).collect();
         let opens_in = holders.iter().map(|b| b.limit.opens_in(now)).min()?;
-        let comes_in = loadable(&free, adapter)
+        let loads_in = loadable(&free, adapter)
             .iter()
             .filter(|b| b.spare_slots() > 0)
             .filter_map(|b| b.view.as_ref())
             .map(|v| Duration::from_millis(u64::from(v.figures.next_load_ms)))
             .min()?;
-        (opens_in > comes_in).then(|| self.homes_for(adapter, &free, request, now))
+        (opens_in > loads_in).then(|| self.homes_for(adapter, &free, request, now))
     }
 
-    /// engines that the requests for an adapter need while all of them wait.
-    /// That several wait here is evidence that they do at other entries; a
-    /// single one may be the only one
+    /// Returns the number of engines needed for the waiting requests of an adapter. Several
+    /// requests waiting here suggest that more wait at other entries; a single one may be
+    /// the only one.
     fn homes_needed(&self, adapter: &AdapterRef, request: &DispatchRequest) -> usize {
         if !self.settings.features.several_homes {
             return 1;
         }
-        let waiting = self.waiting.requests();
+        let waiting = self.waiting.iter();
         let others = waiting.filter(|request| request.adapter.as_ref() == Some(adapter));
         let tokens: u64 = others.map(|request| u64::from(request.prompt_tokens)).sum();
-        let of_all = tokens as f64 * f64::from(self.entry_count()) * COMMON_REQUEST_RATIO;
-        let prefill_ms =
-            (f64::from(request.prompt_tokens) + of_all) / self.tokens_per_ms(&request.service);
+        let estimated_total = tokens as f64 * f64::from(self.entry_count()) * COMMON_REQUEST_RATIO;
+        let prefill_ms = (f64::from(request.prompt_tokens) + estimated_total)
+            / self.tokens_per_ms(&request.service);
         ((prefill_ms / MAX_PREFILL_MS_PER_HOME).ceil() as usize).max(1)
     }
 
-    /// engines with a spare place in the adapter's own order, which is the same
-    /// at each entry; those that held it lately come first, waits that
-    /// differ count before
+    /// Returns engines with a free adapter slot in the adapter's order of homes, which is
+    /// the same at every entry. Engines with shorter waits come first, then those that
+    /// recently held the adapter.
     pub(super) fn rank_homes<'b>(
         &self,
         adapter: &AdapterRef,
         candidates: &[&'b BackendState],
         now: Instant,
     ) -> Vec<&'b BackendState> {
-        // one that is not heard may be gone with its machine: where another is, it is asked
-        let is_any_heard = candidates.iter().any(|b| !b.is_sidecar_unresponsive(now));
-        let may_load = |b: &&&BackendState| match is_any_heard {
+        // an engine whose sidecar doesn't report may be gone with its machine
+        let is_any_reporting = candidates.iter().any(|b| !b.is_sidecar_unresponsive(now));
+        let is_eligible = |b: &&&BackendState| match is_any_reporting {
             true => b.spare_slots() > 0,
             false => b.observations.may_load(now),
         };
-        let spare = candidates.iter().filter(may_load);
+        let eligible = candidates.iter().filter(is_eligible);
         let hash = adapter_mark(adapter);
-        let returns = self.settings.features.return_home;
-        let mut ranked: Vec<(HomeRank, &BackendState)> = spare
+        let prefers_recent = self.settings.features.return_home;
+        let mut ranked: Vec<(HomeRank, &BackendState)> = eligible
             .map(|b| {
                 let rank = HomeRank {
                     is_limited: b.limit.named().is_some(),
                     is_crowded: b.load(now) >= self.settings.copy_load_threshold,
-                    wait_steps: self.wait_steps(b, returns && b.has_recently_held(hash), now),
-                    is_new: !(returns && b.has_recently_held(hash)),
+                    wait_steps: self.wait_steps(
+                        b,
+                        prefers_recent && b.has_recently_held(hash),
+                        now,
+                    ),
+                    is_fetch_needed: !(prefers_recent && b.has_recently_held(hash)),
                     weight: Reverse(rendezvous_weight(hash, b.home_hash())),
                 };
                 (rank, *b)
@@ -144,11 +154,11 @@
         ranked.into_iter().map(|(_, b)| b).collect()
     }
 
-    /// time until a request could be read at an engine that is to load its
-    /// adapter, in steps
-    fn wait_steps(&self, state: &BackendState, returns: bool, now: Instant) -> u32 {
+    /// Returns the expected wait until prefill at an engine that has to load the adapter,
+    /// in steps.
+    fn wait_steps(&self, state: &BackendState, is_reload: bool, now: Instant) -> u32 {
         let view = state.view.as_ref();
-        let load_ms = match returns {
+        let load_ms = match is_reload {
             true => 0.0,
             false => view.map_or(0.0, |v| f64::from(v.figures.next_load_ms)),
         };
@@ -156,7 +166,7 @@
     }
 }
 
-/// engines that hold the adapter's base model; if none does, any will get it
+/// Returns the engines that hold the adapter's base model, or all if none does.
 pub(super) fn loadable<'b>(
     candidates: &[&'b BackendState],
     adapter: &AdapterRef,
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -1,4 +1,4 @@
-//! back ends that name how many requests they take
+//! Back ends that advertise a rate limit.
 
 use {
     super::dispatcher::Dispatcher,
@@ -15,19 +15,18 @@
     },
 };
 
-/// Time between two looks at all limits: with a thousand limited engines each costs as much as
-/// many decisions.
+/// Minimum time between two updates of all limits, which cost as much as many decisions.
 const LIMIT_REFRESH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// why a dealer of permits has not answered
+/// Why a permit issuer sent no permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitError {
-    /// it is of a build that deals out nothing
+    /// Its build doesn't issue permits.
     Unsupported,
     NoResponse,
 }
 
-/// a question to the dealer beside an engine
+/// A query to the permit issuer beside an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitQuery {
     pub engine: SocketAddr,
@@ -36,19 +35,19 @@
 }
 
 impl Dispatcher {
-    /// an answer to a request that was sent then says this of a limit
+    /// Handles what the response to a request sent at `sent_at` says about a limit.
     pub(super) fn on_limit_signal(
         &mut self,
         backend: &BackendId,
-        (signal, sent): (LimitWord, Instant),
+        (signal, sent_at): (LimitWord, Instant),
         now: Instant,
     ) {
         self.update_limit(backend, now, |limit, sharing| {
-            limit.on_word(signal, sent, sharing, now);
+            limit.on_word(signal, sent_at, sharing, now);
         });
     }
 
-    /// the sidecar of an engine says what limit it names
+    /// Handles the limit that an engine's sidecar reports.
     pub(super) fn on_limit_reported(
         &mut self,
         backend: &BackendId,
@@ -64,7 +63,7 @@
         });
     }
 
-    /// the dealer beside an engine has answered, or has not
+    /// Handles a response of the permit issuer beside an engine, or its absence.
     pub(super) fn on_permits(
         &mut self,
         backend: &BackendId,
@@ -76,7 +75,7 @@
             Ok(response) if response.backend == *backend => {
                 limit.on_dealt(response, requested_at, sharing, now);
             }
-            // it speaks of another life, which may be the next one of the engine
+            // the response is about another incarnation, possibly the next one
             Ok(_) => limit.on_no_deal(false, now),
             Err(cause) => limit.on_no_deal(*cause == PermitError::Unsupported, now),
         });
@@ -95,7 +94,7 @@
         change(&mut state.limit, sharing);
         match state.limit.named() {
             Some(_) => self.limited_backends.insert(backend.clone()),
-            // its dealer must hear that it is over
+            // the permit issuer has yet to learn that the limit is gone
             None if state.limit.is_question_due(now) => {
                 self.limited_backends.insert(backend.clone())
             }
@@ -103,13 +102,13 @@
         };
     }
 
-    /// While back ends name limits: share them anew, and see what waits for them. Ticks do not
-    /// do, since none comes while other events come more often.
+    /// Updates the limits and dispatches the requests that wait for them. Runs at every
+    /// event, since no tick comes while other events are frequent.
     pub(super) fn refresh_limits(&mut self, now: Instant) {
-        let is_early = self
+        let is_recent = self
             .limits_refreshed_at
             .is_some_and(|at| now.saturating_duration_since(at) < LIMIT_REFRESH_INTERVAL);
-        if self.limited_backends.is_empty() || is_early {
+        if self.limited_backends.is_empty() || is_recent {
             return;
         }
         self.limits_refreshed_at = Some(now);
@@ -118,7 +117,7 @@
         self.set_wanted_permits(&waiting, true);
     }
 
-    /// the entries that share limits may be more or fewer
+    /// Adapts the limits to the current number of entries.
     fn update_limit_sharing(&mut self, now: Instant) {
         self.limited_backends
             .retain(|id| self.backends.contains_key(id));
@@ -138,7 +137,7 @@
         Some(state.limit_sharing(&self.settings.entry, entries, is_engine))
     }
 
-    /// so many requests wait for each limited back end
+    /// Sets how many requests wait for each rate-limited back end.
     pub(super) fn set_wanted_permits(
         &mut self,
         waiting: &HashMap<BackendId, (u32, u8)>,
@@ -156,10 +155,10 @@
         }
     }
 
-    /// what the dealers beside limited engines should be asked now
+    /// Returns the queries that are due to permit issuers.
     pub fn permit_queries(&mut self, now: Instant) -> Vec<PermitQuery> {
         let mut queries = Vec::new();
-        let mut done = Vec::new();
+        let mut released = Vec::new();
         for id in &self.limited_backends {
             let Some(state) = self.backends.get_mut(id) else {
                 continue;
@@ -170,7 +169,7 @@
             let (wanted, priority) = state.limit.wanted();
             let (update, unused) = state.limit.on_asked(now);
             if state.limit.named().is_none() {
-                done.push(id.clone());
+                released.push(id.clone());
             }
             queries.push(PermitQuery {
                 engine: state.listed.addr,
@@ -186,7 +185,7 @@
                 requested_at: now,
             });
         }
-        for id in done {
+        for id in released {
             self.limited_backends.remove(&id);
         }
         queries
--- a/coordination/src/dispatch/mod.rs
+++ b/coordination/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! which back end a request goes to, how long it waits, and when it is
-//! refused: decided by the entry
+//! Decides in the entry which back end a request is sent to, how long it waits, and when it
+//! is rejected.
 
 mod account_fair_queueing;
 mod adapter_versions;
--- a/coordination/src/dispatch/pending_loads.rs
+++ b/coordination/src/dispatch/pending_loads.rs
@@ -1,4 +1,4 @@
-//! which engines are asked to load what
+//! Requests loads of adapters from the sidecars of engines.
 
 use {
     super::{demands::build_demand, dispatcher::Dispatcher, BackendState, DispatchRequest},
@@ -11,11 +11,11 @@
     },
 };
 
-/// an adapter is wished for at one engine for this long; a request that still
-/// waits then asks at the next
+/// How long a load stays requested at one engine; a request that still waits then tries the
+/// next.
 pub(super) const PENDING_LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// engines that are asked to load an adapter
+/// A load that was requested from one or more engines.
 #[derive(Debug, Clone)]
 pub(super) struct PendingLoad {
     pub(super) backends: Vec<BackendId>,
@@ -23,11 +23,11 @@
 }
 
 impl PendingLoad {
-    /// when its engines were asked
+    /// Returns when the load was requested.
     pub(super) fn requested_at(&self) -> Instant {
         self.until - PENDING_LOAD_TIMEOUT
     }
-    /// how many of its engines are among these
+    /// Returns how many of its engines are among the candidates.
     pub(super) fn count_among(&self, candidates: &[&BackendState]) -> usize {
         let known = candidates
             .iter()
@@ -36,19 +36,18 @@
     }
 }
 
-/// which sidecars are told what is needed of their engines
+/// Which sidecars are sent a demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DueDemands {
-    /// those of new wishes
+    /// Sidecars of engines with new load requests.
     Urgent,
-    /// and those of engines that something was or is needed of
+    /// Also those of engines whose demand is or was not empty.
     Changed,
     All,
 }
 
 impl Dispatcher {
-    /// what sidecars must hear now: those of new wishes, also those of whom more
-    /// or less is needed, or each of them
+    /// Returns the demands to send now.
     pub fn demands(&mut self, due: DueDemands, now: Instant) -> Vec<(SocketAddr, AdapterDemand)> {
         self.pending_loads.retain(|_, pending| pending.until > now);
         self.expected_returns
@@ -61,16 +60,16 @@
             if state.is_unlisted || !state.may_be_current() {
                 continue;
             }
-            let is_last_demand_empty = state.has_no_demand() && !wanted.contains_key(id);
+            let is_demand_empty = state.has_no_demand() && !wanted.contains_key(id);
             let is_due = match due {
                 DueDemands::Urgent => false,
-                DueDemands::Changed => !(is_last_demand_empty && state.is_last_demand_empty),
+                DueDemands::Changed => !(is_demand_empty && state.is_last_demand_empty),
                 DueDemands::All => true,
             };
             if !is_due && !urgent.contains(id) {
                 continue;
             }
-            state.is_last_demand_empty = is_last_demand_empty;
+            state.is_last_demand_empty = is_demand_empty;
             let Some(service) = table.services.get(&state.listed.service) else {
                 continue;
             };
@@ -99,7 +98,7 @@
         demands
     }
 
-    /// have the sidecars of engines load the adapter
+    /// Requests a load of the adapter from the sidecars of these engines.
     pub(super) fn request_load(
         &mut self,
         adapter: &AdapterRef,
@@ -112,8 +111,8 @@
             .insert(adapter.clone(), PendingLoad { backends, until });
     }
 
-    /// The same for requests that are bound to regions: others may wish for the adapter at
-    /// engines where these may not be served.
+    /// Requests a load for a request that is bound to regions, and keeps loads pending at
+    /// engines that may not serve it.
     pub(super) fn request_load_for_region(
         &mut self,
         request: &DispatchRequest,
@@ -121,16 +120,19 @@
         mut homes: Vec<BackendId>,
         now: Instant,
     ) {
-        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
-        let elsewhere = pending.iter().flat_map(|w| &w.backends).filter(|id| {
+        let pending = self
+            .pending_loads
+            .get(adapter)
+            .filter(|load| load.until > now);
+        let elsewhere = pending.iter().flat_map(|load| &load.backends).filter(|id| {
             let state = self.backends.get(*id);
-            state.is_some_and(|state| !self.may_serve(request, state))
+            state.is_some_and(|state| !self.is_region_allowed(request, state))
         });
         homes.extend(elsewhere.cloned().collect::<Vec<_>>());
         self.request_load(adapter, homes, now);
     }
 
-    /// the same, beside the engines that are asked already
+    /// Requests a load in addition to the engines where it is pending.
     pub(super) fn request_additional_load(
         &mut self,
         adapter: &AdapterRef,
@@ -140,68 +142,77 @@
         if self.is_load_pending(adapter, &homes, now) {
             return;
         }
-        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
-        let mut backends = pending.map_or(Vec::new(), |w| w.backends.clone());
+        let pending = self
+            .pending_loads
+            .get(adapter)
+            .filter(|load| load.until > now);
+        let mut backends = pending.map_or(Vec::new(), |load| load.backends.clone());
         backends.extend(homes);
         self.request_load(adapter, backends, now);
     }
 
-    /// whether each of these engines was asked to load the adapter
+    /// Returns whether the load is pending at each of these engines.
     pub(super) fn is_load_pending(
         &self,
         adapter: &AdapterRef,
         homes: &[BackendId],
         now: Instant,
     ) -> bool {
-        let pending = self.pending_loads.get(adapter).filter(|w| w.until > now);
-        pending.is_some_and(|w| homes.iter().all(|home| w.backends.contains(home)))
+        let pending = self
+            .pending_loads
+            .get(adapter)
+            .filter(|load| load.until > now);
+        pending.is_some_and(|load| homes.iter().all(|home| load.backends.contains(home)))
     }
 
-    /// what requests wait for, by the engine that is to load it
+    /// Returns the adapters that requests wait for, by the engine that should load them.
     pub(super) fn wanted_adapters(&self, now: Instant) -> HashMap<BackendId, Vec<WantedAdapter>> {
-        let mut rows: BTreeMap<&AdapterRef, WantedAdapter> = BTreeMap::new();
+        let mut adapters: BTreeMap<&AdapterRef, WantedAdapter> = BTreeMap::new();
         for adapter in self.pending_loads.keys() {
-            rows.insert(adapter, wanted_adapter(adapter));
+            adapters.insert(adapter, wanted_adapter(adapter));
         }
         for (adapter, expected) in &self.expected_returns {
-            let row = rows
+            let summary = adapters
                 .entry(adapter)
                 .or_insert_with(|| wanted_adapter(adapter));
-            row.waiting += expected.requests;
-            row.priority = row.priority.min(expected.priority);
+            summary.waiting += expected.requests;
+            summary.priority = summary.priority.min(expected.priority);
         }
-        for request in self.waiting.requests() {
-            let Some(row) = request.adapter.as_ref().and_then(|a| rows.get_mut(a)) else {
+        for request in self.waiting.iter() {
+            let Some(summary) = request.adapter.as_ref().and_then(|a| adapters.get_mut(a)) else {
                 continue;
             };
             let waited = now
                 .saturating_duration_since(request.arrived_at)
                 .as_millis();
-            row.waiting += 1;
-            row.priority = row.priority.min(request.priority);
-            row.waited_ms = row.waited_ms.max(waited as u32);
+            summary.waiting += 1;
+            summary.priority = summary.priority.min(request.priority);
+            summary.waited_ms = summary.waited_ms.max(waited as u32);
         }
         let mut wanted: HashMap<BackendId, Vec<WantedAdapter>> = HashMap::new();
-        for (adapter, row) in rows {
+        for (adapter, summary) in adapters {
             let expected = self
                 .expected_returns
                 .get(adapter)
-                .map(|p| vec![p.backend.clone()]);
-            let pending = self.pending_loads.get(adapter).map(|w| w.backends.clone());
-            // what is there and waited for by nobody needs no place kept
+                .map(|expected| vec![expected.backend.clone()]);
+            let pending = self
+                .pending_loads
+                .get(adapter)
+                .map(|load| load.backends.clone());
+            // an adapter that is loaded and has no waiting request needs no reservation
             let is_done = |id: &BackendId| {
                 let Some(state) = self.backends.get(id) else {
                     return false;
                 };
-                let is_there = state.held_version(adapter, now).is_some();
-                // nothing would be sent there
-                state.is_leaving() || row.waiting == 0 && is_there
+                let is_loaded = state.held_version(adapter, now).is_some();
+                // no request would be sent there
+                state.is_leaving() || summary.waiting == 0 && is_loaded
             };
             for backend in pending.or(expected).unwrap_or_default() {
                 if is_done(&backend) {
                     continue;
                 }
-                wanted.entry(backend).or_default().push(row.clone());
+                wanted.entry(backend).or_default().push(summary.clone());
             }
         }
         wanted
--- a/coordination/src/dispatch/prefill_rate.rs
+++ b/coordination/src/dispatch/prefill_rate.rs
@@ -1,33 +1,33 @@
 use std::collections::VecDeque;
 
-/// samples that the rate is the median of
+/// Number of samples in the median.
 const MAX_SAMPLES: usize = 31;
-/// samples below which the first guess holds
+/// Number of samples from which the median is used.
 const MIN_SAMPLES: usize = 5;
-/// shorter prompts say more of steps and connections than of reading, in tokens
+/// Minimum prompt size of a sample, in tokens; shorter ones measure the connection rather
+/// than prefill.
 const MIN_PROMPT_TOKENS: u32 = 300;
-/// weight of the newest prompt in the mean size
+/// Weight of the newest prompt in the moving average of prompt sizes.
 const PROMPT_AVERAGE_WEIGHT: f64 = 0.02;
 
-/// how fast the engines of one service read prompts, as observed, and how long
-/// prompts are.
+/// Observed prefill rate of a service's engines, and the size of its prompts.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillRate {
-    /// tokens a ms, of prompts that were read alone
+    /// In tokens per ms, of prompts that were prefilled alone.
     samples: VecDeque<f64>,
     median: Option<f64>,
     typical_prompt: Option<f64>,
 }
 
 impl PrefillRate {
-    /// a prompt was sent
+    /// Handles a prompt that was sent.
     pub fn on_sent(&mut self, prompt_tokens: u32) {
         let tokens = f64::from(prompt_tokens);
         let mean = self.typical_prompt.unwrap_or(tokens);
         self.typical_prompt = Some(mean + (tokens - mean) * PROMPT_AVERAGE_WEIGHT);
     }
-    /// the first token of a prompt came after `ms`, and nothing else was being
-    /// read at its engine when it was sent
+    /// Adds a prompt whose first token came after `ms`, with no other prefill at its engine
+    /// when it was sent.
     pub fn on_sole_prefill(&mut self, prompt_tokens: u32, ms: f64) {
         if prompt_tokens < MIN_PROMPT_TOKENS || ms <= 0.0 {
             return;
@@ -44,11 +44,11 @@
         self.median = Some(sorted[sorted.len() / 2]);
     }
 
-    /// tokens that are read in a ms, once enough was seen
+    /// Returns the rate in tokens per ms, once there are enough samples.
     pub fn tokens_per_ms(&self) -> Option<f64> {
         self.median
     }
-    /// mean size of a prompt, in tokens, once one was seen
+    /// Returns the moving average of prompt sizes in tokens, once there is one.
     pub fn typical_prompt(&self) -> Option<f64> {
         self.typical_prompt
     }
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -1,4 +1,5 @@
-//! requests that are not sent now: whether they wait, or are refused and when they should come back
+//! Requests that can't be sent now: whether they wait or are rejected, and when they should
+//! come back.
 
 use {
     super::{
@@ -11,7 +12,7 @@
     },
 };
 
-/// what a request that was refused waits at least
+/// Minimum time after which a rejected request may come back.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
@@ -39,7 +40,7 @@
                 return;
             }
         }
-        let part = match cause {
+        let max_wait_ratio = match cause {
             RejectionCause::NotLoaded | RejectionCause::Reloading => {
                 self.settings.max_adapter_wait_ratio
             }
@@ -52,25 +53,26 @@
             | RejectionCause::RetryBudgetExhausted
             | RejectionCause::LoadTooSlow => self.settings.max_slot_wait_ratio,
         };
-        let longest = request.target_latency.mul_f64(part);
+        let max_wait = request.target_latency.mul_f64(max_wait_ratio);
         let waited = now.saturating_duration_since(request.arrived_at);
-        let rest = match cause {
+        let backoff = match cause {
             RejectionCause::BackedOff => self.shortest_backoff(&request, now).unwrap_or_default(),
             _ => Duration::ZERO,
         };
-        // what is not served within its wait is refused at once
-        if waited + rest >= longest || now + rest >= request.deadline {
-            let retry_after = rest.max(request.target_latency / 2);
+        // a request that can't be served within its maximum wait is rejected at once
+        if waited + backoff >= max_wait || now + backoff >= request.deadline {
+            let retry_after = backoff.max(request.target_latency / 2);
             let inputs = self.decision_inputs(&request, now);
             self.on_not_sent(&request);
             self.reject(ticket, cause, retry_after.max(MIN_RETRY_AFTER), inputs);
         } else {
-            self.waiting.put(ticket, request);
+            self.waiting.insert(ticket, request);
         }
     }
 
-    /// All that could serve a request take no more requests now: it waits if its turn comes in
-    /// time. So many others go `ahead` of it at each of them.
+    /// Handles a request whose possible back ends have all reached their rate limits: it
+    /// waits if it can be sent in time. `ahead` counts the requests queued before it at
+    /// each back end.
     pub(super) fn wait_for_rate_limit(
         &mut self,
         ticket: Ticket,
@@ -82,26 +84,26 @@
             self.wait_or_reject(ticket, request, RejectionCause::Full, now);
             return;
         };
-        let longest = request
+        let max_wait = request
             .target_latency
             .mul_f64(self.settings.max_slot_wait_ratio);
         let waited = now.saturating_duration_since(request.arrived_at);
-        if waited + opens_in < longest && now + opens_in < request.deadline {
+        if waited + opens_in < max_wait && now + opens_in < request.deadline {
             let waiting = ahead.entry(backend).or_insert((0, request.priority));
             waiting.0 += 1;
             waiting.1 = waiting.1.min(request.priority);
-            self.waiting.put(ticket, request);
+            self.waiting.insert(ticket, request);
             return;
         }
-        let returns_in = self.backends.get_mut(&backend);
-        let returns_in = returns_in.map_or(opens_in, |b| b.limit.return_in(now));
+        let return_in = self.backends.get_mut(&backend);
+        let return_in = return_in.map_or(opens_in, |b| b.limit.return_in(now));
         let inputs = self.decision_inputs(&request, now);
         self.on_not_sent(&request);
-        let retry_after = returns_in.max(MIN_RETRY_AFTER);
+        let retry_after = return_in.max(MIN_RETRY_AFTER);
         self.reject(ticket, RejectionCause::RateLimited, retry_after, inputs);
     }
 
-    /// a request has waited and is not sent
+    /// Handles a request that waited and isn't sent.
     pub(super) fn on_not_sent(&mut self, request: &DispatchRequest) {
         self.fair_queueing
             .on_withdrawn(request.account, request.prompt_tokens);
--- a/coordination/src/dispatch/requested_load.rs
+++ b/coordination/src/dispatch/requested_load.rs
@@ -1,18 +1,18 @@
 use chalkcart_state::backends::{AdapterRef, BackendId};
 
-/// why engines are to load an adapter
+/// Why an adapter is to be loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadCause {
-    /// none holds it
+    /// No engine holds it.
     Home,
-    /// those that hold it are too busy
+    /// Its holders are too busy.
     Copy,
-    /// one that held it lately would serve sooner
+    /// An engine that held it recently would serve sooner.
     Reload,
 }
 
 impl LoadCause {
-    /// the word in logs
+    /// Returns the code in logs.
     pub fn code(self) -> &'static str {
         match self {
             Self::Home => "home",
@@ -22,12 +22,12 @@
     }
 }
 
-/// engines that were asked to load an adapter, for logs
+/// A load that was requested from engines, for logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestedLoad {
     pub adapter: AdapterRef,
     pub backends: Vec<BackendId>,
     pub cause: LoadCause,
-    /// requests that wait in this entry
+    /// Requests that wait in this entry.
     pub waiting: usize,
 }
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -1,4 +1,4 @@
-//! which back end a request goes to
+//! Selects the back end that a request is sent to.
 
 use {
     super::{
@@ -18,36 +18,37 @@
     },
 };
 
-/// cost of a back end in another zone, in ms
+/// Cost of a back end in another zone, in ms.
 const REMOTE_ZONE_COST_MS: f64 = 2.0;
-/// cost of a back end that fails each request, in ms
+/// Cost of a back end that fails every request, in ms.
 const FAILURE_COST_MS: f64 = 800.0;
-/// cost of a back end with all places taken, in ms: in proportion to its load,
-/// and what grows faster, since each token comes later in a crowded batch
+/// Costs of a back end with all slots taken, in ms: one grows with the load, the other with
+/// its square, since a crowded batch delays every token.
 const LOAD_COST_MS: f64 = 30.0;
 const CROWDING_COST_MS: f64 = 150.0;
-/// cost of one more request that runs there, in ms
+/// Cost of each request that runs on the back end, in ms.
 const ACTIVE_REQUEST_COST_MS: f64 = 0.4;
-/// cost of a back end that names a limit, in ms: what it takes is kept for requests that
-/// only it can serve
+/// Cost of a back end that advertises a rate limit, in ms: its capacity is kept for
+/// requests that only it can serve.
 const RATE_LIMIT_COST_MS: f64 = 150.0;
 
-/// size of a prompt before one was seen, in tokens
+/// Prompt size assumed until one was observed, in tokens.
 const DEFAULT_PROMPT_TOKENS: f64 = 1_000.0;
 
-/// a request that has waited for this long goes to an engine that has its adapter
+/// A request that has waited for this long goes to an engine that holds its adapter
+/// already.
 const MAX_RELOAD_WAIT: Duration = Duration::from_millis(120);
-/// what an adapter must save to be brought back to another engine, in ms
+/// Minimum saving for which an adapter is reloaded on another engine, in ms.
 const MIN_RELOAD_SAVING_MS: f64 = 60.0;
 
-/// what can be done for a request now
+/// What can be done for a request now.
 pub(super) enum Choice {
     Send(Assignment),
     Wait(RejectionCause),
 }
 
 impl Dispatcher {
-    /// what is known when a request is refused, for logs
+    /// Returns the inputs of a rejection, for logs.
     pub(super) fn decision_inputs(
         &self,
         request: &DispatchRequest,
@@ -69,12 +70,12 @@
         chosen: Option<&BackendState>,
         now: Instant,
     ) -> DecisionInputs {
-        let (leaving, resting, limited) = self.excluded_counts(request, now);
+        let (leaving, backed_off, limited) = self.excluded_counts(request, now);
         DecisionInputs {
             candidates: candidates as u32,
             holders: holders as u32,
             leaving,
-            resting,
+            backed_off,
             limited,
             queue_ms: chosen.map_or(0.0, |b| self.queue_ms(b, now)),
             occupied: chosen.map_or(0, |b| b.occupied(now)),
@@ -85,19 +86,21 @@
         }
     }
 
-    /// back ends of the service that leave, that rest, and that name a limit
+    /// Counts the back ends of the service that are leaving, that are backed off, and that
+    /// advertise a rate limit.
     fn excluded_counts(&self, request: &DispatchRequest, now: Instant) -> (u32, u32, u32) {
-        let (mut leaving, mut resting, mut limited) = (0, 0, 0);
+        let (mut leaving, mut backed_off, mut limited) = (0, 0, 0);
         let listed = self.backends.values().filter(|b| !b.is_unlisted);
         for state in listed.filter(|b| b.listed.service == request.service) {
             leaving += u32::from(state.is_leaving());
-            resting += u32::from(state.health.is_resting(now) || state.backoff.is_on(now));
+            backed_off += u32::from(state.health.is_resting(now) || state.backoff.is_on(now));
             limited += u32::from(state.limit.named().is_some());
         }
-        (leaving, resting, limited)
+        (leaving, backed_off, limited)
     }
 
-    /// what is done for a request now; an adapter that it lacks is wished for
+    /// Decides what to do with a request now, and requests loads of its adapter where
+    /// needed.
     pub(super) fn choose(&mut self, request: &DispatchRequest, now: Instant) -> Choice {
         let (choice, homes) = self.plan(request, now);
         if let (Some(adapter), false) = (&request.adapter, homes.is_empty()) {
@@ -135,10 +138,10 @@
         });
     }
 
-    /// what to do for a request, and the engines that are to load its adapter
+    /// Returns what to do with a request, and the engines that should load its adapter.
     fn plan(&self, request: &DispatchRequest, now: Instant) -> (Choice, Vec<BackendId>) {
         let candidates = self.candidates(request, now);
-        // a base model that none of the others has does not come within any rest
+        // a base model takes longer to load than a back-off lasts, so its holders are waited for
         let lacks_model = |model: &String| with_model(&candidates, model).is_empty();
         let may_serve = !candidates.is_empty() && !request.model.as_ref().is_some_and(lacks_model);
         if !may_serve && self.shortest_backoff(request, now).is_some() {
@@ -186,9 +189,9 @@
         (choice, copies)
     }
 
-    /// An engine that held the adapter lately, has a place for it, and would read
-    /// the prompt sooner than each of those that hold it now. Bringing it back
-    /// takes a few steps of the engine and costs nothing.
+    /// Returns an engine that held the adapter recently, has a slot for it and would
+    /// prefill the prompt sooner than every current holder. A reload from the host cache is
+    /// cheap.
     fn better_reload_target(
         &self,
         request: &DispatchRequest,
@@ -202,9 +205,9 @@
             return None;
         }
         let hash = adapter_mark(adapter);
-        let with_place = holders.iter().filter(|b| b.can_accept(now));
-        let held = with_place.map(|b| self.cost(b, now));
-        let least = held.min_by(f64::total_cmp).unwrap_or(f64::INFINITY);
+        let accepting = holders.iter().filter(|b| b.can_accept(now));
+        let holder_costs = accepting.map(|b| self.cost(b, now));
+        let lowest_cost = holder_costs.min_by(f64::total_cmp).unwrap_or(f64::INFINITY);
         let is_holder = |b: &BackendState| holders.iter().any(|h| h.listed.id == b.listed.id);
         let others = candidates.iter().filter(|b| {
             let may_load = b.spare_slots() > 0 || b.is_loading(adapter);
@@ -212,10 +215,10 @@
         });
         let costs = others.map(|b| (self.cost(b, now) + reload_ms(b), b));
         let (cost, best) = costs.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
-        (cost + MIN_RELOAD_SAVING_MS < least).then(|| best.listed.id.clone())
+        (cost + MIN_RELOAD_SAVING_MS < lowest_cost).then(|| best.listed.id.clone())
     }
 
-    /// a back end for a request without an adapter
+    /// Chooses a back end for a request without an adapter.
     fn choose_with_model(
         &self,
         request: &DispatchRequest,
@@ -232,7 +235,8 @@
         }
     }
 
-    /// time until the first back end can be asked that only its rest keeps from a request
+    /// Returns the time until the first back end is available that only its back-off keeps
+    /// from the request.
     pub(super) fn shortest_backoff(
         &self,
         request: &DispatchRequest,
@@ -242,14 +246,15 @@
         let may_serve = states.filter(|b| {
             b.listed.service == request.service && b.may_receive_requests() && !b.is_unlisted
         });
-        let may_serve = may_serve.filter(|b| self.may_serve(request, b));
+        let may_serve = may_serve.filter(|b| self.is_region_allowed(request, b));
         let with_model =
             may_serve.filter(|b| request.model.as_ref().is_none_or(|m| b.has_model(m)));
         with_model.filter_map(|b| b.backoff.left(now)).min()
     }
 
-    /// Of the back ends whose limit alone keeps them from a request, the one that takes it
-    /// first, and the time until then. So many others go `ahead` at each.
+    /// Returns the back end that accepts the request first, among those that only their
+    /// rate limit keeps from it, and the time until then. `ahead` counts the requests
+    /// queued before it at each back end.
     pub(super) fn first_to_open(
         &self,
         request: &DispatchRequest,
@@ -270,13 +275,18 @@
         openings.min_by_key(|(_, opens_in)| *opens_in)
     }
 
-    /// whether the request may be served in the region of a back end
-    pub(super) fn may_serve(&self, request: &DispatchRequest, state: &BackendState) -> bool {
+    /// Returns whether the request may be served in the region of a back end.
+    pub(super) fn is_region_allowed(
+        &self,
+        request: &DispatchRequest,
+        state: &BackendState,
+    ) -> bool {
         let region = self.settings.regions.get(&state.listed.zone);
         request.allowed_regions.allows(region)
     }
 
-    /// back ends that may take the request, sound ones if there are any
+    /// Returns the back ends that may take the request: healthy ones if there are any, else
+    /// those paused after failures, else those that are no longer listed.
     fn candidates(&self, request: &DispatchRequest, now: Instant) -> Vec<&BackendState> {
         let of_service: Vec<&BackendState> = self
             .backends
@@ -286,25 +296,26 @@
                     && !request.tried_backends.contains(&b.listed.id)
             })
             .filter(|b| !self.evacuated_zones.contains(&b.listed.zone))
-            .filter(|b| self.may_serve(request, b))
+            .filter(|b| self.is_region_allowed(request, b))
             .collect();
-        let keep = |is_kept: &dyn Fn(&BackendState) -> bool| -> Vec<&BackendState> {
-            let kept = of_service.iter().copied().filter(|b| is_kept(b));
-            kept.collect()
+        let filter_backends = |is_match: &dyn Fn(&BackendState) -> bool| -> Vec<&BackendState> {
+            let matching = of_service.iter().copied().filter(|b| is_match(b));
+            matching.collect()
         };
-        let sound = keep(&|b| b.is_available(now));
-        if !sound.is_empty() {
-            return sound;
+        let available = filter_backends(&|b| b.is_available(now));
+        if !available.is_empty() {
+            return available;
         }
-        let resting =
-            keep(&|b| b.may_receive_requests() && !b.is_unlisted && !b.backoff.is_on(now));
-        if !resting.is_empty() || self.has_listed(&request.service) {
-            return resting;
+        let listed = filter_backends(&|b| {
+            b.may_receive_requests() && !b.is_unlisted && !b.backoff.is_on(now)
+        });
+        if !listed.is_empty() || self.has_listed(&request.service) {
+            return listed;
         }
-        keep(&|b| b.may_receive_requests() && !b.backoff.is_on(now))
+        filter_backends(&|b| b.may_receive_requests() && !b.backoff.is_on(now))
     }
 
-    /// those that hold an adapter in a version that may be run
+    /// Returns the candidates that hold the adapter in a usable version.
     fn holders<'b>(
         &self,
         candidates: &[&'b BackendState],
@@ -313,7 +324,7 @@
     ) -> Vec<&'b BackendState> {
         let is_holder = |b: &&BackendState| {
             let version = b.held_version(adapter, now);
-            version.is_some_and(|v| self.is_current(adapter, v, now))
+            version.is_some_and(|v| self.is_version_usable(adapter, v, now))
         };
         candidates.iter().copied().filter(is_holder).collect()
     }
@@ -325,8 +336,8 @@
         candidates: usize,
         now: Instant,
     ) -> Choice {
-        let with_place = states.iter().filter(|b| b.can_accept_request(request, now));
-        let costs = with_place.map(|b| (self.cost(b, now), *b));
+        let accepting = states.iter().filter(|b| b.can_accept_request(request, now));
+        let costs = accepting.map(|b| (self.cost(b, now), *b));
         let Some((_, cheapest)) = costs.min_by(|(a, _), (b, _)| a.total_cmp(b)) else {
             let is_limited = states.iter().any(|b| b.can_accept_beyond_limit(now));
             return Choice::Wait(match is_limited {
@@ -347,8 +358,8 @@
         })
     }
 
-    /// the version that a request must run on; of an engine that is not heard, the newest
-    /// that was named, which any load brings
+    /// Returns the version that the request must run on. For an engine without a reporting
+    /// sidecar it is the newest announced version, which every load fetches.
     fn required_version(
         &self,
         state: &BackendState,
@@ -359,14 +370,19 @@
         state.held_version(adapter, now).or(newest)
     }
 
-    /// whether an adapter's version may still be run
-    pub(super) fn is_current(&self, adapter: &AdapterRef, version: u64, now: Instant) -> bool {
+    /// Returns whether requests may still start on this version of the adapter.
+    pub(super) fn is_version_usable(
+        &self,
+        adapter: &AdapterRef,
+        version: u64,
+        now: Instant,
+    ) -> bool {
         let grace = self.settings.version_grace;
         self.adapter_versions
-            .may_begin(adapter, version, grace, now)
+            .may_start(adapter, version, grace, now)
     }
 
-    /// time until the prompts that wait there are read, in ms
+    /// Returns the time until the prompts queued at a back end are prefilled, in ms.
     pub(super) fn queue_ms(&self, state: &BackendState, now: Instant) -> f64 {
         let service = &state.listed.service;
         let typical = match self.settings.features.prompts_of_all {
@@ -383,7 +399,7 @@
         }
     }
 
-    /// prompt tokens that an engine of a service reads in a ms
+    /// Returns the prefill rate of the service's engines, in tokens per ms.
     pub(super) fn tokens_per_ms(&self, service: &ServiceName) -> f64 {
         let observed = self
             .prefill_rates
@@ -401,8 +417,8 @@
         observed.unwrap_or(DEFAULT_PROMPT_TOKENS)
     }
 
-    /// how busy an engine is, by its queue and its places; at 1 an adapter that
-    /// only it holds is worth another copy
+    /// Returns how busy an engine is, by its prefill queue and its slots; from 1 on, an
+    /// adapter that no other engine holds is worth another copy.
     pub(super) fn utilization(&self, state: &BackendState, now: Instant) -> f64 {
         let queue = self.queue_ms(state, now) / self.settings.copy_queue_threshold_ms;
         queue.max(state.load(now) / self.settings.copy_load_threshold)
@@ -419,7 +435,7 @@
             Some(_) => RATE_LIMIT_COST_MS,
             None => 0.0,
         };
-        // requests of a plain service have no tokens, and share its slots
+        // requests without tokens share the slots only
         let load = state.load(now);
         self.queue_ms(state, now)
             + f64::from(state.occupied(now)) * ACTIVE_REQUEST_COST_MS
@@ -431,13 +447,13 @@
     }
 }
 
-/// time to bring back an adapter that an engine held lately, in ms
+/// Returns the time to reload an adapter from the engine's host cache, in ms.
 fn reload_ms(state: &BackendState) -> f64 {
     let view = state.view.as_ref();
     view.map_or(0.0, |v| f64::from(v.figures.next_return_ms))
 }
 
-/// those of the back ends that hold a base model
+/// Returns the candidates that hold a base model.
 pub(super) fn with_model<'b>(
     candidates: &[&'b BackendState],
     model: &str,
--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -8,32 +8,32 @@
     },
 };
 
-/// bounds of an entry's decisions
+/// Settings of an entry's dispatch decisions.
 #[derive(Debug, Clone)]
 pub struct DispatchSettings {
     pub entry: BoxName,
     pub zone: ZoneName,
-    /// the region of each availability zone
+    /// Region of each availability zone.
     pub regions: HashMap<ZoneName, RegionName>,
-    /// repeats of a service, over all entries
+    /// Retry budget of a service, shared by all entries.
     pub budget: RetryBudgetSettings,
-    /// when this process began, if the fleet served before: a former life of it may have
-    /// used a share of the budget
+    /// Start time of this process, if the fleet was already serving: its previous run may
+    /// have used a share of the budget.
     pub restarted_at: Option<Instant>,
-    /// longest wait for an adapter or a place, as a part of the objective
+    /// Maximum waits for an adapter and for a slot, as multiples of the latency objective.
     pub max_adapter_wait_ratio: f64,
     pub max_slot_wait_ratio: f64,
-    /// expected time to the first token once the adapter is there
+    /// Expected time to the first token once the adapter is loaded.
     pub first_token_delay: Duration,
-    /// prompt tokens that an engine reads in a ms, before the rate was observed
+    /// Prefill rate assumed until it was observed, in tokens per ms.
     pub default_tokens_per_ms: f64,
-    /// a queue this long makes an adapter worth another copy, in ms
+    /// Prefill queue from which an adapter is worth another copy, in ms.
     pub copy_queue_threshold_ms: f64,
-    /// so does this part of the places taken
+    /// Fraction of taken slots from which an adapter is worth another copy.
     pub copy_load_threshold: f64,
-    /// nothing was heard of any back end for this long: cut off
+    /// An entry that had no report from any back end for this long is cut off.
     pub disconnected_after: Duration,
-    /// the former version of an adapter is used no longer than this
+    /// How long requests may start on the previous version of an adapter.
     pub version_grace: Duration,
     pub features: Mechanisms,
 }
--- a/coordination/src/dispatch/shared_retry_budget.rs
+++ b/coordination/src/dispatch/shared_retry_budget.rs
@@ -3,53 +3,51 @@
     time::{Duration, Instant},
 };
 
-/// part of the budget that is used; the rest covers entries that count late, and what a
-/// former life of this entry may have repeated
+/// Fraction of the budget that is used; the rest covers entries that are counted late, and
+/// retries of a previous run of this entry.
 const USABLE_RATIO: f64 = 0.7;
-/// part that all lives of an entry within one window use together; the rest covers requests
-/// that become fewer while the repeats for them stand in the window
+/// Fraction that all runs of an entry within one window use together; the rest covers a
+/// falling request rate while earlier retries are still in the window.
 const USABLE_RATIO_WITH_RESTARTS: f64 = 0.9;
-/// Part of its budget that an entry has in its first window, where it may have lived before:
-/// the repeats of its former life stand in the window still, and used up what the requests
-/// before the restart allowed. Within one window all its lives together then use no more
-/// than 0.7 x (1 + 0.29) of one budget, however often it begins anew.
+/// Fraction of the budget that a restarted entry has in its first window, since retries of
+/// its previous run are still in the window. However often it restarts, all its runs in one
+/// window stay below 0.7 x (1 + 0.29) of one budget.
 const FIRST_WINDOW_RATIO: f64 = (USABLE_RATIO_WITH_RESTARTS - USABLE_RATIO) / USABLE_RATIO;
 
-/// what all entries may repeat together
+/// Retry budget of a service over all entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// repeats for each request
+    /// Retries per request.
     pub ratio: f64,
-    /// repeats beyond that in a window
+    /// Additional retries per window.
     pub extra: f64,
     pub window: Duration,
 }
 
-/// What an entry's budget for the repeats of a service was when it decided.
+/// Usage of a service's retry budget at the time of a decision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BudgetUsage {
-    /// requests of the last window
+    /// Requests in the last window.
     pub requests: u32,
-    /// repeats of the last window, and those that wait
+    /// Retries in the last window, including reserved ones.
     pub retries: u32,
-    /// entries that share it
+    /// Entries that share the budget.
     pub entries: u32,
 }
 
-/// One entry's share of the repeats that a service bears.
+/// One entry's share of the retry budget of a service.
 ///
-/// All entries together may repeat a part of the requests and some more in each window.
-/// Each counts its own requests; the extra repeats are divided by the number of entries.
-/// A repeat is in the budget from the moment at which it is allowed, since it may wait
-/// for long before it is sent, with many others.
+/// All entries together may retry a fraction of the requests plus some extra per window.
+/// Each entry counts its own requests; the extra is divided by the number of entries. A
+/// retry counts from its reservation, since many may wait for long before they are sent.
 #[derive(Debug)]
 pub struct SharedRetryBudget {
     settings: RetryBudgetSettings,
-    /// when this entry began, if it may have lived before
+    /// Start time of this entry, if it may have run before.
     restarted_at: Option<Instant>,
     requests: VecDeque<Instant>,
     retries: VecDeque<Instant>,
-    /// repeats that are allowed and not sent yet
+    /// Retries that are reserved and not sent yet.
     pending: u32,
 }
 
@@ -64,7 +62,7 @@
         }
     }
 
-    /// the bounds have changed; what was counted stays
+    /// Replaces the settings; counts are kept.
     pub fn update_settings(&mut self, settings: RetryBudgetSettings) {
         self.settings = settings;
     }
@@ -73,7 +71,8 @@
         self.remove_expired(now);
         self.requests.push_back(now);
     }
-    /// take one more repeat, with this many entries alive; false if none is left
+    /// Reserves a retry with this number of live entries; returns false if the budget is
+    /// used up.
     pub fn try_reserve(&mut self, entries: u32, now: Instant) -> bool {
         self.remove_expired(now);
         let own_extra = self.settings.extra / f64::from(entries.max(1));
@@ -84,16 +83,16 @@
         self.pending += u32::from(is_allowed);
         is_allowed
     }
-    /// a repeat that was taken is sent
+    /// Counts a reserved retry as sent.
     pub fn on_retry_sent(&mut self, now: Instant) {
         self.pending = self.pending.saturating_sub(1);
         self.retries.push_back(now);
     }
-    /// a repeat that was taken is not sent
+    /// Releases a reserved retry that isn't sent.
     pub fn release(&mut self) {
         self.pending = self.pending.saturating_sub(1);
     }
-    /// where it stands, for logs and metrics
+    /// Returns the current usage, for logs and metrics.
     pub fn usage(&self, entries: u32) -> BudgetUsage {
         BudgetUsage {
             requests: self.requests.len() as u32,
@@ -106,7 +105,8 @@
         self.retries.len() as u32 + self.pending
     }
 
-    /// parts that this entry may use of the repeats for its requests, and of its extra ones
+    /// Returns the usable fractions of the retries earned by requests and of the extra
+    /// ones.
     fn earned_ratios(&self, now: Instant) -> (f64, f64) {
         let Some(restarted_at) = self.restarted_at else {
             return (1.0, 1.0);
@@ -115,7 +115,7 @@
         if uptime >= self.settings.window {
             return (1.0, 1.0);
         }
-        // requests come with the time lived, extra repeats are earned by it
+        // the extra retries are earned over the uptime, those by requests as they come
         let window_ratio = uptime.as_secs_f64() / self.settings.window.as_secs_f64();
         (FIRST_WINDOW_RATIO, FIRST_WINDOW_RATIO * window_ratio)
     }
--- a/coordination/src/dispatch/slow_start.rs
+++ b/coordination/src/dispatch/slow_start.rs
@@ -1,4 +1,5 @@
-//! engines that have just started, or have become cold, and carry little
+//! Engines in slow start: they just started, or are warming up again, and take few
+//! requests.
 
 use {
     super::dispatcher::Dispatcher,
@@ -7,13 +8,13 @@
     std::time::{Duration, Instant},
 };
 
-/// entries assumed before a sidecar has counted them, where too many do harm
+/// Number of entries assumed until a sidecar reports it, where too low a number does harm.
 const DEFAULT_SHARING_ENTRIES: u32 = 32;
-/// time until entries that began together have made themselves known to all sidecars
+/// Time until entries that started together are known to all sidecars.
 const ENTRY_COUNT_SETTLE_TIME: Duration = Duration::from_secs(3);
 
 impl Dispatcher {
-    /// a back end says itself, or by its sidecar, how much longer it is cold
+    /// Handles the time left of a slow start, reported by the back end or its sidecar.
     pub(super) fn on_slow_start(&mut self, backend: &BackendId, left: Duration, now: Instant) {
         if let Some(state) = self.backends.get_mut(backend) {
             self.may_have_slow_start |= !left.is_zero();
@@ -21,7 +22,7 @@
         }
     }
 
-    /// count the time that has passed for engines that are cold
+    /// Advances the slow starts to the current time.
     pub(super) fn advance_slow_starts(&mut self, now: Instant) {
         if !self.may_have_slow_start {
             return;
@@ -40,8 +41,8 @@
         }
         self.may_have_slow_start = self.backends.values().any(|b| b.slow_start.is_some());
     }
-    /// Entries that share what a back end takes. Sidecars that have just begun count few,
-    /// and so does an entry that has.
+    /// Returns the number of entries that share a back end's capacity. Sidecars that just
+    /// started count too few, and an entry that just started is not yet counted.
     pub(super) fn sharing_entry_count(&self, now: Instant) -> u32 {
         let counted = self.fleet_size.entries();
         let restarted_at = self.settings.restarted_at;
--- a/coordination/src/dispatch/urgency.rs
+++ b/coordination/src/dispatch/urgency.rs
@@ -1,22 +1,22 @@
-//! the order in which an engine reads the prompts that wait there
+//! Order in which an engine prefills queued prompts.
 
 use {super::DispatchRequest, std::time::Instant};
 
-/// the least urgent that engines know
+/// The least urgent level that engines know.
 pub const LOWEST_URGENCY: u8 = 9;
-/// prompts that take longer to read than each of these are one step less
-/// urgent, in ms: the shortest first serves most in time
+/// Prefill times above which a prompt is one level less urgent, in ms: shortest first
+/// serves the most requests in time.
 const PREFILL_STEPS_MS: [f64; 6] = [30.0, 80.0, 160.0, 300.0, 500.0, 800.0];
-/// of what can't be in time any more; it yields to what can
+/// Base level of prompts that miss their objective in any case; they yield to the others.
 const MISSED_OBJECTIVE_URGENCY: u8 = 7;
-/// time from the end of reading to the first token at the client, in ms
+/// Time from the end of prefill to the first token at the client, in ms.
 const FIRST_TOKEN_MS: f64 = 30.0;
 
-/// The urgency of a prompt, from its size, the time left to its objective and
-/// its route's priority.
+/// Returns the urgency of a prompt, by its prefill time, the time left until its latency
+/// objective and the priority of its route.
 ///
-/// Shortest job first has the least mean wait of all orders that do not interrupt;
-/// what has missed its objective earns the same a little later, so it goes behind.
+/// Shortest job first has the lowest mean wait of all non-preemptive orders; a prompt that
+/// misses its objective in any case gains nothing from being early, so it goes last.
 pub fn urgency(request: &DispatchRequest, tokens_per_ms: f64, now: Instant) -> u8 {
     let prefill_ms = f64::from(request.prompt_tokens) / tokens_per_ms;
     let waited = now.saturating_duration_since(request.arrived_at);
--- a/coordination/src/dispatch/waiting_list.rs
+++ b/coordination/src/dispatch/waiting_list.rs
@@ -3,19 +3,19 @@
     std::{collections::BTreeMap, time::Instant},
 };
 
-/// place of a request among those that wait: by the priority of its account, then
-/// of its route, then by the turn of its account, then by its arrival
-type Place = (u8, u8, u64, Instant, Ticket);
+/// Sort key of a waiting request: priority of its account, priority of its route, start
+/// tag, arrival.
+type SortKey = (u8, u8, u64, Instant, Ticket);
 
-/// requests that wait, the most urgent first, then by the turns of their accounts
+/// Waiting requests in the order in which they are served.
 #[derive(Debug, Default)]
 pub struct WaitingList {
-    rows: BTreeMap<Place, DispatchRequest>,
-    keys: BTreeMap<Ticket, Place>,
+    requests: BTreeMap<SortKey, DispatchRequest>,
+    keys_by_ticket: BTreeMap<Ticket, SortKey>,
 }
 
 impl WaitingList {
-    pub fn put(&mut self, ticket: Ticket, request: DispatchRequest) {
+    pub fn insert(&mut self, ticket: Ticket, request: DispatchRequest) {
         let key = (
             request.account_priority,
             request.priority,
@@ -23,22 +23,25 @@
             request.arrived_at,
             ticket,
         );
-        self.keys.insert(ticket, key);
-        self.rows.insert(key, request);
+        self.keys_by_ticket.insert(ticket, key);
+        self.requests.insert(key, request);
     }
-    pub fn take(&mut self, ticket: Ticket) -> Option<DispatchRequest> {
-        let key = self.keys.remove(&ticket)?;
-        self.rows.remove(&key)
+    pub fn remove(&mut self, ticket: Ticket) -> Option<DispatchRequest> {
+        let key = self.keys_by_ticket.remove(&ticket)?;
+        self.requests.remove(&key)
     }
-    /// tickets of those that are concerned, in the order in which they are served
+    /// Returns the tickets of the included requests, in serving order.
     pub fn tickets(&self, is_included: impl Fn(&DispatchRequest) -> bool) -> Vec<Ticket> {
-        let rows = self.rows.iter().filter(|(_, request)| is_included(request));
-        rows.map(|((.., ticket), _)| *ticket).collect()
+        let requests = self
+            .requests
+            .iter()
+            .filter(|(_, request)| is_included(request));
+        requests.map(|((.., ticket), _)| *ticket).collect()
     }
-    pub fn requests(&self) -> impl Iterator<Item = &DispatchRequest> {
-        self.rows.values()
+    pub fn iter(&self) -> impl Iterator<Item = &DispatchRequest> {
+        self.requests.values()
     }
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.requests.len()
     }
 }
