--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -28,11 +28,11 @@
 
 fn fixture(list: Vec<Backend>) -> Fixture {
     let mut fixture = Fixture::new(Vec::new());
-    fixture.tune(|settings| {
+    fixture.update_settings(|settings| {
         settings.zone = REGIONS[0].to_string();
         settings.regions = REGIONS.map(|r| (r.to_string(), r.to_string())).into();
     });
-    fixture.list(list);
+    fixture.update_list(list);
     fixture
 }
 
@@ -44,7 +44,7 @@
 ) -> DispatchRequest {
     DispatchRequest {
         allowed_regions: only(regions),
-        ..fixture.new_ask(service, adapter)
+        ..fixture.new_request(service, adapter)
     }
 }
 
@@ -60,7 +60,7 @@
     let mut fixture = fixture(of_each_region(PLAIN));
     for ticket in 0..20 {
         let ask = bound(&fixture, PLAIN, None, &["south"]);
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)), ["plain-3"]);
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)), ["plain-3"]);
         fixture.end(ticket, SendOutcome::Answered);
     }
 }
@@ -71,16 +71,16 @@
 fn it_is_refused_at_once_where_they_have_none() {
     let mut fixture = fixture(of_each_region(PLAIN));
     let ask = bound(&fixture, PLAIN, None, &["south"]);
-    fixture.ask(1, ask);
+    fixture.submit(1, ask);
     fixture.end(1, SendOutcome::Unreachable);
     // one that rests is tried where no other may be
     let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert_eq!(sent_to(&fixture.ask(2, ask)), ["plain-3"]);
+    assert_eq!(sent_to(&fixture.submit(2, ask)), ["plain-3"]);
     fixture.end(2, SendOutcome::Answered);
-    fixture.list(of_each_region(PLAIN).into_iter().take(2).collect());
+    fixture.update_list(of_each_region(PLAIN).into_iter().take(2).collect());
     for regions in [&["south"][..], &["nowhere"][..]] {
         let ask = bound(&fixture, PLAIN, None, regions);
-        let decided = fixture.ask(3, ask);
+        let decided = fixture.submit(3, ask);
         let cause = decided.iter().map(|(_, decision)| match decision {
             Decision::Reject { cause, .. } => *cause,
             Decision::Send(to) => panic!("sent to {}", to.backend),
@@ -98,13 +98,13 @@
         tried_backends: vec!["plain-3".into()],
         ..bound(&fixture, PLAIN, None, &["south"])
     };
-    assert!(sent_to(&fixture.ask(1, repeat)).is_empty());
+    assert!(sent_to(&fixture.submit(1, repeat)).is_empty());
     let mut full = of_each_region(PLAIN);
     full[2].slots = 0;
-    fixture.list(full);
+    fixture.update_list(full);
     let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert!(fixture.ask(2, ask).is_empty());
-    assert!(sent_to(&fixture.pass(ms(25))).is_empty());
+    assert!(fixture.submit(2, ask).is_empty());
+    assert!(sent_to(&fixture.advance(ms(25))).is_empty());
 }
 
 /// Guards against: adapters that are brought where their requests may not be served.
@@ -115,7 +115,7 @@
         fixture.view(number, view(&format!("engines-{number}"), &[]));
     }
     let ask = bound(&fixture, ENGINES, Some("a"), &["middle"]);
-    fixture.ask(1, ask);
+    fixture.submit(1, ask);
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
@@ -128,7 +128,7 @@
     }
     for (ticket, region) in [(1, "middle"), (2, "south"), (3, "middle")] {
         let ask = bound(&fixture, ENGINES, Some("a"), &[region]);
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
     let homes: BTreeSet<String> = fixture.homes("a").into_iter().collect();
     assert!(
@@ -146,7 +146,7 @@
         fixture.view(number, view(&format!("engines-{number}"), &[]));
     }
     let ask = bound(&fixture, ENGINES, Some("a"), &["south"]);
-    assert!(fixture.ask(1, ask).is_empty());
+    assert!(fixture.submit(1, ask).is_empty());
     assert_eq!(fixture.homes("a"), ["engines-3"]);
 }
 
@@ -155,9 +155,9 @@
 fn a_zone_of_no_known_region_serves_what_is_not_bound_alone() {
     let mut fixture = fixture(vec![in_region(PLAIN, 1, "new-zone")]);
     let ask = bound(&fixture, PLAIN, None, &["north"]);
-    assert!(sent_to(&fixture.ask(1, ask)).is_empty());
-    let ask = fixture.new_ask(PLAIN, None);
-    assert_eq!(sent_to(&fixture.ask(2, ask)), ["plain-1"]);
+    assert!(sent_to(&fixture.submit(1, ask)).is_empty());
+    let ask = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(2, ask)), ["plain-1"]);
 }
 
 #[test]
@@ -202,9 +202,9 @@
         let mut fixture = fixture(list);
         let ask = DispatchRequest {
             allowed_regions: only(&drawn(route % 8)).and(&only(&drawn(account % 8))),
-            ..fixture.new_ask(PLAIN, None)
+            ..fixture.new_request(PLAIN, None)
         };
-        let sent = sent_to(&fixture.ask(1, ask));
+        let sent = sent_to(&fixture.submit(1, ask));
         let is_right = match sent.first() {
             Some(to) => sound.contains(to),
             None => sound.is_empty(),
@@ -217,9 +217,9 @@
 #[test]
 fn an_emptied_zone_is_none_of_them() {
     let mut fixture = fixture(of_each_region(PLAIN));
-    fixture.tell(DispatchEvent::ZonesEvacuated(HashSet::from([
+    fixture.handle(DispatchEvent::ZonesEvacuated(HashSet::from([
         "south".to_string()
     ])));
     let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert!(sent_to(&fixture.ask(1, ask)).is_empty());
+    assert!(sent_to(&fixture.submit(1, ask)).is_empty());
 }
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -44,8 +44,8 @@
         service.cold_start = ms(3_000);
         service.cold_per_s = CARRIED;
     }
-    fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table)));
-    fixture.list(list);
+    fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table)));
+    fixture.update_list(list);
     fixture
 }
 
@@ -54,12 +54,12 @@
     let mut sent = 0;
     for step in 0..time.as_millis() as u64 / 10 {
         let ticket = first + step;
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        let decided = fixture.ask(ticket, ask);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        let decided = fixture.submit(ticket, ask);
         sent += sent_to(&decided).len();
-        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
+        fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
-        fixture.pass(ms(10));
+        fixture.advance(ms(10));
     }
     sent
 }
@@ -81,14 +81,14 @@
     let mut fixture = fixture(vec![cold(1, 0)]);
     fixture.view(1, view("engines-1", &[("a", 1)]));
     assert_eq!(sent_in(&mut fixture, ms(500), 0), 50);
-    fixture.list(vec![cold(1, 2_000)]);
+    fixture.update_list(vec![cold(1, 2_000)]);
     assert!(sent_in(&mut fixture, ms(500), 1_000) <= 3);
     // the same record told again says nothing new
-    fixture.list(vec![cold(1, 2_000)]);
-    fixture.pass(ms(1_500));
+    fixture.update_list(vec![cold(1, 2_000)]);
+    fixture.advance(ms(1_500));
     assert_eq!(sent_in(&mut fixture, ms(500), 2_000), 50);
-    fixture.list(vec![cold(1, 1_000)]);
-    fixture.list(vec![cold(1, 0)]);
+    fixture.update_list(vec![cold(1, 1_000)]);
+    fixture.update_list(vec![cold(1, 0)]);
     assert_eq!(sent_in(&mut fixture, ms(500), 3_000), 50);
 }
 
@@ -114,15 +114,15 @@
         DispatchEvent::ZonesEvacuated(names.collect::<HashSet<String>>())
     };
     let ask = |fixture: &mut Fixture, ticket: u64| {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        sent_to(&fixture.ask(ticket, ask))
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        sent_to(&fixture.submit(ticket, ask))
     };
     assert_eq!(ask(&mut fixture, 1), ["engines-1"]);
-    fixture.tell(zones(&["z"]));
+    fixture.handle(zones(&["z"]));
     assert_eq!(ask(&mut fixture, 2), ["engines-2"]);
-    fixture.tell(zones(&["z", "y"]));
+    fixture.handle(zones(&["z", "y"]));
     assert!(ask(&mut fixture, 3).is_empty(), "it waits");
-    let decided = fixture.tell(zones(&["y"]));
+    let decided = fixture.handle(zones(&["y"]));
     assert_eq!(sent_to(&decided), ["engines-1"], "what waited is sent");
 }
 
@@ -188,7 +188,7 @@
     let mut fixture = fixture(vec![cold(1, 0)]);
     fixture.view(1, view("engines-1", &[("a", 1)]));
     let sent = fixture.now;
-    fixture.tell(DispatchEvent::SignalReceived {
+    fixture.handle(DispatchEvent::SignalReceived {
         backend: "engines-1".into(),
         signal: OwnWord::default().with_cold(Some(ms(2_000))),
         sent_at: sent,
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -22,7 +22,7 @@
 fn ask_of(fixture: &Fixture, body: &str) -> DispatchRequest {
     DispatchRequest {
         digest: digest(body),
-        ..fixture.new_ask(ENGINES, Some("a"))
+        ..fixture.new_request(ENGINES, Some("a"))
     }
 }
 
@@ -32,7 +32,7 @@
     fixture.view(1, view(ENGINE, &[("a", 1)]));
     for (ticket, body) in bodies.iter().enumerate() {
         let ask = ask_of(&fixture, body);
-        assert_eq!(sent_to(&fixture.ask(ticket as u64, ask)), [ENGINE]);
+        assert_eq!(sent_to(&fixture.submit(ticket as u64, ask)), [ENGINE]);
     }
     fixture
 }
@@ -75,18 +75,18 @@
             f.view(1, view("engines-1-later", &[]));
         }),
         ("the list lacks it, and no sidecar speaks", |f| {
-            f.tell(DispatchEvent::ViewLost(ENGINE.into()));
-            f.list(Vec::new());
+            f.handle(DispatchEvent::ViewLost(ENGINE.into()));
+            f.update_list(Vec::new());
         }),
         ("another incarnation answers there", |f| {
             let ask = ask_of(f, "third");
-            f.ask(9, ask);
+            f.submit(9, ask);
             f.end(9, SendOutcome::Superseded);
         }),
         ("it was refused before the connections broke", |f| {
             f.view(1, down(view(ENGINE, &[("a", 1)])));
             let ask = ask_of(f, "one");
-            f.ask(9, ask);
+            f.submit(9, ask);
         }),
     ];
     for (name, prove) in proofs {
@@ -105,9 +105,9 @@
     let steps: [NoProof; 5] = [
         ("a reset while the sidecar reads on", |f| {
             f.end(0, SendOutcome::Broken);
-            f.pass(ms(1_100));
+            f.advance(ms(1_100));
             f.view(1, view(ENGINE, &[("a", 1)]));
-            f.pass(ms(100));
+            f.advance(ms(100));
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
         ("a failure that was answered", |f| {
@@ -119,13 +119,13 @@
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
         ("a planned stop", |f| {
-            f.list(vec![leaving()]);
+            f.update_list(vec![leaving()]);
             f.end(0, SendOutcome::Broken);
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
         ("an end long after", |f| {
             f.end(0, SendOutcome::Broken);
-            f.pass(ms(6_000));
+            f.advance(ms(6_000));
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
     ];
@@ -147,7 +147,7 @@
     };
     let mut fixture = with_runs(&["one"]);
     fixture.end(0, SendOutcome::Broken);
-    fixture.pass(ms(1_100));
+    fixture.advance(ms(1_100));
     fixture.view(1, unsaid());
     assert_eq!(suspected(&mut fixture), []);
     // its list says so later
@@ -165,12 +165,20 @@
     };
     let mut fixture = with_runs(&["clear"]);
     let cause = suspected(&fixture, "cause");
-    assert_eq!(sent_to(&fixture.ask(11, cause)), [ENGINE], "beside others");
+    assert_eq!(
+        sent_to(&fixture.submit(11, cause)),
+        [ENGINE],
+        "beside others"
+    );
     let innocent = suspected(&fixture, "innocent");
-    assert!(fixture.ask(12, innocent).is_empty(), "it waits");
+    assert!(fixture.submit(12, innocent).is_empty(), "it waits");
     let other = ask_of(&fixture, "other");
-    assert_eq!(sent_to(&fixture.ask(13, other)), [ENGINE], "others do not");
-    let decided = fixture.tell(DispatchEvent::SendEnded {
+    assert_eq!(
+        sent_to(&fixture.submit(13, other)),
+        [ENGINE],
+        "others do not"
+    );
+    let decided = fixture.handle(DispatchEvent::SendEnded {
         ticket: 11,
         outcome: SendOutcome::Answered,
     });
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -16,8 +16,8 @@
 fn a_request_goes_to_the_engine_that_holds_its_adapter_in_its_version() {
     let mut fixture = fixture_with_views();
     fixture.view(2, view("engines-2", &[("a", 7)]));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    let decided = fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    let decided = fixture.submit(1, ask);
     let Some((1, Decision::Send(assignment))) = decided.first() else {
         panic!("not sent: {decided:?}");
     };
@@ -29,8 +29,8 @@
 fn a_request_waits_for_its_adapter_at_one_home_and_is_sent_when_it_is_there() {
     let mut fixture = fixture_with_views();
     for ticket in 1..=3 {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        assert!(fixture.ask(ticket, ask).is_empty());
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        assert!(fixture.submit(ticket, ask).is_empty());
     }
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -42,9 +42,9 @@
 #[test]
 fn a_wait_ends_in_a_refusal_that_says_when_to_come_back() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
-    let decided = fixture.pass(ms(1_600));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
+    let decided = fixture.advance(ms(1_600));
     let Some((
         1,
         Decision::Reject {
@@ -56,15 +56,15 @@
     };
     assert_eq!(*cause, RejectionCause::NotLoaded);
     assert!(*retry_after >= ms(100));
-    assert!(fixture.pass(ms(10)).is_empty(), "one answer only");
+    assert!(fixture.advance(ms(10)).is_empty(), "one answer only");
 }
 
 #[test]
 fn a_client_that_left_while_waiting_gets_no_back_end() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
-    fixture.tell(DispatchEvent::RequestWithdrawn(1));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
+    fixture.handle(DispatchEvent::RequestWithdrawn(1));
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     assert!(decided.is_empty());
 }
@@ -73,16 +73,16 @@
 fn full_engines_get_no_more_and_the_next_goes_when_a_place_is_free() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     for ticket in 1..=4 {
-        let ask = fixture.new_ask(PLAIN, None);
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
+        let ask = fixture.new_request(PLAIN, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
     }
-    let ask = fixture.new_ask(PLAIN, None);
-    assert!(fixture.ask(5, ask).is_empty(), "four places");
+    let ask = fixture.new_request(PLAIN, None);
+    assert!(fixture.submit(5, ask).is_empty(), "four places");
     let ended = DispatchEvent::SendEnded {
         ticket: 2,
         outcome: SendOutcome::Answered,
     };
-    assert_eq!(fixture.tell(ended).first().map(|(t, _)| *t), Some(5));
+    assert_eq!(fixture.handle(ended).first().map(|(t, _)| *t), Some(5));
 }
 
 #[test]
@@ -90,14 +90,14 @@
     let mut fixture = fixture_with_views();
     let later = DispatchRequest {
         priority: 2,
-        ..fixture.new_ask(ENGINES, Some("a"))
+        ..fixture.new_request(ENGINES, Some("a"))
     };
-    fixture.ask(1, later);
+    fixture.submit(1, later);
     let urgent = DispatchRequest {
         priority: 0,
-        ..fixture.new_ask(ENGINES, Some("a"))
+        ..fixture.new_request(ENGINES, Some("a"))
     };
-    fixture.ask(2, urgent);
+    fixture.submit(2, urgent);
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     let order: Vec<Ticket> = decided.iter().map(|(ticket, _)| *ticket).collect();
     assert_eq!(order, [2, 1]);
@@ -145,9 +145,9 @@
         let ask = DispatchRequest {
             send_count: 1,
             was_rejected_before: true,
-            ..fixture.new_ask(ENGINES, Some("a"))
+            ..fixture.new_request(ENGINES, Some("a"))
         };
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     let sent = sent_to(&decided).len();
@@ -171,9 +171,9 @@
         for ticket in 0..100 {
             let ask = DispatchRequest {
                 send_count: 1,
-                ..fixture.new_ask(ENGINES, None)
+                ..fixture.new_request(ENGINES, None)
             };
-            let decided = fixture.ask(ticket, ask);
+            let decided = fixture.submit(ticket, ask);
             sent += sent_to(&decided).len();
             fixture.end(ticket, SendOutcome::Answered);
         }
@@ -187,10 +187,10 @@
     let mut of_entry = 0;
     let begun = Instant::now();
     for life in 0..LIVES {
-        let mut fixture = Fixture::started_again(engines(), begun + ms(2_000 * life));
+        let mut fixture = Fixture::restarted(engines(), begun + ms(2_000 * life));
         say(&mut fixture, ENTRIES);
         of_entry += repeat_all(&mut fixture);
-        fixture.pass(ms(1_000));
+        fixture.advance(ms(1_000));
         of_entry += repeat_all(&mut fixture);
     }
     let share = 50.0 / f64::from(ENTRIES);
@@ -216,9 +216,9 @@
     for ticket in 0..60 {
         let ask = DispatchRequest {
             send_count: 1,
-            ..fixture.new_ask(PLAIN, None)
+            ..fixture.new_request(PLAIN, None)
         };
-        for (_, decision) in fixture.ask(ticket, ask) {
+        for (_, decision) in fixture.submit(ticket, ask) {
             match decision {
                 Decision::Send(_) => fixture.end(ticket, SendOutcome::Answered),
                 Decision::Reject { cause, .. } => {
@@ -236,8 +236,8 @@
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1), backend(PLAIN, 2)]);
     let mut to_failing = 0;
     for ticket in 0..40 {
-        let ask = fixture.new_ask(PLAIN, None);
-        let chosen = sent_to(&fixture.ask(ticket, ask));
+        let ask = fixture.new_request(PLAIN, None);
+        let chosen = sent_to(&fixture.submit(ticket, ask));
         let fails = chosen == ["plain-1"];
         to_failing += u32::from(fails);
         let outcome = match fails {
@@ -247,11 +247,11 @@
         fixture.end(ticket, outcome);
     }
     assert!(to_failing <= 4, "{to_failing} of 40");
-    fixture.pass(ms(30_000));
+    fixture.advance(ms(30_000));
     let chosen: Vec<_> = (100..104)
         .flat_map(|ticket| {
-            let ask = fixture.new_ask(PLAIN, None);
-            sent_to(&fixture.ask(ticket, ask))
+            let ask = fixture.new_request(PLAIN, None);
+            sent_to(&fixture.submit(ticket, ask))
         })
         .collect();
     assert!(chosen.contains(&"plain-1".to_string()), "{chosen:?}");
@@ -276,14 +276,14 @@
 #[test]
 fn a_request_whose_adapter_comes_too_late_is_refused_early_and_its_adapter_stays_wanted() {
     let mut fixture = fixture_with_slow_loads(900);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
     assert!(
-        fixture.pass(ms(60)).is_empty(),
+        fixture.advance(ms(60)).is_empty(),
         "no sidecar has answered the wish"
     );
     tell_slow_loads(&mut fixture, 900);
-    let decided = fixture.pass(ms(25));
+    let decided = fixture.advance(ms(25));
     let Some((
         1,
         Decision::Reject {
@@ -295,9 +295,9 @@
     };
     assert_eq!(*cause, RejectionCause::LoadTooSlow);
     assert!(*retry_after >= ms(900));
-    fixture.pass(*retry_after);
+    fixture.advance(*retry_after);
     assert_eq!(fixture.homes("a").len(), 1, "wanted until it comes back");
-    fixture.pass(ms(3_000));
+    fixture.advance(ms(3_000));
     assert!(fixture.homes("a").is_empty(), "not for ever");
 }
 
@@ -314,11 +314,11 @@
     ];
     for (name, next_load_ms, change) in cases {
         let mut fixture = fixture_with_slow_loads(*next_load_ms);
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         change(&mut ask);
-        fixture.ask(1, ask);
+        fixture.submit(1, ask);
         for _ in 0..5 {
-            assert!(fixture.pass(ms(25)).is_empty(), "{name}");
+            assert!(fixture.advance(ms(25)).is_empty(), "{name}");
             tell_slow_loads(&mut fixture, *next_load_ms);
         }
     }
@@ -328,10 +328,10 @@
 #[test]
 fn a_request_is_judged_once() {
     let mut fixture = fixture_with_slow_loads(100);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
     for next_load_ms in [100, 900, 900, 900] {
-        assert!(fixture.pass(ms(25)).is_empty(), "{next_load_ms}");
+        assert!(fixture.advance(ms(25)).is_empty(), "{next_load_ms}");
         tell_slow_loads(&mut fixture, next_load_ms);
     }
 }
@@ -348,14 +348,14 @@
     }
     let base = |fixture: &Fixture, model: &str| DispatchRequest {
         model: Some(model.to_string()),
-        ..fixture.new_ask(ENGINES, None)
+        ..fixture.new_request(ENGINES, None)
     };
     let ask = base(&fixture, "m");
-    assert_eq!(sent_to(&fixture.ask(1, ask)), ["engines-2"]);
+    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-2"]);
     let ask = base(&fixture, "nowhere");
-    assert!(fixture.ask(2, ask).is_empty());
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(3, ask);
+    assert!(fixture.submit(2, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(3, ask);
     assert_eq!(fixture.homes("a"), ["engines-2"], "where its base model is");
 }
 
@@ -364,11 +364,11 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     for ticket in 1..=4 {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
     }
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(5, ask).is_empty(), "four places");
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(5, ask).is_empty(), "four places");
     // room that no end of a request has announced
     let mut list = engines();
     list[0].slots = 5;
@@ -376,12 +376,12 @@
         backend: "engines-1".into(),
         stats: EngineFigures::default(),
     };
-    fixture.tell(figures);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(6, ask).is_empty());
-    fixture.list(list);
+    fixture.handle(figures);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(6, ask).is_empty());
+    fixture.update_list(list);
     let waiting = fixture.dispatcher.waiting_count();
     assert_eq!(waiting, 1, "one of the two was sent, the earlier one");
-    fixture.tell(DispatchEvent::RequestWithdrawn(6));
+    fixture.handle(DispatchEvent::RequestWithdrawn(6));
     assert_eq!(fixture.dispatcher.waiting_count(), 0);
 }
--- a/coordination/tests/dispatch_copies.rs
+++ b/coordination/tests/dispatch_copies.rs
@@ -13,9 +13,9 @@
     for (ticket, homes) in [(1, 1), (2, 1), (3, 2), (4, 2), (5, 3)] {
         let ask = DispatchRequest {
             prompt_tokens: 4_000,
-            ..fixture.new_ask(ENGINES, Some("a"))
+            ..fixture.new_request(ENGINES, Some("a"))
         };
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
         assert_eq!(fixture.homes("a").len(), homes, "{ticket} wait");
     }
 }
@@ -24,8 +24,8 @@
 fn the_home_of_an_adapter_is_the_same_at_each_entry() {
     let home = || {
         let mut fixture = fixture_with_views();
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        fixture.ask(1, ask);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        fixture.submit(1, ask);
         fixture.homes("a")
     };
     assert_eq!(home(), home());
@@ -34,14 +34,14 @@
 #[test]
 fn an_engine_without_a_spare_place_is_no_home() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask.clone());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask.clone());
     let first = fixture.homes("a");
     let number: u8 = first[0].trim_start_matches("engines-").parse().unwrap();
     let mut full = view(&first[0], &[]);
     full.figures.spare_slots = 0;
     fixture.view(number, full);
-    fixture.pass(ms(1_600));
+    fixture.advance(ms(1_600));
     assert_ne!(fixture.homes("a"), first);
 }
 
@@ -52,9 +52,9 @@
     for ticket in 1..=4 {
         let ask = DispatchRequest {
             prompt_tokens: 3_000,
-            ..fixture.new_ask(ENGINES, Some("a"))
+            ..fixture.new_request(ENGINES, Some("a"))
         };
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -82,9 +82,9 @@
     for ticket in 1..=requests {
         let ask = DispatchRequest {
             prompt_tokens: 10,
-            ..fixture.new_ask(ENGINES, Some("a"))
+            ..fixture.new_request(ENGINES, Some("a"))
         };
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
     fixture.homes("a")
 }
@@ -124,8 +124,8 @@
     let mut loaded = view(&homes[0], &[("a", 1)]);
     loaded.figures.running = 16;
     fixture.view(number, loaded);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(100, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(100, ask);
     let asked = fixture.homes("a");
     assert_eq!(asked, homes[1..], "the second is still on its way");
 }
@@ -153,8 +153,8 @@
 fn a_cold_adapter_is_loaded_where_it_is_calm() {
     let mut fixture = fixture_with_one_holder(0);
     let cold = |fixture: &mut Fixture, ticket| {
-        let ask = fixture.new_ask(ENGINES, Some("cold"));
-        fixture.ask(ticket, ask);
+        let ask = fixture.new_request(ENGINES, Some("cold"));
+        fixture.submit(ticket, ask);
         fixture.homes("cold")
     };
     let calm = cold(&mut fixture, 1);
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -128,12 +128,12 @@
             now: Instant::now(),
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table())));
-        fixture.list(list);
+        fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table())));
+        fixture.update_list(list);
         fixture
     }
     /// a process that begins while its fleet serves
-    pub fn started_again(list: Vec<Backend>, now: Instant) -> Self {
+    pub fn restarted(list: Vec<Backend>, now: Instant) -> Self {
         let settings = DispatchSettings {
             restarted_at: Some(now),
             ..settings()
@@ -143,42 +143,42 @@
             now,
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::ConfigUpdated(Arc::new(table())));
-        fixture.list(list);
+        fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table())));
+        fixture.update_list(list);
         fixture
     }
-    pub fn tell(&mut self, event: DispatchEvent) -> Vec<(Ticket, Decision)> {
+    pub fn handle(&mut self, event: DispatchEvent) -> Vec<(Ticket, Decision)> {
         self.dispatcher.handle(event, self.now)
     }
-    pub fn list(&mut self, list: Vec<Backend>) {
+    pub fn update_list(&mut self, list: Vec<Backend>) {
         self.list_version += 1;
         let version = self.list_version;
-        self.tell(DispatchEvent::ListUpdated { version, list });
+        self.handle(DispatchEvent::ListUpdated { version, list });
     }
     /// change the settings while it runs
-    pub fn tune(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
+    pub fn update_settings(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
         let mut settings = settings();
         change(&mut settings);
-        self.tell(DispatchEvent::SettingsUpdated(settings));
+        self.handle(DispatchEvent::SettingsUpdated(settings));
     }
     pub fn view(&mut self, number: u8, view: EngineView) -> Vec<(Ticket, Decision)> {
         let addr = addr(number);
-        self.tell(DispatchEvent::ViewReceived { addr, view })
+        self.handle(DispatchEvent::ViewReceived { addr, view })
     }
-    pub fn pass(&mut self, time: Duration) -> Vec<(Ticket, Decision)> {
+    pub fn advance(&mut self, time: Duration) -> Vec<(Ticket, Decision)> {
         self.now += time;
-        self.tell(DispatchEvent::Tick)
+        self.handle(DispatchEvent::Tick)
     }
-    pub fn ask(&mut self, ticket: Ticket, ask: DispatchRequest) -> Vec<(Ticket, Decision)> {
-        self.tell(DispatchEvent::RequestArrived {
+    pub fn submit(&mut self, ticket: Ticket, ask: DispatchRequest) -> Vec<(Ticket, Decision)> {
+        self.handle(DispatchEvent::RequestArrived {
             ticket,
             request: ask,
         })
     }
     pub fn end(&mut self, ticket: Ticket, outcome: SendOutcome) {
-        self.tell(DispatchEvent::SendEnded { ticket, outcome });
+        self.handle(DispatchEvent::SendEnded { ticket, outcome });
     }
-    pub fn new_ask(&self, service: &str, wanted: Option<&str>) -> DispatchRequest {
+    pub fn new_request(&self, service: &str, wanted: Option<&str>) -> DispatchRequest {
         DispatchRequest {
             digest: digest("any"),
             is_crash_suspect: false,
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -46,7 +46,7 @@
         (90_000, 0, 0, 7),
     ];
     for (prompt_tokens, waited, priority, expected) in cases {
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         ask.prompt_tokens = prompt_tokens;
         ask.priority = priority;
         let at = fixture.now + ms(waited);
@@ -59,7 +59,7 @@
 fn of_two_that_can_be_in_time_the_longer_is_never_more_urgent() {
     fn check(shorter: u16, more: u16, priority: u8) -> bool {
         let fixture = fixture_with_views();
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         ask.priority = priority;
         ask.prompt_tokens = u32::from(shorter);
         let first = urgency(&ask, TOKENS_PER_MS, fixture.now);
@@ -89,9 +89,9 @@
 fn a_request_waits_for_its_adapters_return_only_if_that_is_sooner() {
     for (reading, returns) in [(0, false), (1, false), (12, true)] {
         let mut fixture = fixture_with_return(reading);
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         ask.prompt_tokens = 1_000;
-        let decided = fixture.ask(1, ask);
+        let decided = fixture.submit(1, ask);
         let case = format!("{reading} are read");
         match returns {
             false => assert_eq!(sent_to(&decided), ["engines-1"], "{case}"),
@@ -109,9 +109,9 @@
 #[test]
 fn a_return_that_does_not_come_holds_nobody_up() {
     let mut fixture = fixture_with_return(12);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
-    let decided = fixture.pass(ms(200));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
+    let decided = fixture.advance(ms(200));
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
 
@@ -122,9 +122,9 @@
         return_home: false,
         ..Mechanisms::default()
     };
-    fixture.tune(|settings| settings.features = mechanisms);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.ask(1, ask)), ["engines-1"]);
+    fixture.update_settings(|settings| settings.features = mechanisms);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1"]);
 }
 
 #[test]
@@ -134,8 +134,8 @@
         let id = format!("engines-{engine}");
         fixture.view(engine, view(&id, &[("a", 1)]));
         fixture.view(engine, view(&id, &[]));
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        fixture.ask(1, ask);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        fixture.submit(1, ask);
         assert_eq!(fixture.homes("a"), [id]);
     }
 }
@@ -143,8 +143,8 @@
 #[test]
 fn an_entry_that_starts_hears_what_engines_held_before() {
     let mut former = fixture_with_views();
-    let ask = former.new_ask(ENGINES, Some("a"));
-    former.ask(1, ask);
+    let ask = former.new_request(ENGINES, Some("a"));
+    former.submit(1, ask);
     let plain_home = former.homes("a");
     for engine in 1..=3 {
         let id = format!("engines-{engine}");
@@ -156,8 +156,8 @@
             }
             fixture.view(number, whole);
         }
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        fixture.ask(1, ask);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        fixture.submit(1, ask);
         assert_eq!(fixture.homes("a"), [id], "not {plain_home:?}");
     }
 }
@@ -169,17 +169,17 @@
         fixture.view(number, view(&format!("engines-{number}"), &[("a", 1)]));
     }
     // one's own prompts say how long a typical one is
-    let mut ask = fixture.new_ask(ENGINES, Some("a"));
+    let mut ask = fixture.new_request(ENGINES, Some("a"));
     ask.prompt_tokens = 2_000;
-    let first = sent_to(&fixture.ask(1, ask.clone()));
-    fixture.tell(DispatchEvent::ResponseStarted(1));
+    let first = sent_to(&fixture.submit(1, ask.clone()));
+    fixture.handle(DispatchEvent::ResponseStarted(1));
     for number in 1..=2u8 {
         let id = format!("engines-{number}");
         let mut seen = view(&id, &[("a", 1)]);
         seen.figures.reading = u32::from(first == [id.clone()]) * 2;
         fixture.view(number, seen);
     }
-    let decided = fixture.ask(2, ask);
+    let decided = fixture.submit(2, ask);
     assert_ne!(sent_to(&decided), first);
     let Some((2, Decision::Send(assignment))) = decided.first() else {
         panic!("not sent: {decided:?}");
@@ -190,8 +190,8 @@
 #[test]
 fn an_adapter_that_is_there_and_that_nobody_waits_for_is_wanted_no_more() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
     let homes = fixture.homes("a");
     let number: u8 = homes[0].trim_start_matches("engines-").parse().unwrap();
     assert_eq!(homes.len(), 1);
@@ -216,9 +216,9 @@
         }
         fixture.view(1, busy);
         for ticket in 1..=2 {
-            let mut ask = fixture.new_ask(ENGINES, Some("a"));
+            let mut ask = fixture.new_request(ENGINES, Some("a"));
             ask.prompt_tokens = 1_000;
-            fixture.ask(ticket, ask);
+            fixture.submit(ticket, ask);
         }
         let homes = fixture.homes("a");
         let copies = homes.iter().filter(|home| *home != "engines-1").count();
@@ -231,9 +231,9 @@
 fn absurd_sizes_of_prompts_overflow_nothing() {
     let mut fixture = fixture_with_views();
     for ticket in 1..=3 {
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         ask.prompt_tokens = u32::MAX;
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
     assert_eq!(fixture.homes("a").len(), 3, "as many homes as there are");
 }
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -56,7 +56,7 @@
 impl World {
     fn new(mechanisms: Mechanisms) -> Self {
         let mut fixture = fixture_with_views();
-        fixture.tune(|settings| settings.features = mechanisms);
+        fixture.update_settings(|settings| settings.features = mechanisms);
         Self {
             fixture,
             held: (1..=3).map(|number| (number, Vec::new())).collect(),
@@ -70,15 +70,15 @@
         let decided = match kind % 4 {
             0 | 1 => {
                 let name = format!("a{}", value % 6);
-                let mut ask = self.fixture.new_ask(ENGINES, Some(&name));
+                let mut ask = self.fixture.new_request(ENGINES, Some(&name));
                 ask.prompt_tokens = 100 * u32::from(value);
                 self.next += 1;
                 self.waiting.insert(self.next, name);
-                self.fixture.ask(self.next, ask)
+                self.fixture.submit(self.next, ask)
             }
             2 => self.end_one(value),
             _ => {
-                let decided = self.fixture.pass(ms(u64::from(value)));
+                let decided = self.fixture.advance(ms(u64::from(value)));
                 self.check(decided);
                 self.load_wished();
                 Vec::new()
@@ -93,10 +93,10 @@
             return Vec::new();
         };
         self.running.remove(&ticket);
-        self.fixture.tell(DispatchEvent::ResponseStarted(ticket));
+        self.fixture.handle(DispatchEvent::ResponseStarted(ticket));
         let outcome = SendOutcome::Answered;
         self.fixture
-            .tell(DispatchEvent::SendEnded { ticket, outcome })
+            .handle(DispatchEvent::SendEnded { ticket, outcome })
     }
 
     /// each engine takes up what is wished for there, where a place is free
@@ -166,7 +166,7 @@
             steps.iter().for_each(|step| world.step(*step));
             // those that wait get an answer in the end
             for _ in 0..20 {
-                let decided = world.fixture.pass(ms(200));
+                let decided = world.fixture.advance(ms(200));
                 world.check(decided);
             }
             assert!(
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -38,7 +38,7 @@
 /// an answer to a request that was sent at this moment, and came now
 fn say(fixture: &mut Fixture, backend: &str, word: OwnWord, sent: Instant) {
     let backend = BackendId::from(backend);
-    fixture.tell(DispatchEvent::SignalReceived {
+    fixture.handle(DispatchEvent::SignalReceived {
         backend,
         signal: word,
         sent_at: sent,
@@ -69,12 +69,12 @@
     let mut sent = 0;
     for step in 0..(time.as_millis() / STEP.as_millis()) as u64 {
         let ticket = first + step;
-        let ask = fixture.new_ask(PLAIN, None);
-        let decided = fixture.ask(ticket, ask);
+        let ask = fixture.new_request(PLAIN, None);
+        let decided = fixture.submit(ticket, ask);
         sent += sent_to(&decided).iter().filter(|b| *b == backend).count();
-        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
+        fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
-        fixture.pass(STEP);
+        fixture.advance(STEP);
     }
     sent
 }
@@ -105,7 +105,7 @@
 fn it_ends_with_an_answer_that_was_surely_written_later() {
     let mut fixture = alone(vec![backend(PLAIN, 1)]);
     let before = fixture.now;
-    fixture.pass(ms(10));
+    fixture.advance(ms(10));
     say_now(&mut fixture, "plain-1", limited(2.0));
     say(&mut fixture, "plain-1", OwnWord::default(), before);
     let sent = sent_within(&mut fixture, WINDOW, "plain-1", 0);
@@ -120,11 +120,11 @@
 fn it_outlives_the_record_of_its_back_end() {
     let mut fixture = alone(two_plain());
     say_now(&mut fixture, "plain-1", limited(1.0));
-    fixture.list(vec![backend(PLAIN, 2), backend(ENGINES, 9)]);
-    fixture.pass(ms(500));
+    fixture.update_list(vec![backend(PLAIN, 2), backend(ENGINES, 9)]);
+    fixture.advance(ms(500));
     let mut again = two_plain();
     again.push(backend(ENGINES, 9));
-    fixture.list(again);
+    fixture.update_list(again);
     let sent = sent_within(&mut fixture, WINDOW, "plain-1", 0);
     assert!(sent <= allowed(1.0), "{sent}");
 }
@@ -141,9 +141,9 @@
     let mut sent = 0;
     for ticket in 0..800 {
         fixture.now += STEP;
-        let ask = fixture.new_ask(PLAIN, None);
-        sent += sent_to(&fixture.ask(ticket, ask)).len();
-        fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
+        let ask = fixture.new_request(PLAIN, None);
+        sent += sent_to(&fixture.submit(ticket, ask)).len();
+        fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
     }
     assert!(sent >= 12, "{sent} of 16 in 8 s");
@@ -158,7 +158,7 @@
         id: "plain-3".into(),
         ..backend(PLAIN, 1)
     };
-    fixture.list(vec![reborn, backend(ENGINES, 9)]);
+    fixture.update_list(vec![reborn, backend(ENGINES, 9)]);
     assert_eq!(sent_within(&mut fixture, ms(500), "plain-3", 0), 50);
 }
 
@@ -170,8 +170,8 @@
     say_now(&mut fixture, "plain-1", limited(1.0));
     let mut told = Vec::new();
     for ticket in 0..4 {
-        let ask = fixture.new_ask(PLAIN, None);
-        told.extend(refusals(&fixture.ask(ticket, ask)));
+        let ask = fixture.new_request(PLAIN, None);
+        told.extend(refusals(&fixture.submit(ticket, ask)));
     }
     assert!(told
         .iter()
@@ -187,14 +187,16 @@
 fn a_turn_that_comes_in_time_is_waited_for() {
     let mut fixture = alone(vec![backend(PLAIN, 1)]);
     say_now(&mut fixture, "plain-1", limited(4.0));
-    fixture.pass(ms(2_000));
+    fixture.advance(ms(2_000));
     for ticket in 0..2 {
-        let ask = fixture.new_ask(PLAIN, None);
-        let decided = fixture.ask(ticket, ask);
+        let ask = fixture.new_request(PLAIN, None);
+        let decided = fixture.submit(ticket, ask);
         assert!(refusals(&decided).is_empty(), "{decided:?}");
     }
     // one at once, the other a quarter of a second later
-    let later = (0..12).flat_map(|_| sent_to(&fixture.pass(ms(25)))).count();
+    let later = (0..12)
+        .flat_map(|_| sent_to(&fixture.advance(ms(25))))
+        .count();
     assert_eq!(later, 1);
 }
 
@@ -204,12 +206,12 @@
     let mut fixture = alone(vec![backend(PLAIN, 1)]);
     say_now(&mut fixture, "plain-1", limited(4.0));
     for (ticket, priority) in [(1, 2), (2, 2), (3, 2), (4, 0)] {
-        let mut ask = fixture.new_ask(PLAIN, None);
+        let mut ask = fixture.new_request(PLAIN, None);
         ask.priority = priority;
         ask.target_latency = ms(1_000);
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
-    let sent = (0..80).flat_map(|_| fixture.pass(ms(25)));
+    let sent = (0..80).flat_map(|_| fixture.advance(ms(25)));
     let sent: Vec<Ticket> = sent.map(|(ticket, _)| ticket).collect();
     assert_eq!(sent.first(), Some(&4));
 }
@@ -221,8 +223,8 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     say_now(&mut fixture, "engines-1", limited(0.2));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_ne!(homes, ["engines-1"]);
@@ -237,8 +239,8 @@
     let mut fixture = fixture_with_views();
     say_now(&mut fixture, "engines-1", limited(1.0));
     for (ticket, name) in (0..).zip(["a", "b", "c", "d", "e"]) {
-        let ask = fixture.new_ask(ENGINES, Some(name));
-        fixture.ask(ticket, ask);
+        let ask = fixture.new_request(ENGINES, Some(name));
+        fixture.submit(ticket, ask);
         assert!(!fixture.homes(name).contains(&"engines-1".to_string()));
     }
 }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -38,7 +38,7 @@
 fn say(fixture: &mut Fixture, backend: &str, word: OwnWord) {
     let backend = backend.into();
     let sent = fixture.now;
-    fixture.tell(DispatchEvent::SignalReceived {
+    fixture.handle(DispatchEvent::SignalReceived {
         backend,
         signal: word,
         sent_at: sent,
@@ -47,8 +47,8 @@
 
 /// where a request of the plain service goes, if it goes at once
 fn goes_to(fixture: &mut Fixture, ticket: u64) -> Option<String> {
-    let ask = fixture.new_ask(PLAIN, None);
-    let sent = sent_to(&fixture.ask(ticket, ask));
+    let ask = fixture.new_request(PLAIN, None);
+    let sent = sent_to(&fixture.submit(ticket, ask));
     fixture.end(ticket, SendOutcome::Answered);
     sent.first().cloned()
 }
@@ -67,12 +67,12 @@
     // a newer record that does not know it yet
     let mut newer = two_plain();
     newer[0].slots = 8;
-    fixture.list(newer);
+    fixture.update_list(newer);
     never_goes_to(&mut fixture, "plain-1");
     // its record lapses and returns, as records do while the store is down
-    fixture.list(vec![backend(PLAIN, 2)]);
-    fixture.pass(ms(30_000));
-    fixture.list(two_plain());
+    fixture.update_list(vec![backend(PLAIN, 2)]);
+    fixture.advance(ms(30_000));
+    fixture.update_list(two_plain());
     never_goes_to(&mut fixture, "plain-1");
 }
 
@@ -81,7 +81,7 @@
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     say(&mut fixture, "plain-1", LEAVES);
     assert_eq!(goes_to(&mut fixture, 1), None);
-    fixture.list(Vec::new());
+    fixture.update_list(Vec::new());
     assert_eq!(goes_to(&mut fixture, 2), None);
 }
 
@@ -93,7 +93,7 @@
         id: "plain-9".into(),
         ..backend(PLAIN, 1)
     };
-    fixture.list(vec![reborn]);
+    fixture.update_list(vec![reborn]);
     assert_eq!(goes_to(&mut fixture, 1).as_deref(), Some("plain-9"));
 }
 
@@ -103,8 +103,8 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     say(&mut fixture, "engines-1", LEAVES);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_ne!(homes, ["engines-1"]);
@@ -113,11 +113,11 @@
 #[test]
 fn a_wish_at_an_engine_that_leaves_is_dropped() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
     let homes = fixture.homes("a");
     say(&mut fixture, &homes[0], LEAVES);
-    fixture.pass(ms(25));
+    fixture.advance(ms(25));
     let after = fixture.homes("a");
     assert_eq!(after.len(), 1);
     assert_ne!(after, homes);
@@ -139,9 +139,9 @@
     let mut fixture = Fixture::new(two_plain());
     say(&mut fixture, "plain-1", RESTS);
     never_goes_to(&mut fixture, "plain-1");
-    fixture.pass(ms(REST_S * 1_000 - 1));
+    fixture.advance(ms(REST_S * 1_000 - 1));
     never_goes_to(&mut fixture, "plain-1");
-    fixture.pass(ms(1));
+    fixture.advance(ms(1));
     assert_eq!(goes_to(&mut fixture, 1).as_deref(), Some("plain-1"));
 }
 
@@ -155,7 +155,7 @@
         ..OwnWord::default()
     };
     say(&mut fixture, "plain-1", shorter);
-    fixture.pass(ms(100));
+    fixture.advance(ms(100));
     never_goes_to(&mut fixture, "plain-1");
 }
 
@@ -163,9 +163,9 @@
 fn a_rest_outlives_the_record_of_its_back_end() {
     let mut fixture = Fixture::new(two_plain());
     say(&mut fixture, "plain-1", RESTS);
-    fixture.list(vec![backend(PLAIN, 2)]);
-    fixture.pass(ms(500));
-    fixture.list(two_plain());
+    fixture.update_list(vec![backend(PLAIN, 2)]);
+    fixture.advance(ms(500));
+    fixture.update_list(two_plain());
     never_goes_to(&mut fixture, "plain-1");
 }
 
@@ -173,10 +173,10 @@
 fn what_only_resting_ones_could_serve_is_refused_at_once_until_the_first_is_back() {
     let mut fixture = Fixture::new(two_plain());
     say(&mut fixture, "plain-1", RESTS);
-    fixture.pass(ms(1_000));
+    fixture.advance(ms(1_000));
     say(&mut fixture, "plain-2", RESTS);
-    let ask = fixture.new_ask(PLAIN, None);
-    let decided = fixture.ask(1, ask);
+    let ask = fixture.new_request(PLAIN, None);
+    let decided = fixture.submit(1, ask);
     let left = ms(REST_S * 1_000 - 1_000);
     assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
 }
@@ -189,9 +189,9 @@
         ..OwnWord::default()
     };
     say(&mut fixture, "plain-1", short);
-    let ask = fixture.new_ask(PLAIN, None);
-    assert!(fixture.ask(1, ask).is_empty());
-    assert_eq!(sent_to(&fixture.pass(ms(100))), ["plain-1"]);
+    let ask = fixture.new_request(PLAIN, None);
+    assert!(fixture.submit(1, ask).is_empty());
+    assert_eq!(sent_to(&fixture.advance(ms(100))), ["plain-1"]);
 }
 
 /// the only engines with the base model rest: no other gets one within their rest
@@ -204,8 +204,8 @@
         fixture.view(number, bare);
     }
     say(&mut fixture, "engines-1", RESTS);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    let decided = fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    let decided = fixture.submit(1, ask);
     let left = ms(REST_S * 1_000);
     assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
     assert!(fixture.homes("a").is_empty());
@@ -216,22 +216,22 @@
 fn one_request_shows_whether_a_rest_is_over() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     say(&mut fixture, "plain-1", RESTS);
-    fixture.pass(ms(REST_S * 1_000));
+    fixture.advance(ms(REST_S * 1_000));
     let decided: Vec<_> = (1..=3)
         .flat_map(|ticket| {
-            let ask = fixture.new_ask(PLAIN, None);
-            fixture.ask(ticket, ask)
+            let ask = fixture.new_request(PLAIN, None);
+            fixture.submit(ticket, ask)
         })
         .collect();
     assert_eq!(sent_to(&decided).len(), 1);
     // turned away without a time: the next one shows it
     fixture.end(1, SendOutcome::Shed);
-    assert_eq!(sent_to(&fixture.pass(ms(100))).len(), 1);
+    assert_eq!(sent_to(&fixture.advance(ms(100))).len(), 1);
     // it has begun to run: all others follow
-    fixture.tell(DispatchEvent::ResponseStarted(2));
-    assert_eq!(sent_to(&fixture.pass(ms(1))).len(), 1);
-    let ask = fixture.new_ask(PLAIN, None);
-    assert_eq!(sent_to(&fixture.ask(4, ask)).len(), 1);
+    fixture.handle(DispatchEvent::ResponseStarted(2));
+    assert_eq!(sent_to(&fixture.advance(ms(1))).len(), 1);
+    let ask = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(4, ask)).len(), 1);
 }
 
 /// a client that leaves does not keep others from it
@@ -239,10 +239,10 @@
 fn a_trial_that_is_abandoned_is_followed_by_another() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     say(&mut fixture, "plain-1", RESTS);
-    fixture.pass(ms(REST_S * 1_000));
+    fixture.advance(ms(REST_S * 1_000));
     for ticket in 1..=3 {
-        let ask = fixture.new_ask(PLAIN, None);
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
+        let ask = fixture.new_request(PLAIN, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
         fixture.end(ticket, SendOutcome::Abandoned);
     }
 }
@@ -300,20 +300,20 @@
     let mut told = view("engines-1", &[("a", 1)]);
     told.figures.is_leaving = true;
     fixture.view(1, told);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
     assert_ne!(fixture.homes("a"), ["engines-1"]);
     // with figures alone
     let mut figures = view("engines-2", &[]).figures;
     figures.is_leaving = true;
     let backend = "engines-2".into();
-    fixture.tell(DispatchEvent::StatsReceived {
+    fixture.handle(DispatchEvent::StatsReceived {
         backend,
         stats: figures,
     });
     fixture.view(2, view("engines-2", &[("b", 1)]));
-    let ask = fixture.new_ask(ENGINES, Some("b"));
-    assert!(fixture.ask(2, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("b"));
+    assert!(fixture.submit(2, ask).is_empty());
 }
 
 /// Guards against: a sidecar that keeps to itself that its engine names a limit or is cold, and
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -46,9 +46,9 @@
 
 /// where a request for an adapter goes, if it goes at once
 fn goes_to(fixture: &mut Fixture, ticket: u64, wanted: &str) -> Option<String> {
-    let ask = fixture.new_ask(ENGINES, Some(wanted));
-    let sent = sent_to(&fixture.ask(ticket, ask));
-    fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
+    let ask = fixture.new_request(ENGINES, Some(wanted));
+    let sent = sent_to(&fixture.submit(ticket, ask));
+    fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent.first().cloned()
 }
@@ -68,9 +68,9 @@
         fixture.view(1, said(born, &[("a", 1)]));
         assert_eq!(goes_to(&mut fixture, 3, "a"), text(born));
         // the list lags, then follows
-        fixture.list(vec![listed(FIRST)]);
+        fixture.update_list(vec![listed(FIRST)]);
         assert_eq!(goes_to(&mut fixture, 4, "a"), text(born));
-        fixture.list(vec![listed(born)]);
+        fixture.update_list(vec![listed(born)]);
         assert_eq!(goes_to(&mut fixture, 5, "a"), text(born));
     }
 }
@@ -79,13 +79,13 @@
 fn the_list_s_word_of_a_later_life_ends_the_former_at_once() {
     let mut fixture = Fixture::new(vec![listed(FIRST)]);
     fixture.view(1, said(FIRST, &[("a", 1)]));
-    fixture.list(vec![listed(SECOND)]);
+    fixture.update_list(vec![listed(SECOND)]);
     // its sidecar is frozen: its last word is of the former life
     assert_eq!(goes_to(&mut fixture, 1, "a"), None);
-    fixture.tell(DispatchEvent::ViewLost(id(FIRST)));
+    fixture.handle(DispatchEvent::ViewLost(id(FIRST)));
     assert_eq!(goes_to(&mut fixture, 2, "a"), None);
-    let ask = fixture.new_ask(ENGINES, None);
-    assert_eq!(sent_to(&fixture.ask(3, ask)), [id(SECOND).to_string()]);
+    let ask = fixture.new_request(ENGINES, None);
+    assert_eq!(sent_to(&fixture.submit(3, ask)), [id(SECOND).to_string()]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
         assert_eq!(goes_to(&mut fixture, 1, "a"), None);
         assert_eq!(goes_to(&mut fixture, 2, "b"), text(born));
         let ended = fixture.list_version;
-        fixture.tell(DispatchEvent::ListUpdated {
+        fixture.handle(DispatchEvent::ListUpdated {
             version: ended - 1,
             list: vec![listed(FIRST)],
         });
@@ -115,13 +115,13 @@
     fixture.view(1, said(FIRST, &[("a", 1)]));
     // four places taken, then it fails, and drains
     for ticket in 0..4 {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
     }
     for ticket in 10..13 {
         fixture.end(ticket, SendOutcome::Unreachable);
     }
-    fixture.list(vec![
+    fixture.update_list(vec![
         Backend {
             leaving: true,
             ..listed(FIRST)
@@ -129,16 +129,16 @@
         backend(ENGINES, 2),
     ]);
     fixture.view(1, said(SECOND, &[("a", 1)]));
-    fixture.list(vec![listed(SECOND), backend(ENGINES, 2)]);
+    fixture.update_list(vec![listed(SECOND), backend(ENGINES, 2)]);
     for ticket in 20..24 {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        let sent = sent_to(&fixture.ask(ticket, ask));
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        let sent = sent_to(&fixture.submit(ticket, ask));
         assert_eq!(sent, [id(SECOND).to_string()], "{ticket}");
     }
     // what ran in the former life frees no place of this one
     (0..4).for_each(|ticket| fixture.end(ticket, SendOutcome::Failed));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(30, ask).is_empty(), "four places");
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(30, ask).is_empty(), "four places");
 }
 
 #[test]
@@ -164,15 +164,15 @@
         let mut fixture = Fixture::new(vec![listed(FIRST), backend(ENGINES, 2)]);
         fixture.view(1, said(FIRST, &[("a", 1)]));
         if falls_silent {
-            fixture.tell(DispatchEvent::ViewLost(id(FIRST)));
+            fixture.handle(DispatchEvent::ViewLost(id(FIRST)));
         }
         let reused = Backend {
             id: BackendId::new("plain-1", SECOND),
             ..backend(PLAIN, 1)
         };
-        fixture.list(vec![reused.clone(), backend(ENGINES, 2)]);
-        let ask = fixture.new_ask(PLAIN, None);
-        let sent = sent_to(&fixture.ask(1, ask));
+        fixture.update_list(vec![reused.clone(), backend(ENGINES, 2)]);
+        let ask = fixture.new_request(PLAIN, None);
+        let sent = sent_to(&fixture.submit(1, ask));
         assert_eq!(sent, [reused.id.to_string()], "silent: {falls_silent}");
     }
 }
@@ -263,10 +263,10 @@
     let mut fixture = Fixture::new(vec![listed(FIRST), other]);
     fixture.view(1, said(FIRST, &[("a", 1)]));
     fixture.view(1, view("other", &[("a", 1)]));
-    fixture.tell(DispatchEvent::ViewLost("other".into()));
+    fixture.handle(DispatchEvent::ViewLost("other".into()));
     for ticket in 0..4 {
-        let ask = fixture.new_ask(ENGINES, None);
-        assert_eq!(sent_to(&fixture.ask(ticket, ask)), ["other"]);
+        let ask = fixture.new_request(ENGINES, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, ask)), ["other"]);
     }
 }
 
--- a/coordination/tests/unheard.rs
+++ b/coordination/tests/unheard.rs
@@ -17,7 +17,7 @@
 /// engines with the base model, known long enough that their sidecars should have spoken
 fn unheard(engines: u8) -> Fixture {
     let mut fixture = Fixture::new(listed(engines, &[]));
-    fixture.pass(ms(2_000));
+    fixture.advance(ms(2_000));
     fixture
 }
 
@@ -49,48 +49,48 @@
 /// a request that comes back after an engine said that it lacks the adapter
 fn again(fixture: &mut Fixture, ticket: Ticket, sends: u32) -> Vec<(Ticket, Decision)> {
     fixture.end(ticket, SendOutcome::Misdirected);
-    let mut ask = fixture.new_ask(ENGINES, Some("a"));
+    let mut ask = fixture.new_request(ENGINES, Some("a"));
     ask.send_count = sends;
-    fixture.ask(ticket, ask)
+    fixture.submit(ticket, ask)
 }
 
 /// the sidecar is asked, and the engine tried once the adapter should be there
 #[test]
 fn an_adapter_is_asked_for_and_expected() {
     let mut fixture = unheard(3);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
-    assert_eq!(sent_to(&fixture.pass(ms(400))), homes);
+    assert_eq!(sent_to(&fixture.advance(ms(400))), homes);
     // it ran there: the next one goes there at once, also after the wish is forgotten
-    fixture.tell(DispatchEvent::ResponseStarted(1));
+    fixture.handle(DispatchEvent::ResponseStarted(1));
     fixture.end(1, SendOutcome::Answered);
-    fixture.pass(ms(3_000));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.ask(2, ask)), homes);
+    fixture.advance(ms(3_000));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(2, ask)), homes);
 }
 
 /// neither the sidecar hears nor another one: nobody is held for what nobody brings
 #[test]
 fn what_nobody_brings_is_refused_at_once() {
     let mut fixture = unheard(1);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
-    assert_eq!(sent_to(&fixture.pass(ms(400))).len(), 1);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
+    assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
     assert_eq!(
         refusals(&again(&mut fixture, 1, 1)),
         [RejectionCause::NoLoadingSidecar]
     );
-    let ask = fixture.new_ask(ENGINES, Some("b"));
+    let ask = fixture.new_request(ENGINES, Some("b"));
     assert_eq!(
-        refusals(&fixture.ask(2, ask)),
+        refusals(&fixture.submit(2, ask)),
         [RejectionCause::NoLoadingSidecar]
     );
     // after a while it is asked again
-    fixture.pass(ms(6_000));
-    let ask = fixture.new_ask(ENGINES, Some("b"));
-    assert!(fixture.ask(3, ask).is_empty());
+    fixture.advance(ms(6_000));
+    let ask = fixture.new_request(ENGINES, Some("b"));
+    assert!(fixture.submit(3, ask).is_empty());
     assert_eq!(fixture.homes("b").len(), 1);
 }
 
@@ -98,9 +98,9 @@
 #[test]
 fn the_list_is_used_and_corrected_by_what_engines_answer() {
     let mut fixture = Fixture::new(listed(2, &["a"]));
-    fixture.pass(ms(2_000));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    let first = sent_to(&fixture.ask(1, ask));
+    fixture.advance(ms(2_000));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    let first = sent_to(&fixture.submit(1, ask));
     assert_eq!(first.len(), 1);
     let second = sent_to(&again(&mut fixture, 1, 1));
     assert_eq!(second.len(), 1);
@@ -114,10 +114,10 @@
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.view(2, view("engines-2", &[]));
     for engine in ["engines-1", "engines-2"] {
-        fixture.tell(DispatchEvent::ViewLost(engine.into()));
+        fixture.handle(DispatchEvent::ViewLost(engine.into()));
     }
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.ask(1, ask)), ["engines-1"]);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1"]);
 }
 
 /// where one sidecar is heard, adapters are asked for there
@@ -125,8 +125,8 @@
 fn sidecars_that_are_heard_go_first() {
     let mut fixture = unheard(3);
     fixture.view(2, view("engines-2", &[]));
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
@@ -139,8 +139,8 @@
         bare.models.clear();
         fixture.view(number, bare);
     }
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(1, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, ask).is_empty());
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
@@ -157,12 +157,12 @@
 fn one_request_shows_whether_an_adapter_has_come() {
     let mut fixture = unheard(1);
     for ticket in 1..=3 {
-        let ask = fixture.new_ask(ENGINES, Some("a"));
-        assert!(fixture.ask(ticket, ask).is_empty());
+        let ask = fixture.new_request(ENGINES, Some("a"));
+        assert!(fixture.submit(ticket, ask).is_empty());
     }
-    assert_eq!(sent_to(&fixture.pass(ms(400))).len(), 1);
-    assert!(fixture.pass(ms(10)).is_empty());
-    assert_eq!(sent_to(&fixture.pass(ms(40))).len(), 2);
+    assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
+    assert!(fixture.advance(ms(10)).is_empty());
+    assert_eq!(sent_to(&fixture.advance(ms(40))).len(), 2);
 }
 
 /// entries know nothing of each other there; each would bring what all together need
@@ -170,12 +170,12 @@
 fn one_home_is_asked_while_nobody_has_counted_the_entries() {
     let mut fixture = unheard(6);
     for ticket in 1..=6 {
-        let mut ask = fixture.new_ask(ENGINES, Some("a"));
+        let mut ask = fixture.new_request(ENGINES, Some("a"));
         // six of them are read in 0.6 s, those of eight entries in 2.4 s
         ask.prompt_tokens = 1_500;
-        fixture.ask(ticket, ask);
+        fixture.submit(ticket, ask);
     }
-    fixture.pass(ms(10));
+    fixture.advance(ms(10));
     assert_eq!(fixture.homes("a").len(), 1);
 }
 
@@ -202,32 +202,32 @@
 fn an_entry_learns_how_long_loads_take() {
     let mut fixture = unheard(3);
     for (ticket, name) in (1..).zip(["a", "b", "c", "d"]) {
-        let ask = fixture.new_ask(ENGINES, Some(name));
-        fixture.ask(ticket, ask);
-        fixture.pass(ms(1_000));
+        let ask = fixture.new_request(ENGINES, Some(name));
+        fixture.submit(ticket, ask);
+        fixture.advance(ms(1_000));
         fixture.end(ticket, SendOutcome::Misdirected);
-        fixture.pass(ms(6_000));
+        fixture.advance(ms(6_000));
     }
-    let ask = fixture.new_ask(ENGINES, Some("e"));
-    fixture.ask(9, ask);
-    assert!(fixture.pass(ms(400)).is_empty());
-    assert_eq!(sent_to(&fixture.pass(ms(500))).len(), 1);
+    let ask = fixture.new_request(ENGINES, Some("e"));
+    fixture.submit(9, ask);
+    assert!(fixture.advance(ms(400)).is_empty());
+    assert_eq!(sent_to(&fixture.advance(ms(500))).len(), 1);
 }
 
 /// a sidecar that has just brought something is slow, not deaf
 #[test]
 fn a_sidecar_that_is_late_once_is_asked_on() {
     let mut fixture = unheard(1);
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    fixture.ask(1, ask);
-    fixture.pass(ms(400));
-    fixture.tell(DispatchEvent::ResponseStarted(1));
-    let ask = fixture.new_ask(ENGINES, Some("b"));
-    fixture.ask(2, ask);
-    assert_eq!(sent_to(&fixture.pass(ms(400))).len(), 1);
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, ask);
+    fixture.advance(ms(400));
+    fixture.handle(DispatchEvent::ResponseStarted(1));
+    let ask = fixture.new_request(ENGINES, Some("b"));
+    fixture.submit(2, ask);
+    assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
     fixture.end(2, SendOutcome::Misdirected);
-    let ask = fixture.new_ask(ENGINES, Some("c"));
-    assert!(fixture.ask(3, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("c"));
+    assert!(fixture.submit(3, ask).is_empty());
     assert_eq!(fixture.homes("c").len(), 1);
 }
 
@@ -239,22 +239,22 @@
     for number in [1, 2] {
         let addr = addr(number);
         let is_taken = false;
-        fixture.tell(DispatchEvent::DemandSent {
+        fixture.handle(DispatchEvent::DemandSent {
             addr,
             is_accepted: is_taken,
         });
     }
-    let ask = fixture.new_ask(ENGINES, Some("a"));
+    let ask = fixture.new_request(ENGINES, Some("a"));
     assert_eq!(
-        refusals(&fixture.ask(1, ask)),
+        refusals(&fixture.submit(1, ask)),
         [RejectionCause::NoLoadingSidecar]
     );
     // the next demand is taken
-    fixture.tell(DispatchEvent::DemandSent {
+    fixture.handle(DispatchEvent::DemandSent {
         addr: addr(2),
         is_accepted: true,
     });
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(2, ask).is_empty());
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(2, ask).is_empty());
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
--- a/coordination/tests/versions.rs
+++ b/coordination/tests/versions.rs
@@ -18,7 +18,7 @@
 const GRACE: Duration = Duration::from_millis(2_500);
 
 fn name_version(fixture: &mut Fixture, version: u64) {
-    fixture.tell(DispatchEvent::VersionAnnounced {
+    fixture.handle(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version,
     });
@@ -26,9 +26,9 @@
 
 /// whether a request begins on what engines hold
 fn begins(fixture: &mut Fixture, ticket: u64) -> bool {
-    let ask = fixture.new_ask(ENGINES, Some("a"));
-    let sent = !sent_to(&fixture.ask(ticket, ask)).is_empty();
-    fixture.tell(DispatchEvent::RequestWithdrawn(ticket));
+    let ask = fixture.new_request(ENGINES, Some("a"));
+    let sent = !sent_to(&fixture.submit(ticket, ask)).is_empty();
+    fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent
 }
