--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! the dispatcher's decisions, from events and times alone
+//! Decisions of the dispatcher.
 
 mod dispatch_fixture;
 
@@ -13,11 +13,11 @@
 };
 
 #[test]
-fn a_request_goes_to_the_engine_that_holds_its_adapter_in_its_version() {
+fn a_request_is_sent_to_the_holder_of_its_adapter_with_the_held_version() {
     let mut fixture = fixture_with_views();
     fixture.view(2, view("engines-2", &[("a", 7)]));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    let decided = fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    let decided = fixture.submit(1, request);
     let Some((1, Decision::Send(assignment))) = decided.first() else {
         panic!("not sent: {decided:?}");
     };
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn a_request_waits_for_its_adapter_at_one_home_and_is_sent_when_it_is_there() {
+fn requests_wait_until_their_adapter_is_loaded_on_one_home() {
     let mut fixture = fixture_with_views();
     for ticket in 1..=3 {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        assert!(fixture.submit(ticket, ask).is_empty());
+        let request = fixture.new_request(ENGINES, Some("a"));
+        assert!(fixture.submit(ticket, request).is_empty());
     }
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn a_wait_ends_in_a_refusal_that_says_when_to_come_back() {
+fn a_request_that_waits_too_long_is_rejected_with_retry_after() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     let decided = fixture.advance(ms(1_600));
     let Some((
         1,
@@ -52,32 +52,32 @@
         },
     )) = decided.first()
     else {
-        panic!("not refused: {decided:?}");
+        panic!("not rejected: {decided:?}");
     };
     assert_eq!(*cause, RejectionCause::NotLoaded);
     assert!(*retry_after >= ms(100));
-    assert!(fixture.advance(ms(10)).is_empty(), "one answer only");
+    assert!(fixture.advance(ms(10)).is_empty(), "decided once only");
 }
 
 #[test]
-fn a_client_that_left_while_waiting_gets_no_back_end() {
+fn a_withdrawn_request_is_not_sent() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     fixture.handle(DispatchEvent::RequestWithdrawn(1));
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     assert!(decided.is_empty());
 }
 
 #[test]
-fn full_engines_get_no_more_and_the_next_goes_when_a_place_is_free() {
+fn a_full_back_end_receives_the_next_request_when_a_slot_is_free() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     for ticket in 1..=4 {
-        let ask = fixture.new_request(PLAIN, None);
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
+        let request = fixture.new_request(PLAIN, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, request)).len(), 1);
     }
-    let ask = fixture.new_request(PLAIN, None);
-    assert!(fixture.submit(5, ask).is_empty(), "four places");
+    let request = fixture.new_request(PLAIN, None);
+    assert!(fixture.submit(5, request).is_empty(), "four slots");
     let ended = DispatchEvent::SendEnded {
         ticket: 2,
         outcome: SendOutcome::Answered,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_more_urgent_of_two_that_wait_goes_first() {
+fn the_more_urgent_of_two_waiting_requests_is_sent_first() {
     let mut fixture = fixture_with_views();
     let later = DispatchRequest {
         priority: 2,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn repeats_of_all_entries_stay_within_the_budget() {
+fn retries_of_all_entries_stay_within_the_budget() {
     let now = Instant::now();
     for entries in [1, 4, 32] {
         let mut sum = 0;
@@ -130,114 +130,111 @@
     }
 }
 
-/// A service got more repeats than are allowed, on days on which engines shed what they
-/// got and processes were killed one after the other. Each entry asked its budget when a
-/// repeat was wished and counted it when it was sent: all that waited in between, for an
-/// adapter or a place, had passed the same test.
+/// Guards against retries that exceed the budget because they are counted only when they
+/// are sent, after waiting for an adapter or a slot.
 #[test]
-fn repeats_that_wait_are_in_the_budget() {
-    const REPEATS: u64 = 200;
+fn waiting_retries_count_against_the_budget() {
+    const RETRIES: u64 = 200;
     let mut engine = backend(ENGINES, 1);
-    engine.slots = 2 * REPEATS as u32;
+    engine.slots = 2 * RETRIES as u32;
     let mut fixture = Fixture::new(vec![engine]);
     fixture.view(1, view("engines-1", &[]));
-    for ticket in 0..REPEATS {
-        let ask = DispatchRequest {
+    for ticket in 0..RETRIES {
+        let request = DispatchRequest {
             send_count: 1,
             was_rejected_before: true,
             ..fixture.new_request(ENGINES, Some("a"))
         };
-        fixture.submit(ticket, ask);
+        fixture.submit(ticket, request);
     }
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     let sent = sent_to(&decided).len();
-    // the view says that two entries share the budget
+    // the view reports that two entries share the budget
     let share = 50.0 / 2.0;
     assert!(
         sent as f64 <= share,
-        "{sent} repeats, {share} are this entry's"
+        "{sent} retries, {share} allowed for this entry"
     );
 }
 
-/// As above: what the traces showed besides. A process that was killed began with its
-/// whole budget again, and where all sidecars had just begun, each counted the few entries
-/// that it had heard, so that every entry held more than its part.
+/// Guards against a fresh budget after every restart of an entry, and against too large
+/// shares while restarted sidecars count too few entries.
 #[test]
-fn lives_of_entries_and_sidecars_share_one_budget() {
+fn restarts_of_entries_and_sidecars_do_not_extend_the_budget() {
     const ENTRIES: u32 = 4;
-    const LIVES: u64 = 5;
-    let repeat_all = |fixture: &mut Fixture| {
+    const RUNS: u64 = 5;
+    let submit_retries = |fixture: &mut Fixture| {
         let mut sent = 0;
         for ticket in 0..100 {
-            let ask = DispatchRequest {
+            let request = DispatchRequest {
                 send_count: 1,
                 ..fixture.new_request(ENGINES, None)
             };
-            let decided = fixture.submit(ticket, ask);
+            let decided = fixture.submit(ticket, request);
             sent += sent_to(&decided).len();
             fixture.end(ticket, SendOutcome::Answered);
         }
         sent
     };
-    let say = |fixture: &mut Fixture, entries: u32| {
-        let mut said = view("engines-1", &[]);
-        said.figures.entries = entries;
-        fixture.view(1, said);
+    let report_entries = |fixture: &mut Fixture, entries: u32| {
+        let mut report = view("engines-1", &[]);
+        report.figures.entries = entries;
+        fixture.view(1, report);
     };
-    let mut of_entry = 0;
-    let begun = Instant::now();
-    for life in 0..LIVES {
-        let mut fixture = Fixture::restarted(engines(), begun + ms(2_000 * life));
-        say(&mut fixture, ENTRIES);
-        of_entry += repeat_all(&mut fixture);
+    let mut retries = 0;
+    let started_at = Instant::now();
+    for run in 0..RUNS {
+        let mut fixture = Fixture::restarted(engines(), started_at + ms(2_000 * run));
+        report_entries(&mut fixture, ENTRIES);
+        retries += submit_retries(&mut fixture);
         fixture.advance(ms(1_000));
-        of_entry += repeat_all(&mut fixture);
+        retries += submit_retries(&mut fixture);
     }
     let share = 50.0 / f64::from(ENTRIES);
     assert!(
-        of_entry as f64 <= share,
-        "{of_entry} repeats in {LIVES} lives, {share} are the entry's"
+        retries as f64 <= share,
+        "{retries} retries in {RUNS} runs, {share} allowed for the entry"
     );
 
     let mut fixture = Fixture::new(engines());
-    say(&mut fixture, ENTRIES);
-    say(&mut fixture, 1);
-    let sent = repeat_all(&mut fixture);
+    report_entries(&mut fixture, ENTRIES);
+    report_entries(&mut fixture, 1);
+    let sent = submit_retries(&mut fixture);
     assert!(
         sent as f64 <= share,
-        "{sent} repeats once sidecars began anew, {share} are the entry's"
+        "{sent} retries after sidecars restarted, {share} allowed for the entry"
     );
 }
 
 #[test]
-fn a_repeat_beyond_the_budget_is_refused_at_once() {
+fn a_retry_beyond_the_budget_is_rejected_at_once() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    let mut refused = 0;
+    let mut rejected = 0;
     for ticket in 0..60 {
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             send_count: 1,
             ..fixture.new_request(PLAIN, None)
         };
-        for (_, decision) in fixture.submit(ticket, ask) {
+        for (_, decision) in fixture.submit(ticket, request) {
             match decision {
                 Decision::Send(_) => fixture.end(ticket, SendOutcome::Answered),
                 Decision::Reject { cause, .. } => {
                     assert_eq!(cause, RejectionCause::RetryBudgetExhausted);
-                    refused += 1;
+                    rejected += 1;
                 }
             }
         }
     }
-    assert!(refused > 0);
+    assert!(rejected > 0);
 }
 
 #[test]
-fn a_back_end_that_fails_its_requests_gets_few_until_it_recovers() {
+fn a_failing_back_end_receives_few_requests_until_it_recovers() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1), backend(PLAIN, 2)]);
     let mut to_failing = 0;
     for ticket in 0..40 {
-        let ask = fixture.new_request(PLAIN, None);
-        let chosen = sent_to(&fixture.submit(ticket, ask));
+        let request = fixture.new_request(PLAIN, None);
+        let chosen = sent_to(&fixture.submit(ticket, request));
         let fails = chosen == ["plain-1"];
         to_failing += u32::from(fails);
         let outcome = match fails {
@@ -250,22 +247,22 @@
     fixture.advance(ms(30_000));
     let chosen: Vec<_> = (100..104)
         .flat_map(|ticket| {
-            let ask = fixture.new_request(PLAIN, None);
-            sent_to(&fixture.submit(ticket, ask))
+            let request = fixture.new_request(PLAIN, None);
+            sent_to(&fixture.submit(ticket, request))
         })
         .collect();
     assert!(chosen.contains(&"plain-1".to_string()), "{chosen:?}");
 }
 
-/// engines whose loads take this long
+/// Engines whose loads take this long.
 fn fixture_with_slow_loads(next_load_ms: u32) -> Fixture {
     let mut fixture = Fixture::new(engines());
-    tell_slow_loads(&mut fixture, next_load_ms);
+    report_slow_loads(&mut fixture, next_load_ms);
     fixture
 }
 
-/// all sidecars speak
-fn tell_slow_loads(fixture: &mut Fixture, next_load_ms: u32) {
+/// Sends a view from every sidecar.
+fn report_slow_loads(fixture: &mut Fixture, next_load_ms: u32) {
     for number in 1..=3 {
         let mut slow = view(&format!("{ENGINES}-{number}"), &[]);
         slow.figures.next_load_ms = next_load_ms;
@@ -274,15 +271,15 @@
 }
 
 #[test]
-fn a_request_whose_adapter_comes_too_late_is_refused_early_and_its_adapter_stays_wanted() {
+fn a_request_whose_adapter_loads_too_slowly_is_rejected_early_and_the_adapter_stays_wanted() {
     let mut fixture = fixture_with_slow_loads(900);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     assert!(
         fixture.advance(ms(60)).is_empty(),
-        "no sidecar has answered the wish"
+        "no sidecar has reported since the load was requested"
     );
-    tell_slow_loads(&mut fixture, 900);
+    report_slow_loads(&mut fixture, 900);
     let decided = fixture.advance(ms(25));
     let Some((
         1,
@@ -291,53 +288,54 @@
         },
     )) = decided.first()
     else {
-        panic!("not refused: {decided:?}");
+        panic!("not rejected: {decided:?}");
     };
     assert_eq!(*cause, RejectionCause::LoadTooSlow);
     assert!(*retry_after >= ms(900));
     fixture.advance(*retry_after);
     assert_eq!(fixture.homes("a").len(), 1, "wanted until it comes back");
     fixture.advance(ms(3_000));
-    assert!(fixture.homes("a").is_empty(), "not for ever");
+    assert!(fixture.homes("a").is_empty(), "no longer wanted afterwards");
 }
 
-/// these wait for their adapter instead
+/// In each case the request waits for its adapter.
 #[test]
-fn a_request_is_not_refused_early_when_waiting_is_better() {
+fn a_request_is_not_rejected_early_when_waiting_is_better() {
     type Change = fn(&mut DispatchRequest);
     let cases: &[(&str, u32, Change)] = &[
-        ("the load is quick", 100, |_| {}),
-        ("it was refused before", 900, |ask| {
-            ask.was_rejected_before = true
+        ("the load is fast", 100, |_| {}),
+        ("it was rejected before", 900, |request| {
+            request.was_rejected_before = true
         }),
-        ("it was sent before", 900, |ask| ask.send_count = 1),
+        ("it was sent before", 900, |request| request.send_count = 1),
     ];
     for (name, next_load_ms, change) in cases {
         let mut fixture = fixture_with_slow_loads(*next_load_ms);
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
-        change(&mut ask);
-        fixture.submit(1, ask);
+        let mut request = fixture.new_request(ENGINES, Some("a"));
+        change(&mut request);
+        fixture.submit(1, request);
         for _ in 0..5 {
             assert!(fixture.advance(ms(25)).is_empty(), "{name}");
-            tell_slow_loads(&mut fixture, *next_load_ms);
+            report_slow_loads(&mut fixture, *next_load_ms);
         }
     }
 }
 
-/// a load that turns slow later is no reason: the wait so far would be for nothing
+/// Guards against the rejection of a request that has already waited, when a load turns out
+/// to be slow.
 #[test]
-fn a_request_is_judged_once() {
+fn the_load_time_of_an_adapter_is_checked_once_per_request() {
     let mut fixture = fixture_with_slow_loads(100);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     for next_load_ms in [100, 900, 900, 900] {
         assert!(fixture.advance(ms(25)).is_empty(), "{next_load_ms}");
-        tell_slow_loads(&mut fixture, next_load_ms);
+        report_slow_loads(&mut fixture, next_load_ms);
     }
 }
 
 #[test]
-fn a_prompt_without_an_adapter_goes_to_an_engine_that_holds_its_model() {
+fn a_request_without_an_adapter_is_sent_to_a_holder_of_its_base_model() {
     let mut fixture = Fixture::new(engines());
     for (number, model) in [(1, "other"), (2, "m"), (3, "other")] {
         let holds = EngineView {
@@ -350,26 +348,30 @@
         model: Some(model.to_string()),
         ..fixture.new_request(ENGINES, None)
     };
-    let ask = base(&fixture, "m");
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-2"]);
-    let ask = base(&fixture, "nowhere");
-    assert!(fixture.submit(2, ask).is_empty());
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(3, ask);
-    assert_eq!(fixture.homes("a"), ["engines-2"], "where its base model is");
+    let request = base(&fixture, "m");
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["engines-2"]);
+    let request = base(&fixture, "nowhere");
+    assert!(fixture.submit(2, request).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(3, request);
+    assert_eq!(
+        fixture.homes("a"),
+        ["engines-2"],
+        "only holder of its base model"
+    );
 }
 
 #[test]
-fn a_later_request_for_the_same_adapter_does_not_pass_an_earlier_one() {
+fn a_later_request_for_an_adapter_does_not_overtake_an_earlier_one() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     for ticket in 1..=4 {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
+        let request = fixture.new_request(ENGINES, Some("a"));
+        assert_eq!(sent_to(&fixture.submit(ticket, request)).len(), 1);
     }
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(5, ask).is_empty(), "four places");
-    // room that no end of a request has announced
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(5, request).is_empty(), "four slots");
+    // frees a slot without the end of a request
     let mut list = engines();
     list[0].slots = 5;
     let figures = DispatchEvent::StatsReceived {
@@ -377,11 +379,11 @@
         stats: EngineFigures::default(),
     };
     fixture.handle(figures);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(6, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(6, request).is_empty());
     fixture.update_list(list);
     let waiting = fixture.dispatcher.waiting_count();
-    assert_eq!(waiting, 1, "one of the two was sent, the earlier one");
+    assert_eq!(waiting, 1, "the earlier of the two was sent");
     fixture.handle(DispatchEvent::RequestWithdrawn(6));
     assert_eq!(fixture.dispatcher.waiting_count(), 0);
 }
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! a dispatcher with its clock, and what it is told
+//! A dispatcher with its own clock, and helpers for its input.
 
 // each test file uses a part of it
 #![allow(dead_code)]
@@ -35,7 +35,7 @@
     SocketAddr::from(([10, 0, 0, number], 80))
 }
 
-/// of a request with this body
+/// Returns the digest of a request with this body.
 pub fn digest(body: &str) -> RequestDigest {
     RequestDigest::of("POST", "/", "", body.as_bytes())
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// a dispatcher with its clock
+/// A dispatcher with its own clock.
 pub struct Fixture {
     pub dispatcher: Dispatcher,
     pub now: Instant,
@@ -132,7 +132,7 @@
         fixture.update_list(list);
         fixture
     }
-    /// a process that begins while its fleet serves
+    /// A dispatcher of a process that started while the fleet was serving.
     pub fn restarted(list: Vec<Backend>, now: Instant) -> Self {
         let settings = DispatchSettings {
             restarted_at: Some(now),
@@ -155,7 +155,7 @@
         let version = self.list_version;
         self.handle(DispatchEvent::ListUpdated { version, list });
     }
-    /// change the settings while it runs
+    /// Changes the settings at run time.
     pub fn update_settings(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
         let mut settings = settings();
         change(&mut settings);
@@ -169,11 +169,8 @@
         self.now += time;
         self.handle(DispatchEvent::Tick)
     }
-    pub fn submit(&mut self, ticket: Ticket, ask: DispatchRequest) -> Vec<(Ticket, Decision)> {
-        self.handle(DispatchEvent::RequestArrived {
-            ticket,
-            request: ask,
-        })
+    pub fn submit(&mut self, ticket: Ticket, request: DispatchRequest) -> Vec<(Ticket, Decision)> {
+        self.handle(DispatchEvent::RequestArrived { ticket, request })
     }
     pub fn end(&mut self, ticket: Ticket, outcome: SendOutcome) {
         self.handle(DispatchEvent::SendEnded { ticket, outcome });
@@ -200,7 +197,7 @@
             start_tag: 0,
         }
     }
-    /// the engines that are asked to load an adapter
+    /// Returns the engines that are requested to load an adapter.
     pub fn homes(&mut self, wanted: &str) -> Vec<String> {
         let demands = self.dispatcher.demands(DueDemands::All, self.now);
         let asked = demands.into_iter().filter(|(_, d)| {
@@ -231,7 +228,7 @@
     fixture
 }
 
-/// the mark of an adapter in the views of sidecars
-pub fn mark(name: &str) -> AdapterMark {
+/// Returns the hash of an adapter in the views of sidecars.
+pub fn hash(name: &str) -> AdapterMark {
     adapter_mark(&adapter(name))
 }
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -1,5 +1,4 @@
-//! what an entry knows of back ends: lists, incarnations, versions, and what it
-//! tells sidecars
+//! Knowledge of back ends: lists, incarnations, versions, and the demands sent to sidecars.
 
 mod dispatch_fixture;
 
@@ -10,9 +9,9 @@
     dispatch_fixture::*,
 };
 
-/// each of these leaves one of two back ends out
+/// Each case excludes the first of two back ends.
 #[test]
-fn back_ends_that_must_not_get_work_get_none() {
+fn excluded_back_ends_receive_no_requests() {
     type Change = fn(&mut Fixture);
     let cases: &[(&str, Change)] = &[
         ("leaving", |f| {
@@ -23,84 +22,89 @@
         ("gone from the list", |f| {
             f.update_list(vec![backend(PLAIN, 2)])
         }),
-        ("unreachable", |f| one_fails(f, SendOutcome::Unreachable)),
-        ("another incarnation answers", |f| {
-            one_fails(f, SendOutcome::Superseded)
+        ("unreachable", |f| {
+            end_send_to_first(f, SendOutcome::Unreachable)
+        }),
+        ("another incarnation responds", |f| {
+            end_send_to_first(f, SendOutcome::Superseded)
         }),
     ];
     for (name, change) in cases {
         let mut fixture = Fixture::new(vec![backend(PLAIN, 1), backend(PLAIN, 2)]);
         change(&mut fixture);
         for ticket in 100..104 {
-            let ask = fixture.new_request(PLAIN, None);
-            let decided = fixture.submit(ticket, ask);
+            let request = fixture.new_request(PLAIN, None);
+            let decided = fixture.submit(ticket, request);
             assert_eq!(sent_to(&decided), ["plain-2"], "{name}");
         }
     }
 }
 
-/// end one send to the first back end in this way
-fn one_fails(fixture: &mut Fixture, outcome: SendOutcome) {
-    let ask = DispatchRequest {
+/// Ends one send to the first back end with this outcome.
+fn end_send_to_first(fixture: &mut Fixture, outcome: SendOutcome) {
+    let request = DispatchRequest {
         tried_backends: vec!["plain-2".into()],
         ..fixture.new_request(PLAIN, None)
     };
-    fixture.submit(50, ask);
+    fixture.submit(50, request);
     fixture.end(50, outcome);
 }
 
 #[test]
-fn a_list_that_lost_all_of_a_service_leaves_the_former_ones_in_use() {
+fn back_ends_stay_in_use_when_a_list_has_none_of_their_service() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     fixture.update_list(Vec::new());
-    let ask = fixture.new_request(PLAIN, None);
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["plain-1"]);
+    let request = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["plain-1"]);
     fixture.update_list(vec![backend(PLAIN, 2)]);
-    let ask = fixture.new_request(PLAIN, None);
-    assert_eq!(sent_to(&fixture.submit(2, ask)), ["plain-2"]);
+    let request = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(2, request)), ["plain-2"]);
 }
 
 #[test]
-fn an_older_list_changes_nothing() {
+fn an_older_list_is_ignored() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     fixture.update_list(vec![backend(PLAIN, 2)]);
     let list = vec![backend(PLAIN, 1)];
     fixture.handle(DispatchEvent::ListUpdated { version: 1, list });
-    let ask = fixture.new_request(PLAIN, None);
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["plain-2"]);
+    let request = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["plain-2"]);
 }
 
 #[test]
-fn an_engine_that_came_back_is_used_before_the_list_has_it() {
+fn a_restarted_engine_is_used_before_it_is_listed() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1-new", &[("a", 1)]));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1-new"]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["engines-1-new"]);
     fixture.update_list(engines());
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(2, ask)), ["engines-1-new"]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(2, request)), ["engines-1-new"]);
 }
 
 #[test]
-fn a_former_incarnation_that_is_still_listed_gets_nothing() {
+fn a_previous_incarnation_that_is_still_listed_receives_no_requests() {
     let held = HeldAdapter {
         adapter: adapter("a"),
         version: 1,
     };
-    let former = Backend {
+    let previous = Backend {
         id: "former".into(),
         held: vec![held],
         ..backend(ENGINES, 1)
     };
-    let mut fixture = Fixture::new(vec![former, backend(ENGINES, 1), backend(ENGINES, 2)]);
+    let mut fixture = Fixture::new(vec![previous, backend(ENGINES, 1), backend(ENGINES, 2)]);
     fixture.view(1, view("engines-1", &[]));
     fixture.view(2, view("engines-2", &[]));
-    // by now the list is believed of engines whose sidecars are silent
+    // the list is now trusted for engines whose sidecars don't report
     fixture.advance(ms(2_000));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty(), "the living ones lack it");
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(
+        fixture.submit(1, request).is_empty(),
+        "the running engines lack the adapter"
+    );
     assert!(!fixture.homes("a").contains(&"former".to_string()));
-    // the sidecar was wrong, or late
+    // the sidecar's previous report was wrong or late
     fixture.view(1, view("former", &[("a", 1)]));
     let decided = fixture.advance(ms(25));
     assert!(decided.is_empty(), "sent with the view");
@@ -108,24 +112,27 @@
 }
 
 #[test]
-fn the_former_version_is_run_for_a_short_time_only() {
+fn requests_start_on_the_previous_version_for_the_grace_period_only() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.handle(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version: 2,
     });
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1"]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["engines-1"]);
     fixture.advance(ms(2_600));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(2, ask).is_empty(), "only the former is held");
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(
+        fixture.submit(2, request).is_empty(),
+        "only the previous version is held"
+    );
     let decided = fixture.view(1, view("engines-1", &[("a", 2)]));
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
 
 #[test]
-fn sidecars_hear_of_adapters_with_a_newer_version() {
+fn demands_name_the_newer_versions_of_held_adapters() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.handle(DispatchEvent::VersionAnnounced {
@@ -133,53 +140,62 @@
         version: 2,
     });
     let demands = fixture.dispatcher.demands(DueDemands::Urgent, fixture.now);
-    let (_, told) = demands
+    let (_, demand) = demands
         .iter()
         .find(|(_, d)| d.backend == "engines-1")
         .unwrap();
-    assert_eq!(told.outdated[0].version, 2);
+    assert_eq!(demand.outdated[0].version, 2);
 }
 
 #[test]
-fn a_sidecar_hears_once_that_nothing_is_needed_any_more() {
+fn an_empty_demand_is_sent_once() {
     let mut fixture = fixture_with_views();
-    let told = |fixture: &mut Fixture| {
+    let changed_demands = |fixture: &mut Fixture| {
         let now = fixture.now;
         let demands = fixture.dispatcher.demands(DueDemands::Changed, now);
-        let told = demands
+        let use_counts = demands
             .into_iter()
             .map(|(_, d)| (d.backend.to_string(), d.used.len()));
-        told.collect::<Vec<(String, usize)>>()
+        use_counts.collect::<Vec<(String, usize)>>()
     };
-    told(&mut fixture);
-    assert!(told(&mut fixture).is_empty(), "all are quiet");
+    changed_demands(&mut fixture);
+    assert!(
+        changed_demands(&mut fixture).is_empty(),
+        "all demands are empty"
+    );
     fixture.view(2, view("engines-2", &[("a", 1)]));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
-    assert_eq!(told(&mut fixture), [("engines-2".to_string(), 1)]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
+    assert_eq!(
+        changed_demands(&mut fixture),
+        [("engines-2".to_string(), 1)]
+    );
     fixture.end(1, SendOutcome::Answered);
-    assert_eq!(told(&mut fixture), [("engines-2".to_string(), 0)]);
-    assert!(told(&mut fixture).is_empty(), "it knows");
+    assert_eq!(
+        changed_demands(&mut fixture),
+        [("engines-2".to_string(), 0)]
+    );
+    assert!(changed_demands(&mut fixture).is_empty(), "already sent");
 }
 
 #[test]
-fn sidecars_hear_the_fence_of_their_earlier_life() {
+fn demands_carry_the_highest_fence_that_the_sidecar_reported() {
     let mut fixture = fixture_with_views();
     for fence in [9, 7] {
-        let mut spoken = view("engines-1", &[]);
-        spoken.figures.fence = fence;
-        fixture.view(1, spoken);
+        let mut report = view("engines-1", &[]);
+        report.figures.fence = fence;
+        fixture.view(1, report);
     }
     let demands = fixture.dispatcher.demands(DueDemands::All, fixture.now);
-    let (_, told) = demands
+    let (_, demand) = demands
         .iter()
         .find(|(_, d)| d.backend == "engines-1")
         .unwrap();
-    assert_eq!(told.fence_seen, 9);
+    assert_eq!(demand.fence_seen, 9);
 }
 
 #[test]
-fn an_entry_that_hears_nothing_says_so() {
+fn an_entry_without_reports_does_not_reach_its_back_ends() {
     let mut fixture = fixture_with_views();
     assert!(fixture.dispatcher.reaches_backends(fixture.now));
     fixture.advance(ms(1_500));
@@ -189,7 +205,7 @@
 }
 
 #[test]
-fn figures_alone_count_in_the_next_decision_and_decide_nothing_themselves() {
+fn stats_alone_affect_the_next_decision_but_trigger_none() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     let figures = |running| DispatchEvent::StatsReceived {
@@ -200,8 +216,11 @@
         },
     };
     assert!(fixture.handle(figures(4)).is_empty());
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty(), "four places, all taken");
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(
+        fixture.submit(1, request).is_empty(),
+        "all four slots are taken"
+    );
     assert!(
         fixture.handle(figures(0)).is_empty(),
         "not before the next tick"
@@ -210,7 +229,7 @@
 }
 
 #[test]
-fn figures_of_a_sidecar_that_was_lost_bring_nothing_back() {
+fn stats_after_the_loss_of_a_view_do_not_restore_it() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.handle(DispatchEvent::ViewLost("engines-1".into()));
@@ -219,6 +238,6 @@
         stats: EngineFigures::default(),
     };
     fixture.handle(figures);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
 }
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -1,4 +1,4 @@
-//! how fast prompts are read, in what order, and where an adapter returns to
+//! Prefill rates, urgency, and reloads of adapters.
 
 mod dispatch_fixture;
 
@@ -15,23 +15,23 @@
 const TOKENS_PER_MS: f64 = 20.0;
 
 #[test]
-fn the_rate_is_the_median_of_prompts_that_were_read_alone() {
+fn the_prefill_rate_is_the_median_of_prompts_prefilled_alone() {
     let mut rate = PrefillRate::default();
     for _ in 0..4 {
         rate.on_sole_prefill(4_000, 100.0);
     }
-    assert_eq!(rate.tokens_per_ms(), None, "too few");
-    // two that were kept there, and one at a slow engine
+    assert_eq!(rate.tokens_per_ms(), None, "too few samples");
+    // two prompts that were cached, and one at a slow engine
     for ms in [10.0, 10.0, 900.0] {
         rate.on_sole_prefill(4_000, ms);
     }
-    // says more of the connection than of reading
+    // too short for a sample
     rate.on_sole_prefill(20, 10.0);
     assert_eq!(rate.tokens_per_ms(), Some(40.0));
 }
 
 #[test]
-fn short_prompts_go_first_and_late_ones_last() {
+fn short_prompts_are_urgent_and_late_ones_are_not() {
     let fixture = fixture_with_views();
     // tokens, waited ms, priority, urgency; the objective is 400 ms
     let cases = [
@@ -46,39 +46,39 @@
         (90_000, 0, 0, 7),
     ];
     for (prompt_tokens, waited, priority, expected) in cases {
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
-        ask.prompt_tokens = prompt_tokens;
-        ask.priority = priority;
+        let mut request = fixture.new_request(ENGINES, Some("a"));
+        request.prompt_tokens = prompt_tokens;
+        request.priority = priority;
         let at = fixture.now + ms(waited);
         let case = format!("{prompt_tokens} tokens, {waited} ms, priority {priority}");
-        assert_eq!(urgency(&ask, TOKENS_PER_MS, at), expected, "{case}");
+        assert_eq!(urgency(&request, TOKENS_PER_MS, at), expected, "{case}");
     }
 }
 
 #[test]
-fn of_two_that_can_be_in_time_the_longer_is_never_more_urgent() {
+fn a_longer_prompt_is_never_more_urgent() {
     fn check(shorter: u16, more: u16, priority: u8) -> bool {
         let fixture = fixture_with_views();
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
-        ask.priority = priority;
-        ask.prompt_tokens = u32::from(shorter);
-        let first = urgency(&ask, TOKENS_PER_MS, fixture.now);
-        ask.prompt_tokens += u32::from(more);
-        first <= urgency(&ask, TOKENS_PER_MS, fixture.now)
+        let mut request = fixture.new_request(ENGINES, Some("a"));
+        request.priority = priority;
+        request.prompt_tokens = u32::from(shorter);
+        let first = urgency(&request, TOKENS_PER_MS, fixture.now);
+        request.prompt_tokens += u32::from(more);
+        first <= urgency(&request, TOKENS_PER_MS, fixture.now)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
         .quickcheck(check as fn(u16, u16, u8) -> bool);
 }
 
-/// three engines of which the first holds an adapter that the second has
-/// dropped, and this many prompts are read at the first
-fn fixture_with_return(reading: u32) -> Fixture {
+/// Three engines: the first holds an adapter that the second has unloaded, and prefills
+/// this many prompts.
+fn fixture_with_reload(reading: u32) -> Fixture {
     let mut fixture = fixture_with_views();
     fixture.view(2, view("engines-2", &[("a", 1)]));
-    let mut dropped = view("engines-2", &[]);
-    dropped.figures.next_return_ms = 30;
-    fixture.view(2, dropped);
+    let mut unloaded = view("engines-2", &[]);
+    unloaded.figures.next_return_ms = 30;
+    fixture.view(2, unloaded);
     let mut busy = view("engines-1", &[("a", 1)]);
     busy.figures.reading = reading;
     fixture.view(1, busy);
@@ -86,100 +86,100 @@
 }
 
 #[test]
-fn a_request_waits_for_its_adapters_return_only_if_that_is_sooner() {
+fn a_request_waits_for_a_reload_only_if_that_is_sooner() {
     for (reading, returns) in [(0, false), (1, false), (12, true)] {
-        let mut fixture = fixture_with_return(reading);
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
-        ask.prompt_tokens = 1_000;
-        let decided = fixture.submit(1, ask);
-        let case = format!("{reading} are read");
+        let mut fixture = fixture_with_reload(reading);
+        let mut request = fixture.new_request(ENGINES, Some("a"));
+        request.prompt_tokens = 1_000;
+        let decided = fixture.submit(1, request);
+        let case = format!("{reading} prompts in prefill");
         match returns {
             false => assert_eq!(sent_to(&decided), ["engines-1"], "{case}"),
             true => {
                 assert!(decided.is_empty(), "{case}: {decided:?}");
                 assert_eq!(fixture.homes("a"), ["engines-2"], "{case}");
-                let wished = fixture.dispatcher.take_requested_loads();
-                assert_eq!(wished.len(), 1, "{wished:?}");
-                assert_eq!(wished[0].cause, LoadCause::Reload);
+                let requested = fixture.dispatcher.take_requested_loads();
+                assert_eq!(requested.len(), 1, "{requested:?}");
+                assert_eq!(requested[0].cause, LoadCause::Reload);
             }
         }
     }
 }
 
 #[test]
-fn a_return_that_does_not_come_holds_nobody_up() {
-    let mut fixture = fixture_with_return(12);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+fn a_request_does_not_wait_for_a_reload_that_fails() {
+    let mut fixture = fixture_with_reload(12);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     let decided = fixture.advance(ms(200));
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
 
 #[test]
-fn without_the_mechanism_the_holder_gets_it() {
-    let mut fixture = fixture_with_return(12);
+fn requests_go_to_the_holder_while_reloads_are_switched_off() {
+    let mut fixture = fixture_with_reload(12);
     let mechanisms = Mechanisms {
         return_home: false,
         ..Mechanisms::default()
     };
     fixture.update_settings(|settings| settings.features = mechanisms);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1"]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["engines-1"]);
 }
 
 #[test]
-fn a_dropped_adapter_goes_back_to_where_it_was() {
+fn an_unloaded_adapter_is_reloaded_on_the_same_engine() {
     for engine in 1..=3 {
         let mut fixture = fixture_with_views();
         let id = format!("engines-{engine}");
         fixture.view(engine, view(&id, &[("a", 1)]));
         fixture.view(engine, view(&id, &[]));
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        fixture.submit(1, ask);
+        let request = fixture.new_request(ENGINES, Some("a"));
+        fixture.submit(1, request);
         assert_eq!(fixture.homes("a"), [id]);
     }
 }
 
 #[test]
-fn an_entry_that_starts_hears_what_engines_held_before() {
-    let mut former = fixture_with_views();
-    let ask = former.new_request(ENGINES, Some("a"));
-    former.submit(1, ask);
-    let plain_home = former.homes("a");
+fn a_new_entry_learns_recently_held_adapters_from_views() {
+    let mut previous = fixture_with_views();
+    let request = previous.new_request(ENGINES, Some("a"));
+    previous.submit(1, request);
+    let plain_home = previous.homes("a");
     for engine in 1..=3 {
         let id = format!("engines-{engine}");
         let mut fixture = Fixture::new(engines());
         for number in 1..=3 {
-            let mut whole = view(&format!("engines-{number}"), &[]);
+            let mut report = view(&format!("engines-{number}"), &[]);
             if number == engine {
-                whole.lately = vec![mark("a")];
+                report.lately = vec![hash("a")];
             }
-            fixture.view(number, whole);
+            fixture.view(number, report);
         }
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        fixture.submit(1, ask);
+        let request = fixture.new_request(ENGINES, Some("a"));
+        fixture.submit(1, request);
         assert_eq!(fixture.homes("a"), [id], "not {plain_home:?}");
     }
 }
 
 #[test]
-fn prompts_of_other_entries_make_an_engine_dear() {
+fn prompts_of_other_entries_raise_the_cost_of_an_engine() {
     let mut fixture = fixture_with_views();
     for number in 1..=2 {
         fixture.view(number, view(&format!("engines-{number}"), &[("a", 1)]));
     }
-    // one's own prompts say how long a typical one is
-    let mut ask = fixture.new_request(ENGINES, Some("a"));
-    ask.prompt_tokens = 2_000;
-    let first = sent_to(&fixture.submit(1, ask.clone()));
+    // the entry's own prompts determine the typical size
+    let mut request = fixture.new_request(ENGINES, Some("a"));
+    request.prompt_tokens = 2_000;
+    let first = sent_to(&fixture.submit(1, request.clone()));
     fixture.handle(DispatchEvent::ResponseStarted(1));
     for number in 1..=2u8 {
         let id = format!("engines-{number}");
-        let mut seen = view(&id, &[("a", 1)]);
-        seen.figures.reading = u32::from(first == [id.clone()]) * 2;
-        fixture.view(number, seen);
+        let mut report = view(&id, &[("a", 1)]);
+        report.figures.reading = u32::from(first == [id.clone()]) * 2;
+        fixture.view(number, report);
     }
-    let decided = fixture.submit(2, ask);
+    let decided = fixture.submit(2, request);
     assert_ne!(sent_to(&decided), first);
     let Some((2, Decision::Send(assignment))) = decided.first() else {
         panic!("not sent: {decided:?}");
@@ -188,52 +188,52 @@
 }
 
 #[test]
-fn an_adapter_that_is_there_and_that_nobody_waits_for_is_wanted_no_more() {
+fn a_loaded_adapter_without_waiting_requests_is_no_longer_wanted() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     let homes = fixture.homes("a");
     let number: u8 = homes[0].trim_start_matches("engines-").parse().unwrap();
     assert_eq!(homes.len(), 1);
     fixture.view(number, view(&homes[0], &[("a", 1)]));
-    // its request is served there; the place may go to another adapter
+    // its request was sent there, so the slot may go to another adapter
     assert!(fixture.homes("a").is_empty());
 }
 
 #[test]
-fn a_copy_is_made_only_where_it_comes_before_the_queue_is_over() {
-    // prompts read at the holder, ms of a load, and whether a copy is made; a
-    // typical prompt takes 62 ms to read
+fn a_copy_is_loaded_only_if_it_is_ready_before_the_queue_is_done() {
+    // prompts in prefill at the holder, ms of a load, whether a copy is expected; a typical
+    // prompt takes 62 ms
     let cases = [(16, 300, true), (16, 5_000, false), (2, 400, false)];
     for (reading, load_ms, is_copied) in cases {
         let mut fixture = fixture_with_views();
         let mut busy = view("engines-1", &[("a", 1)]);
         busy.figures.reading = reading;
         for number in 2..=3 {
-            let mut calm = view(&format!("engines-{number}"), &[]);
-            calm.figures.next_load_ms = load_ms;
-            fixture.view(number, calm);
+            let mut idle = view(&format!("engines-{number}"), &[]);
+            idle.figures.next_load_ms = load_ms;
+            fixture.view(number, idle);
         }
         fixture.view(1, busy);
         for ticket in 1..=2 {
-            let mut ask = fixture.new_request(ENGINES, Some("a"));
-            ask.prompt_tokens = 1_000;
-            fixture.submit(ticket, ask);
+            let mut request = fixture.new_request(ENGINES, Some("a"));
+            request.prompt_tokens = 1_000;
+            fixture.submit(ticket, request);
         }
         let homes = fixture.homes("a");
         let copies = homes.iter().filter(|home| *home != "engines-1").count();
-        let case = format!("{reading} read, {load_ms} ms a load: {homes:?}");
+        let case = format!("{reading} prompts in prefill, {load_ms} ms per load: {homes:?}");
         assert_eq!(copies > 0, is_copied, "{case}");
     }
 }
 
 #[test]
-fn absurd_sizes_of_prompts_overflow_nothing() {
+fn huge_prompt_sizes_do_not_overflow() {
     let mut fixture = fixture_with_views();
     for ticket in 1..=3 {
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
-        ask.prompt_tokens = u32::MAX;
-        fixture.submit(ticket, ask);
+        let mut request = fixture.new_request(ENGINES, Some("a"));
+        request.prompt_tokens = u32::MAX;
+        fixture.submit(ticket, request);
     }
-    assert_eq!(fixture.homes("a").len(), 3, "as many homes as there are");
+    assert_eq!(fixture.homes("a").len(), 3, "every engine is a home");
 }
