--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -97,7 +97,8 @@
         stats: EngineFigures,
     },
     ViewLost(BackendId),
-    /// A demand was sent to the sidecar of the engine at this address.
+    /// A demand was sent to the sidecar of the engine at this address, and reached it if
+    /// `is_accepted`.
     DemandSent {
         addr: SocketAddr,
         is_accepted: bool,
--- a/coordination/src/dispatch/fleet_size.rs
+++ b/coordination/src/dispatch/fleet_size.rs
@@ -4,7 +4,7 @@
 ///
 /// A sidecar that just started or is cut off counts too few entries, so the maximum over
 /// the last window is used. Shares are too small for one window after entries have left,
-/// but never too large.
+/// but don't grow when sidecars lose contact with entries.
 #[derive(Debug, Default)]
 pub struct FleetSize {
     /// The highest count, and when a sidecar last reported it.
