--- /dev/null
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -0,0 +1,288 @@
+//! Updates of what is known about back ends: the list, sidecar views and adapter versions.
+
+use {
+    super::{
+        backend_state::{reported_at, AffectedRequests},
+        dispatcher::Dispatcher,
+        BackendState,
+    },
+    crate::own_word::OwnWord,
+    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_state::{
+        backends::{AdapterRef, Backend, BackendId, BackendList, BackendName},
+        ids::ServiceName,
+    },
+    std::{
+        collections::{HashMap, HashSet},
+        net::SocketAddr,
+        time::{Duration, Instant},
+    },
+};
+
+/// The incarnation that a sidecar last reported for the engine at an address.
+#[derive(Debug, Clone)]
+pub(super) struct ReportedIncarnation {
+    id: BackendId,
+    reported_at: Instant,
+}
+
+impl Dispatcher {
+    pub(super) fn on_list(&mut self, version: u64, list: BackendList, now: Instant) {
+        if version < self.list_version {
+            return;
+        }
+        self.list_version = version;
+        let listed: HashMap<&BackendName, &BackendId> =
+            list.iter().map(|b| (&b.id.name, &b.id)).collect();
+        let ended: HashSet<BackendId> = self.ended_incarnations().cloned().collect();
+        for (id, state) in &mut self.backends {
+            let by_name = listed.get(&id.name);
+            let is_listed = by_name.is_some_and(|listed| *listed == id);
+            let has_successor = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
+            state.is_ahead_of_list &= !is_listed && !has_successor;
+            let was_unlisted = state.is_unlisted;
+            state.is_unlisted = !(is_listed || state.is_ahead_of_list && state.view.is_some());
+            // a reporting sidecar detects the end itself
+            if state.is_unlisted && !was_unlisted && state.view.is_none() {
+                self.crashes.on_ended(id, now);
+            }
+        }
+        for backend in list {
+            let cold_left = backend.cold_left;
+            self.may_have_slow_start |= !cold_left.is_zero();
+            let entry = &self.settings.entry;
+            match self.backends.get_mut(&backend.id) {
+                Some(state) => {
+                    // an unchanged value has been counting down since it was listed
+                    if state.listed.cold_left != cold_left {
+                        state.set_slow_start(entry, cold_left, now);
+                    }
+                    state.listed = backend;
+                }
+                None => {
+                    let id = backend.id.clone();
+                    self.urgent_demands.insert(id.clone());
+                    let mut state = BackendState::new(backend, now);
+                    state.restore_signals(&mut self.signals, now);
+                    if state.limit.named().is_some() {
+                        self.limited_backends.insert(id.clone());
+                    }
+                    state.set_slow_start(entry, cold_left, now);
+                    self.backends.insert(id, state);
+                }
+            }
+        }
+        self.remove_unlisted(now);
+        let backends = &self.backends;
+        self.signals
+            .remove_expired(|id| backends.contains_key(id), now);
+        self.incarnations
+            .retain(|_, reported| self.backends.contains_key(&reported.id));
+        self.update_replaced();
+    }
+
+    /// Removes back ends that left the list, unless their service has no other.
+    pub(super) fn remove_unlisted(&mut self, now: Instant) {
+        let services: HashSet<ServiceName> = self
+            .backends
+            .values()
+            .filter(|b| !b.is_unlisted)
+            .map(|b| b.listed.service.clone())
+            .collect();
+        self.backends.retain(|id, b| {
+            let is_kept =
+                !b.is_unlisted || b.in_flight > 0 || !services.contains(&b.listed.service);
+            if !is_kept {
+                self.signals.save_limit(id, &b.limit, now);
+            }
+            is_kept
+        });
+    }
+
+    pub(super) fn has_listed(&self, service: &ServiceName) -> bool {
+        let mut of_service = self.backends.values();
+        of_service.any(|b| !b.is_unlisted && b.listed.service == *service)
+    }
+
+    /// Applies a view of a sidecar; returns the waiting requests that may be sent now.
+    pub(super) fn on_view(
+        &mut self,
+        addr: SocketAddr,
+        view: EngineView,
+        now: Instant,
+    ) -> AffectedRequests {
+        self.last_report_at = Some(now);
+        self.on_entry_count(view.figures.entries, now);
+        self.on_fence(addr, view.figures.fence);
+        let none_affected = AffectedRequests::OfAdapters(Vec::new());
+        if view.backend.is_empty() {
+            return none_affected;
+        }
+        if !self.on_incarnation(addr, &view, now) {
+            return none_affected;
+        }
+        let Some(state) = self.backends.get_mut(&view.backend) else {
+            return none_affected;
+        };
+        let is_first = state.view.is_none();
+        self.crashes.on_word(&view.backend, &view.figures, now);
+        let reported = (view.backend.clone(), view.figures);
+        let affected = state.on_view(view, now);
+        self.on_reported_signals(&reported.0, &reported.1, now);
+        if is_first {
+            self.update_replaced();
+        }
+        affected
+    }
+
+    /// Records the incarnation that the sidecar at an address reports. Returns false if the
+    /// report is older than the last one from there, as it may be from a relay that lags
+    /// behind.
+    ///
+    /// The sidecar observes the engine itself, so an incarnation that it reported before
+    /// has ended, whatever the engine's clock says.
+    fn on_incarnation(&mut self, addr: SocketAddr, view: &EngineView, now: Instant) -> bool {
+        let reported_at = reported_at(&view.figures, now);
+        let known = self.incarnations.get(&addr);
+        if known.is_some_and(|known| known.id != view.backend && reported_at < known.reported_at) {
+            return false;
+        }
+        let is_different = known.is_some_and(|known| known.id != view.backend);
+        let previous = known.map(|known| known.id.clone()).filter(|_| is_different);
+        if !self.backends.contains_key(&view.backend) {
+            self.add_ahead_of_list(addr, &view.backend, now);
+        }
+        if let Some(previous) = previous.and_then(|id| self.backends.get_mut(&id)) {
+            self.crashes.on_ended(&previous.listed.id, now);
+            previous.end_incarnation();
+        }
+        let id = view.backend.clone();
+        self.incarnations
+            .insert(addr, ReportedIncarnation { id, reported_at });
+        if let Some(state) = self.backends.get_mut(&view.backend) {
+            state.has_ended = false;
+        }
+        true
+    }
+
+    /// Returns the incarnations that ended according to their sidecars.
+    fn ended_incarnations(&self) -> impl Iterator<Item = &BackendId> {
+        let ended = self.backends.values().filter(|b| b.has_ended);
+        ended.map(|b| &b.listed.id)
+    }
+
+    /// Returns whether another incarnation runs at the address of a back end.
+    ///
+    /// After a restart the list may hold the previous incarnation beside the new one, or
+    /// one that the sidecar hasn't seen yet. A reporting sidecar is authoritative unless
+    /// the list has an incarnation that certainly started later, or a back end of another
+    /// service at that address.
+    fn is_replaced(&self, state: &BackendState) -> bool {
+        let listed = &state.listed;
+        let reported = self.incarnations.get(&listed.addr);
+        let current = reported.and_then(|reported| self.backends.get(&reported.id));
+        current.is_some_and(|current| {
+            let id = &current.listed.id;
+            current.view.is_some()
+                && current.listed.service == listed.service
+                && *id != listed.id
+                && !listed.id.follows(id)
+        })
+    }
+
+    fn update_replaced(&mut self) {
+        let replaced = self.backends.values().filter(|b| self.is_replaced(b));
+        let replaced: HashSet<BackendId> = replaced.map(|b| b.listed.id.clone()).collect();
+        for (id, state) in &mut self.backends {
+            state.is_replaced = replaced.contains(id);
+        }
+    }
+
+    /// Applies the engine's own signals that its sidecar forwards: leaving, a rate limit or
+    /// slow start. They also reach entries that got no response from the engine, and arrive
+    /// while the store is down.
+    fn on_reported_signals(&mut self, backend: &BackendId, stats: &EngineFigures, now: Instant) {
+        self.on_limit_reported(backend, stats, now);
+        if stats.cold_left_ms > 0 {
+            let left = Duration::from_millis(u64::from(stats.cold_left_ms));
+            let age = Duration::from_millis(u64::from(stats.age_ms));
+            self.on_slow_start(backend, left.saturating_sub(age), now);
+        }
+        if stats.is_leaving {
+            self.record_signal(backend, OwnWord::new(true, None), now);
+        }
+    }
+
+    pub(super) fn on_stats(&mut self, backend: &BackendId, stats: EngineFigures, now: Instant) {
+        self.last_report_at = Some(now);
+        self.on_entry_count(stats.entries, now);
+        if let Some(state) = self.backends.get_mut(backend) {
+            self.crashes.on_word(backend, &stats, now);
+            state.on_stats(stats, now);
+            let addr = state.listed.addr;
+            self.on_reported_signals(backend, &stats, now);
+            self.on_fence(addr, stats.fence);
+        }
+    }
+
+    fn on_entry_count(&mut self, entries: u32, now: Instant) {
+        let window = self.settings.budget.window;
+        self.fleet_size.on_entry_count(entries, window, now);
+    }
+
+    fn on_fence(&mut self, addr: SocketAddr, reported: u64) {
+        let fence = self.fences.entry(addr).or_default();
+        *fence = reported.max(*fence);
+    }
+
+    /// Adds an engine that restarted and isn't listed yet, as its sidecar reports.
+    pub(super) fn add_ahead_of_list(&mut self, addr: SocketAddr, id: &BackendId, now: Instant) {
+        let mut states = self.backends.values_mut();
+        let Some(previous) = states.find(|b| b.listed.addr == addr) else {
+            return;
+        };
+        self.crashes.on_ended(&previous.listed.id, now);
+        previous.end_incarnation();
+        let service = self.table.services.get(&previous.listed.service);
+        let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
+        let listed = Backend {
+            id: id.clone(),
+            leaving: false,
+            cold_left,
+            models: Vec::new(),
+            held: Vec::new(),
+            ..previous.listed.clone()
+        };
+        let mut state = BackendState::new(listed, now);
+        state.restore_signals(&mut self.signals, now);
+        if state.limit.named().is_some() {
+            self.limited_backends.insert(id.clone());
+        }
+        state.is_ahead_of_list = true;
+        self.may_have_slow_start |= !cold_left.is_zero();
+        state.set_slow_start(&self.settings.entry, cold_left, now);
+        self.backends.insert(id.clone(), state);
+    }
+
+    pub(super) fn on_view_lost(&mut self, backend: &BackendId, now: Instant) {
+        let Some(state) = self.backends.get_mut(backend) else {
+            return;
+        };
+        state.on_view_lost(now);
+        state.is_unlisted |= state.is_ahead_of_list;
+        // the list is authoritative where no sidecar reports
+        self.update_replaced();
+    }
+
+    pub(super) fn on_version(&mut self, adapter: AdapterRef, version: u64, now: Instant) {
+        let grace = self.settings.version_grace;
+        if !self.adapter_versions.insert(&adapter, version, grace, now) {
+            return;
+        }
+        for (id, state) in &self.backends {
+            if state.held_version(&adapter, now).is_some() {
+                self.urgent_demands.insert(id.clone());
+            }
+        }
+    }
+}
--- a/coordination/src/dispatch/demands.rs
+++ b/coordination/src/dispatch/demands.rs
@@ -7,8 +7,7 @@
     },
 };
 
-/// write what this entry needs of one engine, and begin its next count of
-/// adapters that were used
+/// Builds what this entry needs of one engine, and resets its set of used adapters.
 pub fn build_demand(
     settings: &DispatchSettings,
     list_version: u64,
@@ -19,13 +18,16 @@
     versions: &AdapterVersions,
 ) -> AdapterDemand {
     let mut used: Vec<AdapterUse> = state
-        .used
+        .used_adapters
         .drain()
         .map(|a| (a, 0))
         .map(adapter_use)
         .collect();
-    used.retain(|u| !state.running_on.contains_key(&u.adapter));
-    let running = state.running_on.iter().map(|(a, n)| (a.clone(), *n));
+    used.retain(|u| !state.running_by_adapter.contains_key(&u.adapter));
+    let running = state
+        .running_by_adapter
+        .iter()
+        .map(|(a, n)| (a.clone(), *n));
     used.extend(running.map(adapter_use));
     used.sort_by(|a, b| a.adapter.cmp(&b.adapter));
     AdapterDemand {
@@ -60,7 +62,7 @@
     }
 }
 
-/// held adapters with a newer version, in that version
+/// Returns the newest versions of held adapters that are outdated.
 fn outdated(state: &BackendState, versions: &AdapterVersions) -> Vec<HeldAdapter> {
     let held = state.view.iter().flat_map(|v| &v.held);
     let newer = held.filter_map(|h| {
--- /dev/null
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -0,0 +1,47 @@
+use {
+    chalkcart_state::{
+        accounts::AccountMark,
+        backends::{AdapterRef, BackendId},
+        ids::{BaseModelName, ServiceName},
+        ingress::RequestDigest,
+        regions::AllowedRegions,
+    },
+    std::time::{Duration, Instant},
+};
+
+/// Number of a request within one run of an entry.
+pub type Ticket = u64;
+
+/// A request that needs a back end.
+#[derive(Debug, Clone)]
+pub struct DispatchRequest {
+    pub digest: RequestDigest,
+    /// Whether an engine crashed under it since it last completed.
+    pub is_crash_suspect: bool,
+    pub service: ServiceName,
+    /// The base model, also set for requests without an adapter.
+    pub model: Option<BaseModelName>,
+    pub adapter: Option<AdapterRef>,
+    pub prompt_tokens: u32,
+    /// The client account, none on a route without keys.
+    pub account: Option<AccountMark>,
+    pub allowed_regions: AllowedRegions,
+    /// Priority of the client account; compared before that of the route. 0 is the most
+    /// urgent.
+    pub account_priority: u8,
+    /// Priority of the route; 0 is the most urgent.
+    pub priority: u8,
+    pub target_latency: Duration,
+    pub arrived_at: Instant,
+    /// When the client or the route gives up.
+    pub deadline: Instant,
+    /// Back ends that must not be tried again.
+    pub tried_backends: Vec<BackendId>,
+    /// Whether it was rejected before and came back.
+    pub was_rejected_before: bool,
+    /// Whether the load time of its adapter was compared with its latency objective.
+    pub is_load_time_checked: bool,
+    pub send_count: u32,
+    /// Order among requests of equal priority, set by the dispatcher.
+    pub start_tag: u64,
+}
--- /dev/null
+++ b/coordination/src/dispatch/rejection.rs
@@ -0,0 +1,131 @@
+//! Requests that can't be sent now: whether they wait or are rejected, and when they should
+//! come back.
+
+use {
+    super::{
+        dispatcher::Dispatcher, Decision, DecisionInputs, DispatchRequest, RejectionCause, Ticket,
+    },
+    chalkcart_state::backends::BackendId,
+    std::{
+        collections::HashMap,
+        time::{Duration, Instant},
+    },
+};
+
+/// Minimum time after which a rejected request may come back.
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+
+impl Dispatcher {
+    pub(super) fn wait_or_reject(
+        &mut self,
+        ticket: Ticket,
+        mut request: DispatchRequest,
+        cause: RejectionCause,
+        now: Instant,
+    ) {
+        if matches!(
+            cause,
+            RejectionCause::NoLoadingSidecar | RejectionCause::OutsideRegions
+        ) {
+            let inputs = self.decision_inputs(&request, now);
+            self.on_not_sent(&request);
+            let retry_after = request.target_latency.max(MIN_RETRY_AFTER);
+            self.reject(ticket, cause, retry_after, inputs);
+            return;
+        }
+        if cause == RejectionCause::NotLoaded {
+            if let Some(retry_after) = self.schedule_return(&mut request, now) {
+                let inputs = self.decision_inputs(&request, now);
+                self.reject(ticket, RejectionCause::LoadTooSlow, retry_after, inputs);
+                return;
+            }
+        }
+        let max_wait_ratio = match cause {
+            RejectionCause::NotLoaded | RejectionCause::Reloading => {
+                self.settings.max_adapter_wait_ratio
+            }
+            RejectionCause::NoLoadingSidecar
+            | RejectionCause::OutsideRegions
+            | RejectionCause::BackedOff
+            | RejectionCause::RateLimited
+            | RejectionCause::Full
+            | RejectionCause::NoBackend
+            | RejectionCause::RetryBudgetExhausted
+            | RejectionCause::LoadTooSlow => self.settings.max_slot_wait_ratio,
+        };
+        let max_wait = request.target_latency.mul_f64(max_wait_ratio);
+        let waited = now.saturating_duration_since(request.arrived_at);
+        let backoff = match cause {
+            RejectionCause::BackedOff => self.shortest_backoff(&request, now).unwrap_or_default(),
+            _ => Duration::ZERO,
+        };
+        // a request that can't be served within its maximum wait is rejected at once
+        if waited + backoff >= max_wait || now + backoff >= request.deadline {
+            let retry_after = backoff.max(request.target_latency / 2);
+            let inputs = self.decision_inputs(&request, now);
+            self.on_not_sent(&request);
+            self.reject(ticket, cause, retry_after.max(MIN_RETRY_AFTER), inputs);
+        } else {
+            self.waiting.insert(ticket, request);
+        }
+    }
+
+    /// Handles a request whose possible back ends have all reached their rate limits: it
+    /// waits if it can be sent in time. `ahead` counts the requests queued before it at
+    /// each back end.
+    pub(super) fn wait_for_rate_limit(
+        &mut self,
+        ticket: Ticket,
+        request: DispatchRequest,
+        ahead: &mut HashMap<BackendId, (u32, u8)>,
+        now: Instant,
+    ) {
+        let Some((backend, opens_in)) = self.first_to_open(&request, ahead, now) else {
+            self.wait_or_reject(ticket, request, RejectionCause::Full, now);
+            return;
+        };
+        let max_wait = request
+            .target_latency
+            .mul_f64(self.settings.max_slot_wait_ratio);
+        let waited = now.saturating_duration_since(request.arrived_at);
+        if waited + opens_in < max_wait && now + opens_in < request.deadline {
+            let waiting = ahead.entry(backend).or_insert((0, request.priority));
+            waiting.0 += 1;
+            waiting.1 = waiting.1.min(request.priority);
+            self.waiting.insert(ticket, request);
+            return;
+        }
+        let return_in = self.backends.get_mut(&backend);
+        let return_in = return_in.map_or(opens_in, |b| b.limit.return_in(now));
+        let inputs = self.decision_inputs(&request, now);
+        self.on_not_sent(&request);
+        let retry_after = return_in.max(MIN_RETRY_AFTER);
+        self.reject(ticket, RejectionCause::RateLimited, retry_after, inputs);
+    }
+
+    /// Handles a request that waited and isn't sent.
+    pub(super) fn on_not_sent(&mut self, request: &DispatchRequest) {
+        self.fair_queueing
+            .on_withdrawn(request.account, request.prompt_tokens);
+        if request.send_count > 0 {
+            if let Some(budget) = self.retry_budgets.get_mut(&request.service) {
+                budget.release();
+            }
+        }
+    }
+
+    pub(super) fn reject(
+        &mut self,
+        ticket: Ticket,
+        cause: RejectionCause,
+        retry_after: Duration,
+        inputs: DecisionInputs,
+    ) {
+        let decision = Decision::Reject {
+            cause,
+            retry_after,
+            inputs,
+        };
+        self.decisions.push((ticket, decision));
+    }
+}
--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -1,5 +1,5 @@
 use {
-    super::BudgetBounds,
+    super::RetryBudgetSettings,
     crate::mechanisms::Mechanisms,
     chalkcart_state::ids::{BoxName, RegionName, ZoneName},
     std::{
@@ -8,34 +8,34 @@
     },
 };
 
-/// bounds of an entry's decisions
+/// Settings of an entry's dispatch decisions.
 #[derive(Debug, Clone)]
 pub struct DispatchSettings {
     pub entry: BoxName,
     pub zone: ZoneName,
-    /// the region of each availability zone
+    /// Region of each availability zone.
     pub regions: HashMap<ZoneName, RegionName>,
-    /// repeats of a service, over all entries
-    pub budget: BudgetBounds,
-    /// when this process began, if the fleet served before: a former life of it may have
-    /// used a share of the budget
-    pub began_anew: Option<Instant>,
-    /// longest wait for an adapter or a place, as a part of the objective
-    pub wait_for_adapter: f64,
-    pub wait_for_place: f64,
-    /// expected time to the first token once the adapter is there
-    pub first_token: Duration,
-    /// prompt tokens that an engine reads in a ms, before the rate was observed
-    pub tokens_per_ms: f64,
-    /// a queue this long makes an adapter worth another copy, in ms
-    pub copy_from_queue_ms: f64,
-    /// so does this part of the places taken
-    pub copy_from_load: f64,
-    /// nothing was heard of any back end for this long: cut off
-    pub unheard_after: Duration,
-    /// the former version of an adapter is used no longer than this
+    /// Retry budget of a service, shared by all entries.
+    pub budget: RetryBudgetSettings,
+    /// Start time of this process, if the fleet was already serving: its previous run may
+    /// have used a share of the budget.
+    pub restarted_at: Option<Instant>,
+    /// Maximum waits for an adapter and for a slot, as multiples of the latency objective.
+    pub max_adapter_wait_ratio: f64,
+    pub max_slot_wait_ratio: f64,
+    /// Expected time to the first token once the adapter is loaded.
+    pub first_token_delay: Duration,
+    /// Prefill rate assumed until it was observed, in tokens per ms.
+    pub default_tokens_per_ms: f64,
+    /// Prefill queue from which an adapter is worth another copy, in ms.
+    pub copy_queue_threshold_ms: f64,
+    /// Fraction of taken slots from which an adapter is worth another copy.
+    pub copy_load_threshold: f64,
+    /// An entry that had no report from any back end for this long is cut off.
+    pub disconnected_after: Duration,
+    /// How long requests may start on the previous version of an adapter.
     pub version_grace: Duration,
-    pub mechanisms: Mechanisms,
+    pub features: Mechanisms,
 }
 
 impl Default for DispatchSettings {
@@ -44,21 +44,21 @@
             entry: BoxName::new(),
             zone: ZoneName::new(),
             regions: HashMap::new(),
-            budget: BudgetBounds {
+            budget: RetryBudgetSettings {
                 ratio: 0.2,
                 extra: 50.0,
                 window: Duration::from_secs(10),
             },
-            began_anew: None,
-            wait_for_adapter: 4.0,
-            wait_for_place: 2.0,
-            first_token: Duration::from_millis(100),
-            tokens_per_ms: 16.0,
-            copy_from_queue_ms: 80.0,
-            copy_from_load: 0.5,
-            unheard_after: Duration::from_millis(1_200),
+            restarted_at: None,
+            max_adapter_wait_ratio: 4.0,
+            max_slot_wait_ratio: 2.0,
+            first_token_delay: Duration::from_millis(100),
+            default_tokens_per_ms: 16.0,
+            copy_queue_threshold_ms: 80.0,
+            copy_load_threshold: 0.5,
+            disconnected_after: Duration::from_millis(1_200),
             version_grace: Duration::from_millis(2_500),
-            mechanisms: Mechanisms::default(),
+            features: Mechanisms::default(),
         }
     }
 }
--- /dev/null
+++ b/coordination/src/dispatch/slow_start.rs
@@ -0,0 +1,56 @@
+//! Engines in slow start: they just started, or are warming up again, and take few
+//! requests.
+
+use {
+    super::dispatcher::Dispatcher,
+    crate::intake::ColdPace,
+    chalkcart_state::backends::BackendId,
+    std::time::{Duration, Instant},
+};
+
+/// Number of entries assumed until a sidecar reports it, where too low a number does harm.
+const DEFAULT_SHARING_ENTRIES: u32 = 32;
+/// Time until entries that started together are known to all sidecars.
+const ENTRY_COUNT_SETTLE_TIME: Duration = Duration::from_secs(3);
+
+impl Dispatcher {
+    /// Handles the time left of a slow start, reported by the back end or its sidecar.
+    pub(super) fn on_slow_start(&mut self, backend: &BackendId, left: Duration, now: Instant) {
+        if let Some(state) = self.backends.get_mut(backend) {
+            self.may_have_slow_start |= !left.is_zero();
+            state.set_slow_start(&self.settings.entry, left, now);
+        }
+    }
+
+    /// Advances the slow starts to the current time.
+    pub(super) fn advance_slow_starts(&mut self, now: Instant) {
+        if !self.may_have_slow_start {
+            return;
+        }
+        let entries = self.sharing_entry_count(now);
+        for state in self
+            .backends
+            .values_mut()
+            .filter(|b| b.slow_start.is_some())
+        {
+            let service = self.table.services.get(&state.listed.service);
+            let pace = service.map_or(ColdPace::default(), |s| ColdPace {
+                per_s: s.cold_per_s,
+            });
+            state.advance_slow_start(pace, entries, now);
+        }
+        self.may_have_slow_start = self.backends.values().any(|b| b.slow_start.is_some());
+    }
+    /// Returns the number of entries that share a back end's capacity. Sidecars that just
+    /// started count too few, and an entry that just started is not yet counted.
+    pub(super) fn sharing_entry_count(&self, now: Instant) -> u32 {
+        let counted = self.fleet_size.entries();
+        let restarted_at = self.settings.restarted_at;
+        let has_just_restarted = restarted_at
+            .is_some_and(|at| now.saturating_duration_since(at) < ENTRY_COUNT_SETTLE_TIME);
+        match counted {
+            Some(entries) if !has_just_restarted => entries,
+            counted => counted.unwrap_or(0).max(DEFAULT_SHARING_ENTRIES),
+        }
+    }
+}
--- /dev/null
+++ b/coordination/src/dispatch/waiting_list.rs
@@ -0,0 +1,47 @@
+use {
+    super::{DispatchRequest, Ticket},
+    std::{collections::BTreeMap, time::Instant},
+};
+
+/// Sort key of a waiting request: priority of its account, priority of its route, start
+/// tag, arrival.
+type SortKey = (u8, u8, u64, Instant, Ticket);
+
+/// Waiting requests in the order in which they are served.
+#[derive(Debug, Default)]
+pub struct WaitingList {
+    requests: BTreeMap<SortKey, DispatchRequest>,
+    keys_by_ticket: BTreeMap<Ticket, SortKey>,
+}
+
+impl WaitingList {
+    pub fn insert(&mut self, ticket: Ticket, request: DispatchRequest) {
+        let key = (
+            request.account_priority,
+            request.priority,
+            request.start_tag,
+            request.arrived_at,
+            ticket,
+        );
+        self.keys_by_ticket.insert(ticket, key);
+        self.requests.insert(key, request);
+    }
+    pub fn remove(&mut self, ticket: Ticket) -> Option<DispatchRequest> {
+        let key = self.keys_by_ticket.remove(&ticket)?;
+        self.requests.remove(&key)
+    }
+    /// Returns the tickets of the included requests, in serving order.
+    pub fn tickets(&self, is_included: impl Fn(&DispatchRequest) -> bool) -> Vec<Ticket> {
+        let requests = self
+            .requests
+            .iter()
+            .filter(|(_, request)| is_included(request));
+        requests.map(|((.., ticket), _)| *ticket).collect()
+    }
+    pub fn iter(&self) -> impl Iterator<Item = &DispatchRequest> {
+        self.requests.values()
+    }
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+}
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! a dispatcher with its clock, and what it is told
+//! A dispatcher with its own clock, and helpers for its input.
 
 // each test file uses a part of it
 #![allow(dead_code)]
@@ -6,8 +6,8 @@
 use {
     chalkcart_coordination::{
         dispatch::{
-            Ask, Decision, DemandsDue, DispatchEvent, DispatchSettings, Dispatcher, SendOutcome,
-            Ticket,
+            Decision, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher, DueDemands,
+            SendOutcome, Ticket,
         },
         placement::{adapter_mark, AdapterMark},
     },
@@ -35,7 +35,7 @@
     SocketAddr::from(([10, 0, 0, number], 80))
 }
 
-/// of a request with this body
+/// Returns the digest of a request with this body.
 pub fn digest(body: &str) -> RequestDigest {
     RequestDigest::of("POST", "/", "", body.as_bytes())
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// a dispatcher with its clock
+/// A dispatcher with its own clock.
 pub struct Fixture {
     pub dispatcher: Dispatcher,
     pub now: Instant,
@@ -128,14 +128,14 @@
             now: Instant::now(),
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::Configured(Arc::new(table())));
-        fixture.list(list);
+        fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table())));
+        fixture.update_list(list);
         fixture
     }
-    /// a process that begins while its fleet serves
-    pub fn started_again(list: Vec<Backend>, now: Instant) -> Self {
+    /// A dispatcher of a process that started while the fleet was serving.
+    pub fn restarted(list: Vec<Backend>, now: Instant) -> Self {
         let settings = DispatchSettings {
-            began_anew: Some(now),
+            restarted_at: Some(now),
             ..settings()
         };
         let mut fixture = Self {
@@ -143,42 +143,42 @@
             now,
             list_version: 0,
         };
-        fixture.tell(DispatchEvent::Configured(Arc::new(table())));
-        fixture.list(list);
+        fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table())));
+        fixture.update_list(list);
         fixture
     }
-    pub fn tell(&mut self, event: DispatchEvent) -> Vec<(Ticket, Decision)> {
+    pub fn handle(&mut self, event: DispatchEvent) -> Vec<(Ticket, Decision)> {
         self.dispatcher.handle(event, self.now)
     }
-    pub fn list(&mut self, list: Vec<Backend>) {
+    pub fn update_list(&mut self, list: Vec<Backend>) {
         self.list_version += 1;
         let version = self.list_version;
-        self.tell(DispatchEvent::Listed { version, list });
+        self.handle(DispatchEvent::ListUpdated { version, list });
     }
-    /// change the settings while it runs
-    pub fn tune(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
+    /// Changes the settings at run time.
+    pub fn update_settings(&mut self, change: impl FnOnce(&mut DispatchSettings)) {
         let mut settings = settings();
         change(&mut settings);
-        self.tell(DispatchEvent::Tuned(settings));
+        self.handle(DispatchEvent::SettingsUpdated(settings));
     }
     pub fn view(&mut self, number: u8, view: EngineView) -> Vec<(Ticket, Decision)> {
         let addr = addr(number);
-        self.tell(DispatchEvent::Viewed { addr, view })
+        self.handle(DispatchEvent::ViewReceived { addr, view })
     }
-    pub fn pass(&mut self, time: Duration) -> Vec<(Ticket, Decision)> {
+    pub fn advance(&mut self, time: Duration) -> Vec<(Ticket, Decision)> {
         self.now += time;
-        self.tell(DispatchEvent::Tick)
+        self.handle(DispatchEvent::Tick)
     }
-    pub fn ask(&mut self, ticket: Ticket, ask: Ask) -> Vec<(Ticket, Decision)> {
-        self.tell(DispatchEvent::Asked { ticket, ask })
+    pub fn submit(&mut self, ticket: Ticket, request: DispatchRequest) -> Vec<(Ticket, Decision)> {
+        self.handle(DispatchEvent::RequestArrived { ticket, request })
     }
     pub fn end(&mut self, ticket: Ticket, outcome: SendOutcome) {
-        self.tell(DispatchEvent::Ended { ticket, outcome });
+        self.handle(DispatchEvent::SendEnded { ticket, outcome });
     }
-    pub fn new_ask(&self, service: &str, wanted: Option<&str>) -> Ask {
-        Ask {
+    pub fn new_request(&self, service: &str, wanted: Option<&str>) -> DispatchRequest {
+        DispatchRequest {
             digest: digest("any"),
-            is_suspected: false,
+            is_crash_suspect: false,
             service: service.to_string(),
             model: wanted.map(|_| "m".to_string()),
             adapter: wanted.map(adapter),
@@ -188,18 +188,18 @@
             account_priority: 0,
             priority: 1,
             target_latency: ms(400),
-            arrived: self.now,
+            arrived_at: self.now,
             deadline: self.now + ms(10_000),
-            tried: Vec::new(),
-            has_returned: false,
-            is_judged: false,
-            sends: 0,
-            turn: 0,
+            tried_backends: Vec::new(),
+            was_rejected_before: false,
+            is_load_time_checked: false,
+            send_count: 0,
+            start_tag: 0,
         }
     }
-    /// the engines that are asked to load an adapter
+    /// Returns the engines that are requested to load an adapter.
     pub fn homes(&mut self, wanted: &str) -> Vec<String> {
-        let demands = self.dispatcher.demands(DemandsDue::All, self.now);
+        let demands = self.dispatcher.demands(DueDemands::All, self.now);
         let asked = demands.into_iter().filter(|(_, d)| {
             let mut adapters = d.wanted.iter();
             adapters.any(|w| w.adapter == adapter(wanted))
@@ -211,7 +211,7 @@
 pub fn sent_to(decisions: &[(Ticket, Decision)]) -> Vec<String> {
     let sent = decisions.iter().filter_map(|(_, d)| match d {
         Decision::Send(assignment) => Some(assignment.backend.to_string()),
-        Decision::Refuse { .. } => None,
+        Decision::Reject { .. } => None,
     });
     sent.collect()
 }
@@ -228,7 +228,7 @@
     fixture
 }
 
-/// the mark of an adapter in the views of sidecars
-pub fn mark(name: &str) -> AdapterMark {
+/// Returns the hash of an adapter in the views of sidecars.
+pub fn hash(name: &str) -> AdapterMark {
     adapter_mark(&adapter(name))
 }
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -6,7 +6,9 @@
     anyhow::{Context, Result},
     arc_swap::ArcSwap,
     chalkcart_coordination::{
-        dispatch::{Ask, Decision, DemandsDue, DispatchEvent, Dispatcher, Ticket, Wished},
+        dispatch::{
+            Decision, DispatchEvent, DispatchRequest, Dispatcher, DueDemands, RequestedLoad, Ticket,
+        },
         relay::RelayCandidate,
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
@@ -45,7 +47,7 @@
     Event(DispatchEvent),
     Ask {
         ticket: Ticket,
-        ask: Ask,
+        ask: DispatchRequest,
         answer: oneshot::Sender<Decision>,
     },
 }
@@ -88,7 +90,7 @@
         self.engines.load_full()
     }
     /// ask for a back end; none if the control thread is gone
-    pub async fn decide(&self, ticket: Ticket, ask: Ask) -> Option<Decision> {
+    pub async fn decide(&self, ticket: Ticket, ask: DispatchRequest) -> Option<Decision> {
         let (answer, answered) = oneshot::channel();
         let command = Command::Ask {
             ticket,
@@ -102,7 +104,7 @@
 
 impl ViewSink for ControlHandle {
     fn on_view(&self, engine: SocketAddr, view: EngineView) {
-        self.tell(DispatchEvent::Viewed { addr: engine, view });
+        self.tell(DispatchEvent::ViewReceived { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
     fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
@@ -112,9 +114,9 @@
         self.tell(DispatchEvent::ViewLost(backend.clone()));
     }
     fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
-        self.tell(DispatchEvent::Demanded {
+        self.tell(DispatchEvent::DemandSent {
             addr: engine,
-            is_taken,
+            is_accepted: is_taken,
         });
     }
 }
@@ -200,7 +202,10 @@
 
     fn take_figures(&mut self) {
         for (backend, figures) in self.figures.take() {
-            self.on_event(DispatchEvent::Figures { backend, figures });
+            self.on_event(DispatchEvent::StatsReceived {
+                backend,
+                stats: figures,
+            });
         }
     }
 
@@ -221,7 +226,10 @@
                 answer,
             } => {
                 self.askers.insert(ticket, answer);
-                self.on_event(DispatchEvent::Asked { ticket, ask });
+                self.on_event(DispatchEvent::RequestArrived {
+                    ticket,
+                    request: ask,
+                });
             }
         }
     }
@@ -231,9 +239,9 @@
         // come after the list
         let may_change_engines = matches!(
             event,
-            DispatchEvent::Listed { .. } | DispatchEvent::Configured(_)
+            DispatchEvent::ListUpdated { .. } | DispatchEvent::ConfigUpdated(_)
         );
-        if let DispatchEvent::Withdrawn(ticket) = &event {
+        if let DispatchEvent::RequestWithdrawn(ticket) = &event {
             self.askers.remove(ticket);
         }
         for (ticket, decision) in self.dispatcher.handle(event, clock::now()) {
@@ -242,12 +250,15 @@
                 let _ = answer.send(decision);
             }
         }
-        self.dispatcher.take_wished().iter().for_each(log_wished);
-        self.crashes.on_served(self.dispatcher.take_served());
+        self.dispatcher
+            .take_requested_loads()
+            .iter()
+            .for_each(log_wished);
+        self.crashes.on_served(self.dispatcher.take_completed());
         self.crashes.on_crashes(self.dispatcher.take_crashes());
         if may_change_engines {
             let dispatcher = &self.dispatcher;
-            let engines = dispatcher.listed().filter(|b| {
+            let engines = dispatcher.listed_backends().filter(|b| {
                 let service = dispatcher.service(&b.service);
                 service.is_some_and(|s| s.engine.is_some())
             });
@@ -263,20 +274,20 @@
     }
 
     fn ask_dealers(&mut self) {
-        let questions = self.dispatcher.intake_questions(clock::now());
+        let questions = self.dispatcher.permit_queries(clock::now());
         questions.into_iter().for_each(|q| self.intake.ask(q));
     }
 
-    fn demands_due(&self, now: Instant) -> Option<DemandsDue> {
+    fn demands_due(&self, now: Instant) -> Option<DueDemands> {
         let passed = |since: Instant| now.saturating_duration_since(since);
         if passed(self.last_all) >= ALL_DEMANDS_EVERY {
-            return Some(DemandsDue::All);
+            return Some(DueDemands::All);
         }
         if passed(self.last_changed) >= DEMANDS_EVERY {
-            return Some(DemandsDue::Changed);
+            return Some(DueDemands::Changed);
         }
         let is_urgent = self.dispatcher.has_urgent_demands();
-        (is_urgent && passed(self.last_urgent) >= URGENT_EVERY).then_some(DemandsDue::Urgent)
+        (is_urgent && passed(self.last_urgent) >= URGENT_EVERY).then_some(DueDemands::Urgent)
     }
 
     fn send_demands(&mut self) {
@@ -285,12 +296,12 @@
             return;
         };
         self.last_urgent = now;
-        if due != DemandsDue::Urgent {
+        if due != DueDemands::Urgent {
             self.last_changed = now;
         }
-        if due == DemandsDue::All {
+        if due == DueDemands::All {
             self.last_all = now;
-            if let Some(entries) = self.dispatcher.counted_entries() {
+            if let Some(entries) = self.dispatcher.reported_entry_count() {
                 self.entries.store(entries, Ordering::Relaxed);
             }
         }
@@ -300,7 +311,7 @@
     }
 }
 
-fn log_wished(wished: &Wished) {
+fn log_wished(wished: &RequestedLoad) {
     let backends: Vec<String> = wished.backends.iter().map(ToString::to_string).collect();
     log::info!(
         adapter = wished.adapter.to_string().as_str(),
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -16,7 +16,7 @@
     crate::conf::IngressSettings,
     anyhow::{Context, Result},
     chalkcart_coordination::{
-        dispatch::{BudgetBounds, DispatchEvent, DispatchSettings, Dispatcher},
+        dispatch::{DispatchEvent, DispatchSettings, Dispatcher, RetryBudgetSettings},
         drain::IngressDrain,
         following::FollowPacing,
         relay::RelayPacing,
@@ -114,7 +114,7 @@
 ) {
     let apply = |settings: IngressSettings| {
         store.set_addr(settings.store);
-        let tuned = DispatchEvent::Tuned(dispatch_settings(&settings));
+        let tuned = DispatchEvent::SettingsUpdated(dispatch_settings(&settings));
         shared.control.tell(tuned);
     };
     if let Err(e) = follower.run(apply).await {
@@ -180,14 +180,14 @@
         entry: settings.name.clone(),
         zone: settings.zone.clone(),
         regions: settings.regions.clone(),
-        budget: BudgetBounds {
+        budget: RetryBudgetSettings {
             ratio: settings.retry_ratio,
             extra: settings.retry_extra,
             window: Duration::from_secs_f64(settings.retry_window_s),
         },
-        began_anew: (!settings.first_start).then(Instant::now),
+        restarted_at: (!settings.first_start).then(Instant::now),
         version_grace: Duration::from_millis(settings.version_ms / 2),
-        mechanisms: settings.mechanisms,
+        features: settings.mechanisms,
         ..DispatchSettings::default()
     }
 }
