--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -5,7 +5,7 @@
             AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
         },
         membership::{rendezvous_weight, stable_hash},
-        placement::{adapter_mark, AdapterMark, LatelyHeld},
+        placement::{adapter_hash, AdapterHash, LatelyHeld},
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
@@ -183,7 +183,7 @@
             let held = view.held.iter().map(|h| (h.adapter.clone(), h.version));
             let before = std::mem::replace(&mut self.held, held.collect());
             let left = before.keys().filter(|a| !self.held.contains_key(a));
-            left.for_each(|a| self.lately.put(adapter_mark(a)));
+            left.for_each(|a| self.lately.put(adapter_hash(a)));
         }
         view.lately.iter().for_each(|mark| self.lately.put(*mark));
         self.viewed_at = said_at(&view.figures, now);
@@ -316,7 +316,7 @@
         view.is_some_and(|v| v.loading.contains(adapter))
     }
     /// it can bring the adapter back from its own memory
-    pub fn held_lately(&self, mark: AdapterMark) -> bool {
+    pub fn held_lately(&self, mark: AdapterHash) -> bool {
         self.lately.has(mark)
     }
     pub fn home_hash(&self) -> u64 {
--- a/coordination/src/dispatch/choosing.rs
+++ b/coordination/src/dispatch/choosing.rs
@@ -6,7 +6,7 @@
         urgency::{urgency, LEAST as LEAST_URGENT},
         Ask, Assignment, BackendState, Basis, RefusalCause, WishCause, Wished,
     },
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::{
         backends::{AdapterRef, BackendId},
         ids::ServiceName,
@@ -189,7 +189,7 @@
         if !self.settings.mechanisms.return_home || waited > RETURN_PATIENCE {
             return None;
         }
-        let mark = adapter_mark(adapter);
+        let mark = adapter_hash(adapter);
         let with_place = holders.iter().filter(|b| b.has_place(now));
         let held = with_place.map(|b| self.cost(b, now));
         let least = held.min_by(f64::total_cmp).unwrap_or(f64::INFINITY);
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{choosing::Choice, dispatcher::Dispatcher, homes::loadable, BackendState},
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::time::Instant,
 };
@@ -64,7 +64,7 @@
         now: Instant,
     ) -> bool {
         let is_weighed = self.settings.mechanisms.copies_weighed;
-        if !is_weighed || target.held_lately(adapter_mark(adapter)) {
+        if !is_weighed || target.held_lately(adapter_hash(adapter)) {
             return true;
         }
         let queues = holders.iter().map(|b| self.queue_ms(b, now));
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{choosing::with_model, dispatcher::Dispatcher, wishes::WISHED_FOR, Ask, BackendState},
-    crate::{membership::rendezvous_weight, placement::adapter_mark},
+    crate::{membership::rendezvous_weight, placement::adapter_hash},
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::{
         cmp::Reverse,
@@ -122,7 +122,7 @@
             false => b.sight.may_bring(now),
         };
         let spare = candidates.iter().filter(may_load);
-        let mark = adapter_mark(adapter);
+        let mark = adapter_hash(adapter);
         let returns = self.settings.mechanisms.return_home;
         let mut ranked: Vec<(HomeRank, &BackendState)> = spare
             .map(|b| {
--- a/coordination/src/dispatch/promises.rs
+++ b/coordination/src/dispatch/promises.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{dispatcher::Dispatcher, Ask},
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -49,7 +49,7 @@
         }
         let view = state.view.as_ref()?;
         let waited = now.saturating_duration_since(ask.arrived);
-        let returns = state.held_lately(adapter_mark(adapter));
+        let returns = state.held_lately(adapter_hash(adapter));
         let load_ms = match returns && self.settings.mechanisms.return_home {
             true => view.figures.next_return_ms,
             false => view.figures.next_load_ms,
--- a/coordination/src/placement/lately_held.rs
+++ b/coordination/src/placement/lately_held.rs
@@ -9,9 +9,9 @@
 const MOST: usize = 512;
 
 /// hash of an adapter's name, the same in every process
-pub type AdapterMark = u64;
+pub type AdapterHash = u64;
 
-pub fn adapter_mark(adapter: &AdapterRef) -> AdapterMark {
+pub fn adapter_hash(adapter: &AdapterRef) -> AdapterHash {
     stable_hash(&adapter.to_string())
 }
 
@@ -20,12 +20,12 @@
 /// store takes, and at no price.
 #[derive(Debug, Clone, Default)]
 pub struct LatelyHeld {
-    marks: HashSet<AdapterMark>,
-    order: VecDeque<AdapterMark>,
+    marks: HashSet<AdapterHash>,
+    order: VecDeque<AdapterHash>,
 }
 
 impl LatelyHeld {
-    pub fn put(&mut self, mark: AdapterMark) {
+    pub fn put(&mut self, mark: AdapterHash) {
         if !self.marks.insert(mark) {
             return;
         }
@@ -36,7 +36,7 @@
             }
         }
     }
-    pub fn has(&self, mark: AdapterMark) -> bool {
+    pub fn has(&self, mark: AdapterHash) -> bool {
         self.marks.contains(&mark)
     }
     pub fn clear(&mut self) {
@@ -44,7 +44,7 @@
         self.order.clear();
     }
     /// from the oldest on
-    pub fn marks(&self) -> impl Iterator<Item = AdapterMark> + '_ {
+    pub fn marks(&self) -> impl Iterator<Item = AdapterHash> + '_ {
         self.order.iter().copied()
     }
 }
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -16,7 +16,7 @@
     engine_order::{EngineOrder, OrderAnswer, OrderKind},
     engine_report::EngineReport,
     fence_token::FenceToken,
-    lately_held::{adapter_mark, AdapterMark, LatelyHeld},
+    lately_held::{adapter_hash, AdapterHash, LatelyHeld},
     load_speed::LoadSpeed,
     placement_control::{PlacementControl, PlacementEvent, PlacementStep},
     settings::PlacementSettings,
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        adapter_mark, DemandBook, EngineOrder, EngineReport, FenceToken, LatelyHeld, LoadSpeed,
+        adapter_hash, DemandBook, EngineOrder, EngineReport, FenceToken, LatelyHeld, LoadSpeed,
         OrderAnswer, OrderKind, PlacementSettings,
     },
     crate::{
@@ -383,7 +383,7 @@
         let is_held = |adapter: &AdapterRef| report.held.iter().any(|h| h.adapter == *adapter);
         let left = self.places.keys().filter(|adapter| !is_held(adapter));
         for adapter in left {
-            self.lately.put(adapter_mark(adapter));
+            self.lately.put(adapter_hash(adapter));
         }
     }
 
@@ -435,12 +435,12 @@
                 if let Some(place) = self.places.get_mut(adapter) {
                     place.replacing = true;
                 }
-                let returns = self.lately.has(adapter_mark(adapter));
+                let returns = self.lately.has(adapter_hash(adapter));
                 self.speed.on_ordered(adapter, returns, now);
             }
             OrderKind::UnloadAdapter(adapter) => {
                 self.places.remove(adapter);
-                self.lately.put(adapter_mark(adapter));
+                self.lately.put(adapter_hash(adapter));
                 self.report.held.retain(|h| h.adapter != *adapter);
             }
             OrderKind::LoadModel(_) => {}
--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_book.rs
@@ -1,5 +1,5 @@
 use {
-    crate::placement::{adapter_mark, DemandBook, LatelyHeld},
+    crate::placement::{adapter_hash, DemandBook, LatelyHeld},
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineNews, EngineView, EngineWord, RelayDemands,
         RelayUpdate, ViewUpdate,
@@ -236,7 +236,7 @@
                 let is_held = |a: &AdapterRef| view.held.iter().any(|h| h.adapter == *a);
                 let left = before.held.iter().map(|h| &h.adapter);
                 let left = left.filter(|adapter| !is_held(adapter));
-                left.for_each(|adapter| self.lately.put(adapter_mark(adapter)));
+                left.for_each(|adapter| self.lately.put(adapter_hash(adapter)));
             }
             _ => self.lately.clear(),
         }
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -9,7 +9,7 @@
             Ask, Decision, DemandsDue, DispatchEvent, DispatchSettings, Dispatcher, SendOutcome,
             Ticket,
         },
-        placement::{adapter_mark, AdapterMark},
+        placement::{adapter_hash, AdapterHash},
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
@@ -229,6 +229,6 @@
 }
 
 /// the mark of an adapter in the views of sidecars
-pub fn mark(name: &str) -> AdapterMark {
-    adapter_mark(&adapter(name))
+pub fn mark(name: &str) -> AdapterHash {
+    adapter_hash(&adapter(name))
 }
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::placement::{
-        adapter_mark, EngineOrder, EngineReport, OrderAnswer, OrderKind, PlacementControl,
+        adapter_hash, EngineOrder, EngineReport, OrderAnswer, OrderKind, PlacementControl,
         PlacementEvent, PlacementSettings, PlacementStep,
     },
     chalkcart_protocol::peer::{AdapterDemand, AdapterUse, EngineRoom, ModelSize, WantedAdapter},
@@ -408,7 +408,7 @@
     fixture.hold(&[]);
     assert_eq!(
         fixture.control.view(fixture.now).lately,
-        [adapter_mark(&adapter("a"))]
+        [adapter_hash(&adapter("a"))]
     );
     // a load from the store takes 500 ms, a return 50 ms
     for (name, takes) in [("b", 500), ("a", 50)] {
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -6,7 +6,7 @@
 use {
     chalkcart_coordination::{
         dispatch::{DispatchEvent, SendOutcome},
-        placement::{adapter_mark, OrderAnswer, OrderKind, PlacementStep},
+        placement::{adapter_hash, OrderAnswer, OrderKind, PlacementStep},
     },
     chalkcart_protocol::peer::EngineView,
     chalkcart_state::backends::{Backend, BackendId},
@@ -198,7 +198,7 @@
         identify(&mut keeper);
         // one adapter that left in this life may come back fast
         keeper.report(holding(FIRST, &["m"], &[("a", 1)]));
-        assert_eq!(keeper.view().lately, [adapter_mark(&adapter("b"))]);
+        assert_eq!(keeper.view().lately, [adapter_hash(&adapter("b"))]);
         keeper.report(holding(born, &["m"], &[]));
         let view = keeper.view();
         assert_eq!(view.backend, id(born));
