--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -5,7 +5,7 @@
             AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
         },
         membership::{rendezvous_weight, stable_hash},
-        placement::{adapter_hash, AdapterHash, LatelyHeld},
+        placement::{adapter_hash, AdapterHash, RecentAdapters},
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
@@ -94,7 +94,7 @@
     /// versions of the adapters in the view
     held: HashMap<AdapterRef, u64>,
     /// what it has held before, by the views of it
-    lately: LatelyHeld,
+    lately: RecentAdapters,
     /// hash of its address, for the order of homes
     home_hash: u64,
     pub running_on: HashMap<AdapterRef, u32>,
@@ -113,7 +113,7 @@
         Self {
             home_hash: stable_hash(&listed.addr.to_string()),
             held: HashMap::new(),
-            lately: LatelyHeld::default(),
+            lately: RecentAdapters::default(),
             listed,
             says_leaving: false,
             rest: AskedRest::default(),
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -5,10 +5,10 @@
 mod engine_order;
 mod engine_report;
 mod fence_token;
-mod lately_held;
 mod load_speed;
 mod next_order;
 mod placement_control;
+mod recent_adapters;
 mod settings;
 
 pub use {
@@ -16,8 +16,8 @@
     engine_order::{EngineOrder, OrderAnswer, OrderKind},
     engine_report::EngineReport,
     fence_token::FenceToken,
-    lately_held::{adapter_hash, AdapterHash, LatelyHeld},
     load_speed::LoadSpeed,
     placement_control::{PlacementControl, PlacementEvent, PlacementStep},
+    recent_adapters::{adapter_hash, AdapterHash, RecentAdapters},
     settings::PlacementSettings,
 };
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        adapter_hash, DemandBook, EngineOrder, EngineReport, FenceToken, LatelyHeld, LoadSpeed,
-        OrderAnswer, OrderKind, PlacementSettings,
+        adapter_hash, DemandBook, EngineOrder, EngineReport, FenceToken, LoadSpeed, OrderAnswer,
+        OrderKind, PlacementSettings, RecentAdapters,
     },
     crate::{
         intake::EngineLimit,
@@ -104,7 +104,7 @@
     cold_until: Option<Instant>,
     pub(super) model_ordered: Option<Instant>,
     speed: LoadSpeed,
-    lately: LatelyHeld,
+    lately: RecentAdapters,
 }
 
 impl PlacementControl {
@@ -129,7 +129,7 @@
             cold_until: None,
             model_ordered: None,
             speed: LoadSpeed::default(),
-            lately: LatelyHeld::default(),
+            lately: RecentAdapters::default(),
         }
     }
 
--- a/coordination/src/placement/lately_held.rs
+++ b/coordination/src/placement/recent_adapters.rs
@@ -19,12 +19,12 @@
 /// brings these back from its own memory, in a part of the time that the weight
 /// store takes, and at no price.
 #[derive(Debug, Clone, Default)]
-pub struct LatelyHeld {
+pub struct RecentAdapters {
     marks: HashSet<AdapterHash>,
     order: VecDeque<AdapterHash>,
 }
 
-impl LatelyHeld {
+impl RecentAdapters {
     pub fn put(&mut self, mark: AdapterHash) {
         if !self.marks.insert(mark) {
             return;
--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_book.rs
@@ -1,5 +1,5 @@
 use {
-    crate::placement::{adapter_hash, DemandBook, LatelyHeld},
+    crate::placement::{adapter_hash, DemandBook, RecentAdapters},
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineNews, EngineView, EngineWord, RelayDemands,
         RelayUpdate, ViewUpdate,
@@ -43,7 +43,7 @@
     view: Option<EngineView>,
     /// what entries have heard
     told: Option<EngineView>,
-    lately: LatelyHeld,
+    lately: RecentAdapters,
     heard: Instant,
 }
 
@@ -225,7 +225,7 @@
             demands: DemandBook::default(),
             view: None,
             told: None,
-            lately: LatelyHeld::default(),
+            lately: RecentAdapters::default(),
             heard: now,
         }
     }
