--- a/coordination/src/placement/demand_book.rs
+++ b/coordination/src/placement/demand_table.rs
@@ -17,11 +17,11 @@
 
 /// what all entries need of one engine
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTable {
     demands: HashMap<BoxName, (Instant, AdapterDemand)>,
 }
 
-impl DemandBook {
+impl DemandTable {
     /// an entry says what it needs
     pub fn put(&mut self, demand: AdapterDemand, now: Instant) {
         self.demands.insert(demand.entry.clone(), (now, demand));
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! which adapters an engine holds: decided by the sidecar beside it, from what
 //! the entries need
 
-mod demand_book;
+mod demand_table;
 mod engine_order;
 mod engine_report;
 mod fence_token;
@@ -12,7 +12,7 @@
 mod settings;
 
 pub use {
-    demand_book::DemandBook,
+    demand_table::DemandTable,
     engine_order::{EngineOrder, OrderAnswer, OrderKind},
     engine_report::EngineReport,
     fence_token::FenceToken,
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        adapter_hash, DemandBook, EngineOrder, EngineReport, FenceToken, LoadSpeed, OrderAnswer,
+        adapter_hash, DemandTable, EngineOrder, EngineReport, FenceToken, LoadSpeed, OrderAnswer,
         OrderKind, PlacementSettings, RecentAdapters,
     },
     crate::{
@@ -84,7 +84,7 @@
     /// the engine itself said so, in this life of it
     is_identified: bool,
     asked_identity: Option<Instant>,
-    pub(super) demands: DemandBook,
+    pub(super) demands: DemandTable,
     pub(super) places: HashMap<AdapterRef, Place>,
     pub(super) report: EngineReport,
     /// the engine was read since its last change of incarnation or doubt
@@ -116,7 +116,7 @@
             backend: BackendId::default(),
             is_identified: false,
             asked_identity: None,
-            demands: DemandBook::default(),
+            demands: DemandTable::default(),
             places: HashMap::new(),
             report: EngineReport::default(),
             is_read: false,
--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_book.rs
@@ -1,5 +1,5 @@
 use {
-    crate::placement::{adapter_hash, DemandBook, RecentAdapters},
+    crate::placement::{adapter_hash, DemandTable, RecentAdapters},
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineNews, EngineView, EngineWord, RelayDemands,
         RelayUpdate, ViewUpdate,
@@ -38,7 +38,7 @@
 /// one engine, as its sidecar tells it
 #[derive(Debug)]
 struct RelayedEngine {
-    demands: DemandBook,
+    demands: DemandTable,
     /// the newest view, none while its sidecar is silent
     view: Option<EngineView>,
     /// what entries have heard
@@ -222,7 +222,7 @@
 impl RelayedEngine {
     fn new(now: Instant) -> Self {
         Self {
-            demands: DemandBook::default(),
+            demands: DemandTable::default(),
             view: None,
             told: None,
             lately: RecentAdapters::default(),
