--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -17,7 +17,7 @@
     engine_report::EngineReport,
     fence_token::FenceToken,
     load_speed::LoadSpeed,
-    placement_control::{PlacementControl, PlacementEvent, PlacementStep},
+    placement_control::{PlacementAction, PlacementControl, PlacementEvent},
     recent_adapters::{adapter_hash, AdapterHash, RecentAdapters},
     settings::PlacementSettings,
 };
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -50,7 +50,7 @@
 
 /// what the process does next
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PlacementStep {
+pub enum PlacementAction {
     /// ask the engine at this path which incarnation it is
     Identify { health_path: String },
     /// give this order
@@ -146,20 +146,20 @@
     }
 
     /// what to do now
-    pub fn next_step(&mut self, now: Instant) -> PlacementStep {
+    pub fn next_step(&mut self, now: Instant) -> PlacementAction {
         self.doubt_after_pause(now);
         self.demands.expire(self.settings.entry_silence, now);
         self.resting.retain(|_, until| *until > now);
         if let Some(left) = self.rest_left(now) {
-            return PlacementStep::Rest { left };
+            return PlacementAction::Rest { left };
         }
         if let Some(health_path) = self.identity_due(now) {
             self.asked_identity = Some(now);
-            return PlacementStep::Identify { health_path };
+            return PlacementAction::Identify { health_path };
         }
         if self.is_read && !self.backend.is_empty() {
             if let Some(kind) = self.next_order(now) {
-                return PlacementStep::Order(EngineOrder {
+                return PlacementAction::Order(EngineOrder {
                     kind,
                     backend: self.backend.clone(),
                     fence: self.fence.value(),
@@ -171,7 +171,7 @@
             true => READ_LOADING,
             false => READ_CALM,
         };
-        PlacementStep::Read { after }
+        PlacementAction::Read { after }
     }
 
     /// what entries may know
--- a/coordination/tests/keeper_fixture/mod.rs
+++ b/coordination/tests/keeper_fixture/mod.rs
@@ -6,8 +6,8 @@
 use {
     crate::dispatch_fixture::adapter,
     chalkcart_coordination::placement::{
-        EngineOrder, EngineReport, OrderAnswer, PlacementControl, PlacementEvent,
-        PlacementSettings, PlacementStep,
+        EngineOrder, EngineReport, OrderAnswer, PlacementAction, PlacementControl, PlacementEvent,
+        PlacementSettings,
     },
     chalkcart_protocol::peer::{AdapterDemand, EngineRoom, EngineView, ModelSize, WantedAdapter},
     chalkcart_state::backends::HeldAdapter,
@@ -75,12 +75,12 @@
     pub fn identify_as(&mut self, name: &str) {
         self.handle(PlacementEvent::Identified(Some(name.to_string())));
     }
-    pub fn step(&mut self) -> PlacementStep {
+    pub fn step(&mut self) -> PlacementAction {
         self.control.next_step(self.now)
     }
     pub fn order(&mut self) -> Option<EngineOrder> {
         match self.step() {
-            PlacementStep::Order(order) => Some(order),
+            PlacementAction::Order(order) => Some(order),
             _ => None,
         }
     }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -7,7 +7,7 @@
     chalkcart_coordination::{
         dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
         own_word::{LimitWord, OwnWord, RequestRate},
-        placement::{OrderAnswer, PlacementEvent, PlacementStep},
+        placement::{OrderAnswer, PlacementAction, PlacementEvent},
     },
     chalkcart_state::backends::Backend,
     dispatch_fixture::*,
@@ -268,11 +268,11 @@
     keeper.answer(order, OrderAnswer::Refused);
     for _ in 0..REST_S * 10 {
         let step = keeper.step();
-        assert!(matches!(step, PlacementStep::Rest { .. }), "{step:?}");
+        assert!(matches!(step, PlacementAction::Rest { .. }), "{step:?}");
         keeper.demand(&["a"], &[]);
         keeper.now += ms(100);
     }
-    assert!(!matches!(keeper.step(), PlacementStep::Rest { .. }));
+    assert!(!matches!(keeper.step(), PlacementAction::Rest { .. }));
 }
 
 /// an entry names a later life than the one that asked for rest
@@ -282,9 +282,9 @@
     keeper
         .control
         .handle(PlacementEvent::Said(RESTS), keeper.now);
-    assert!(matches!(keeper.step(), PlacementStep::Rest { .. }));
+    assert!(matches!(keeper.step(), PlacementAction::Rest { .. }));
     keeper.demand_of(&format!("{ENGINE}-again"), &["a"], &[]);
-    assert!(!matches!(keeper.step(), PlacementStep::Rest { .. }));
+    assert!(!matches!(keeper.step(), PlacementAction::Rest { .. }));
 }
 
 /// other entries have had no answer of it, and the store is silent
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use {
     chalkcart_coordination::placement::{
-        adapter_hash, EngineOrder, EngineReport, OrderAnswer, OrderKind, PlacementControl,
-        PlacementEvent, PlacementSettings, PlacementStep,
+        adapter_hash, EngineOrder, EngineReport, OrderAnswer, OrderKind, PlacementAction,
+        PlacementControl, PlacementEvent, PlacementSettings,
     },
     chalkcart_protocol::peer::{AdapterDemand, AdapterUse, EngineRoom, ModelSize, WantedAdapter},
     chalkcart_state::backends::{AdapterRef, HeldAdapter},
@@ -94,11 +94,11 @@
     fn next_order(&mut self) -> Option<EngineOrder> {
         loop {
             match self.control.next_step(self.now) {
-                PlacementStep::Identify { .. } => {
+                PlacementAction::Identify { .. } => {
                     self.tell(PlacementEvent::Identified(Some("b".to_string())))
                 }
-                PlacementStep::Order(order) => return Some(order),
-                PlacementStep::Read { .. } | PlacementStep::Rest { .. } => return None,
+                PlacementAction::Order(order) => return Some(order),
+                PlacementAction::Read { .. } | PlacementAction::Rest { .. } => return None,
             }
         }
     }
@@ -141,12 +141,15 @@
     let mut control = PlacementControl::new(PlacementSettings::default(), 1);
     let now = Instant::now();
     control.handle(PlacementEvent::Demand(demand(&[("a", 0)])), now);
-    assert!(matches!(control.next_step(now), PlacementStep::Read { .. }));
+    assert!(matches!(
+        control.next_step(now),
+        PlacementAction::Read { .. }
+    ));
     let report = EngineReport::default();
     control.handle(PlacementEvent::Report(report), now);
     assert!(matches!(
         control.next_step(now),
-        PlacementStep::Identify { .. }
+        PlacementAction::Identify { .. }
     ));
 }
 
@@ -332,7 +335,7 @@
     fixture.tell(PlacementEvent::Answered { order, answer });
     fixture.read();
     let step = fixture.control.next_step(fixture.now);
-    assert!(matches!(step, PlacementStep::Identify { .. }), "{step:?}");
+    assert!(matches!(step, PlacementAction::Identify { .. }), "{step:?}");
     fixture.tell(PlacementEvent::Identified(Some("b2".to_string())));
     fixture.demand(demand(&[("a", 0)]));
     let order = fixture.next_order().expect("an order");
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -6,7 +6,7 @@
 use {
     chalkcart_coordination::{
         dispatch::{DispatchEvent, SendOutcome},
-        placement::{adapter_hash, OrderAnswer, OrderKind, PlacementStep},
+        placement::{adapter_hash, OrderAnswer, OrderKind, PlacementAction},
     },
     chalkcart_protocol::peer::EngineView,
     chalkcart_state::backends::{Backend, BackendId},
@@ -186,7 +186,7 @@
 
 /// the engine is asked for its name, and tells it
 fn identify(keeper: &mut Keeper) {
-    assert!(matches!(keeper.step(), PlacementStep::Identify { .. }));
+    assert!(matches!(keeper.step(), PlacementAction::Identify { .. }));
     keeper.identify();
 }
 
@@ -301,7 +301,7 @@
     let mut keeper = Keeper::new();
     keeper.demand(&["e"], &[]);
     keeper.report(holding(0, &["m"], &full));
-    assert!(matches!(keeper.step(), PlacementStep::Identify { .. }));
+    assert!(matches!(keeper.step(), PlacementAction::Identify { .. }));
     keeper.identify_as("another name");
     for _ in 0..2 {
         if let Some(order) = keeper.order() {
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -2,7 +2,7 @@
     super::shared::Shared,
     chalkcart_coordination::{
         own_word::{OwnWord, RequestRate},
-        placement::{EngineOrder, OrderAnswer, PlacementEvent, PlacementStep},
+        placement::{EngineOrder, OrderAnswer, PlacementAction, PlacementEvent},
     },
     chalkcart_protocol::peer::EngineView,
     chalkcart_transport::{
@@ -53,13 +53,13 @@
             let now = clock::now();
             let step = self.shared.control().next_step(now);
             match step {
-                PlacementStep::Identify { health_path } => self.identify(&health_path).await,
-                PlacementStep::Order(order) => {
+                PlacementAction::Identify { health_path } => self.identify(&health_path).await,
+                PlacementAction::Order(order) => {
                     self.order(order).await;
                     self.read().await;
                 }
-                PlacementStep::Read { after } => self.wait_or_read(after, now).await,
-                PlacementStep::Rest { left } => self.rest(left).await,
+                PlacementAction::Read { after } => self.wait_or_read(after, now).await,
+                PlacementAction::Rest { left } => self.rest(left).await,
             }
         }
     }
