--- a/coordination/src/placement/load_speed.rs
+++ b/coordination/src/placement/load_time_estimator.rs
@@ -24,7 +24,7 @@
 /// how long an engine's loads of adapters take, from the order to the report
 /// that has the adapter
 #[derive(Debug)]
-pub struct LoadSpeed {
+pub struct LoadTimeEstimator {
     ordered: HashMap<AdapterRef, OrderedLoad>,
     /// mean time of loads from the weight store
     load: Duration,
@@ -42,7 +42,7 @@
     returns: bool,
 }
 
-impl Default for LoadSpeed {
+impl Default for LoadTimeEstimator {
     fn default() -> Self {
         Self {
             ordered: HashMap::new(),
@@ -53,7 +53,7 @@
     }
 }
 
-impl LoadSpeed {
+impl LoadTimeEstimator {
     /// an order was taken
     pub fn on_ordered(&mut self, adapter: &AdapterRef, returns: bool, now: Instant) {
         let load = OrderedLoad { at: now, returns };
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -5,7 +5,7 @@
 mod engine_order;
 mod engine_report;
 mod fence_token;
-mod load_speed;
+mod load_time_estimator;
 mod next_order;
 mod placement_control;
 mod recent_adapters;
@@ -16,7 +16,7 @@
     engine_order::{EngineOrder, OrderAnswer, OrderKind},
     engine_report::EngineReport,
     fence_token::FenceToken,
-    load_speed::LoadSpeed,
+    load_time_estimator::LoadTimeEstimator,
     placement_control::{PlacementAction, PlacementControl, PlacementEvent},
     recent_adapters::{adapter_hash, AdapterHash, RecentAdapters},
     settings::PlacementSettings,
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        adapter_hash, DemandTable, EngineOrder, EngineReport, FenceToken, LoadSpeed, OrderAnswer,
-        OrderKind, PlacementSettings, RecentAdapters,
+        adapter_hash, DemandTable, EngineOrder, EngineReport, FenceToken, LoadTimeEstimator,
+        OrderAnswer, OrderKind, PlacementSettings, RecentAdapters,
     },
     crate::{
         intake::EngineLimit,
@@ -103,7 +103,7 @@
     /// until when it is cold, by its own word
     cold_until: Option<Instant>,
     pub(super) model_ordered: Option<Instant>,
-    speed: LoadSpeed,
+    speed: LoadTimeEstimator,
     lately: RecentAdapters,
 }
 
@@ -128,7 +128,7 @@
             limit: EngineLimit::default(),
             cold_until: None,
             model_ordered: None,
-            speed: LoadSpeed::default(),
+            speed: LoadTimeEstimator::default(),
             lately: RecentAdapters::default(),
         }
     }
