--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -1,7 +1,7 @@
 //! which order the engine of a sidecar gets next
 
 use {
-    super::{placement_control::Place, OrderKind, PlacementControl},
+    super::{placement_control::OccupiedSlot, OrderKind, PlacementControl},
     chalkcart_protocol::peer::EngineRoom,
     chalkcart_state::backends::AdapterRef,
     std::time::Instant,
@@ -109,7 +109,7 @@
         coldest.map(|(adapter, _)| adapter.clone())
     }
 
-    fn is_evictable(&self, adapter: &AdapterRef, place: &Place, now: Instant) -> bool {
+    fn is_evictable(&self, adapter: &AdapterRef, place: &OccupiedSlot, now: Instant) -> bool {
         let order = OrderKind::UnloadAdapter(adapter.clone());
         now.saturating_duration_since(place.last_used) >= self.settings.min_idle
             && !place.replacing
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -63,7 +63,7 @@
 
 /// an adapter that the engine holds
 #[derive(Debug, Clone)]
-pub(super) struct Place {
+pub(super) struct OccupiedSlot {
     pub(super) version: u64,
     pub(super) last_used: Instant,
     /// a newer version is known since then
@@ -85,7 +85,7 @@
     is_identified: bool,
     asked_identity: Option<Instant>,
     pub(super) demands: DemandTable,
-    pub(super) places: HashMap<AdapterRef, Place>,
+    pub(super) places: HashMap<AdapterRef, OccupiedSlot>,
     pub(super) report: EngineReport,
     /// the engine was read since its last change of incarnation or doubt
     is_read: bool,
@@ -347,7 +347,7 @@
         for held in &report.held {
             let known = self.places.get(&held.adapter);
             let same = known.filter(|p| p.version == held.version).cloned();
-            let mut place = same.unwrap_or(Place {
+            let mut place = same.unwrap_or(OccupiedSlot {
                 version: held.version,
                 last_used: now,
                 outdated_since: None,
