--- a/coordination/src/relay/mod.rs
+++ b/coordination/src/relay/mod.rs
@@ -2,14 +2,14 @@
 //! pass on what all engines say, and gather what the entries of the zone need
 
 mod own_calls;
-mod published_book;
+mod published_cache;
 mod relay_book;
 mod relay_choice;
 mod relay_pacing;
 
 pub use {
     own_calls::OwnCalls,
-    published_book::PublishedBook,
+    published_cache::PublishedCache,
     relay_book::RelayBook,
     relay_choice::{RelayCandidate, RelayChoice, RELAYS_FROM_ENGINES, RELAYS_PER_ZONE},
     relay_pacing::RelayPacing,
--- a/coordination/src/relay/published_book.rs
+++ b/coordination/src/relay/published_cache.rs
@@ -27,7 +27,7 @@
 /// One topic of the platform's store, as a relay has heard it. Revisions are the
 /// store's, so that an entry may go from one relay to another, or to the store.
 #[derive(Debug)]
-pub struct PublishedBook {
+pub struct PublishedCache {
     /// a relay that has not heard the store for longer does not speak for it
     stale_after: Duration,
     records: BTreeMap<Subject, (u64, Record)>,
@@ -40,7 +40,7 @@
     forgotten_to: u64,
 }
 
-impl PublishedBook {
+impl PublishedCache {
     pub fn new(stale_after: Duration) -> Self {
         Self {
             stale_after,
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::relay::{
-        OwnCalls, PublishedBook, RelayBook, RelayCandidate, RelayChoice, RelayPacing,
+        OwnCalls, PublishedCache, RelayBook, RelayCandidate, RelayChoice, RelayPacing,
         RELAYS_PER_ZONE,
     },
     chalkcart_protocol::peer::{
@@ -345,7 +345,7 @@
 #[test]
 fn a_relay_tells_the_store_as_it_heard_it_and_only_while_it_hears_it() {
     let now = Instant::now();
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     assert_eq!(book.answer(None, now, now), Some(PublishedAnswer::Stale));
     book.take_in(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
     let all = current(snapshot(5, vec![listed("a"), listed("b")]));
@@ -380,7 +380,7 @@
 #[test]
 fn a_change_that_came_between_two_pages_is_told_when_it_is_heard_again() {
     let now = Instant::now();
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     let leaving = match listed("b") {
         Record::Backend(backend) => Record::Backend(Backend {
             leaving: true,
@@ -403,7 +403,7 @@
 #[test]
 fn a_relay_that_begins_tells_all_to_who_knows_an_earlier_revision() {
     let now = Instant::now();
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     book.take_in(snapshot(888, vec![listed("a")]), true, now, now);
     let lost = Some(PublishedAnswer::HistoryLost);
     assert_eq!(book.answer(Some(847), now, now), lost);
@@ -416,7 +416,7 @@
 #[test]
 fn an_earlier_state_of_the_store_is_no_sign_that_it_is_heard() {
     let now = Instant::now();
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     book.take_in(snapshot(9, vec![listed("a")]), true, now, now);
     let later = now + STALE_AFTER + Duration::from_millis(1);
     book.take_in(snapshot(7, vec![listed("b")]), true, later, later);
@@ -445,7 +445,7 @@
 #[test]
 fn what_a_relay_has_forgotten_must_be_asked_for_whole() {
     let now = Instant::now();
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     for at in 1..=2_001 {
         let gone = Record::BackendGone(format!("b{at}"));
         book.take_in(snapshot(at, vec![gone]), false, now, now);
@@ -467,11 +467,11 @@
         zone: "y".to_string(),
         is_evacuated,
     };
-    let told = |book: &PublishedBook, after| match book.answer(after, now, now) {
+    let told = |book: &PublishedCache, after| match book.answer(after, now, now) {
         Some(PublishedAnswer::Records { snapshot, .. }) => snapshot.records,
         other => panic!("{other:?}"),
     };
-    let mut book = PublishedBook::new(STALE_AFTER);
+    let mut book = PublishedCache::new(STALE_AFTER);
     book.take_in(snapshot(1, Vec::new()), true, now, now);
     book.take_in(snapshot(2, vec![zone(true)]), false, now, now);
     assert_eq!(told(&book, Some(1)), [zone(true)]);
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::relay::{PublishedBook, RelayPacing},
+    chalkcart_coordination::relay::{PublishedCache, RelayPacing},
     chalkcart_protocol::peer::{PublishedAnswer, PublishedAsk},
     chalkcart_state::published::Topic,
     chalkcart_transport::{
@@ -37,7 +37,7 @@
 
 /// one topic
 struct Heard {
-    book: Mutex<PublishedBook>,
+    book: Mutex<PublishedCache>,
     /// counts what was heard
     changed: watch::Sender<u64>,
 }
@@ -45,11 +45,11 @@
 impl Heard {
     fn new(stale_after: Duration) -> Self {
         Self {
-            book: Mutex::new(PublishedBook::new(stale_after)),
+            book: Mutex::new(PublishedCache::new(stale_after)),
             changed: watch::Sender::new(0),
         }
     }
-    fn book(&self) -> MutexGuard<'_, PublishedBook> {
+    fn book(&self) -> MutexGuard<'_, PublishedCache> {
         // no holder panics halfway through a change
         self.book.lock().unwrap_or_else(|e| e.into_inner())
     }
