--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -22,7 +22,7 @@
 /// What a relay knows: what its entries need of each engine, and what the
 /// sidecar of each engine has said.
 #[derive(Debug)]
-pub struct RelayBook {
+pub struct RelayState {
     name: BoxName,
     /// when each entry spoke
     entries: HashMap<BoxName, Instant>,
@@ -47,7 +47,7 @@
     heard: Instant,
 }
 
-impl RelayBook {
+impl RelayState {
     /// `name` is that of the relay's box
     pub fn new(name: BoxName) -> Self {
         Self {
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::relay::{
-        OwnCalls, PublishedCache, RelayBook, RelayCandidate, RelayChoice, RelayPacing,
+        OwnCalls, PublishedCache, RelayCandidate, RelayChoice, RelayPacing, RelayState,
         RELAYS_PER_ZONE,
     },
     chalkcart_protocol::peer::{
@@ -152,7 +152,7 @@
 #[test]
 fn a_relay_says_what_all_its_entries_need_as_one() {
     let now = Instant::now();
-    let mut book = RelayBook::new("relay".to_string());
+    let mut book = RelayState::new("relay".to_string());
     assert!(book.on_demands(whole("e1", "a"), now), "one more engine");
     assert!(!book.on_demands(whole("e2", "a"), now));
     let told = book.take_demands();
@@ -168,7 +168,7 @@
 #[test]
 fn what_a_silent_entry_needed_is_forgotten() {
     let now = Instant::now();
-    let mut book = RelayBook::new("relay".to_string());
+    let mut book = RelayState::new("relay".to_string());
     book.on_demands(whole("e1", "a"), now);
     book.on_demands(whole("e2", "a"), now + Duration::from_secs(2));
     assert!(
@@ -183,7 +183,7 @@
 #[test]
 fn readers_hear_that_an_engine_is_followed_no_more() {
     let now = Instant::now();
-    let mut book = RelayBook::new("relay".to_string());
+    let mut book = RelayState::new("relay".to_string());
     book.on_demands(whole("e1", "a"), now);
     book.on_view(addr(1), view(&[1]), now);
     let mut reader = Reader::default();
@@ -261,7 +261,7 @@
 /// a reader that came late, one that heard all, and the sidecars agree
 fn readers_agree(story: Vec<Heard>, late_at: usize) -> bool {
     let now = Instant::now();
-    let mut book = RelayBook::new("relay".to_string());
+    let mut book = RelayState::new("relay".to_string());
     for engine in 0..3 {
         let mut message = whole("e", "a");
         message.is_whole = false;
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -1,7 +1,7 @@
 use {
     super::Published,
     bytes::Bytes,
-    chalkcart_coordination::relay::RelayBook,
+    chalkcart_coordination::relay::RelayState,
     chalkcart_protocol::{
         encode_frame,
         peer::{EngineFigures, EngineView, RelayDemands, RelayUpdate},
@@ -48,7 +48,7 @@
 
 /// what the handlers, the links and the pump of a relay share
 pub struct RelayHub {
-    book: Mutex<RelayBook>,
+    book: Mutex<RelayState>,
     pub published: Arc<Published>,
     news: broadcast::Sender<Arc<News>>,
     /// there is work for the pump
@@ -63,7 +63,7 @@
     /// `name` is that of the box
     pub fn new(name: BoxName, published: Arc<Published>) -> Self {
         Self {
-            book: Mutex::new(RelayBook::new(name)),
+            book: Mutex::new(RelayState::new(name)),
             published,
             news: broadcast::Sender::new(MOST_BEHIND),
             changed: Notify::new(),
@@ -72,7 +72,7 @@
         }
     }
 
-    pub fn book(&self) -> MutexGuard<'_, RelayBook> {
+    pub fn book(&self) -> MutexGuard<'_, RelayState> {
         // no holder panics halfway through a change
         self.book.lock().unwrap_or_else(|e| e.into_inner())
     }
