--- a/coordination/src/relay/mod.rs
+++ b/coordination/src/relay/mod.rs
@@ -3,14 +3,14 @@
 
 mod own_calls;
 mod published_cache;
-mod relay_choice;
 mod relay_pacing;
+mod relay_selector;
 mod relay_state;
 
 pub use {
     own_calls::OwnCalls,
     published_cache::PublishedCache,
-    relay_choice::{RelayCandidate, RelayChoice, RELAYS_FROM_ENGINES, RELAYS_PER_ZONE},
     relay_pacing::RelayPacing,
+    relay_selector::{RelayCandidate, RelaySelector, RELAYS_FROM_ENGINES, RELAYS_PER_ZONE},
     relay_state::RelayState,
 };
--- a/coordination/src/relay/relay_choice.rs
+++ b/coordination/src/relay/relay_selector.rs
@@ -29,14 +29,14 @@
 /// Chooses the relay of one entry. Nobody is elected: entries of a zone rank
 /// the listed engines alike, and lists that differ for a moment do no harm.
 #[derive(Debug)]
-pub struct RelayChoice {
+pub struct RelaySelector {
     zone: ZoneName,
     zone_hash: u64,
     entry_hash: u64,
     failed: HashMap<SocketAddr, Instant>,
 }
 
-impl RelayChoice {
+impl RelaySelector {
     pub fn new(entry: &BoxName, zone: &ZoneName) -> Self {
         Self {
             zone: zone.clone(),
--- a/coordination/tests/relay_fleet.rs
+++ b/coordination/tests/relay_fleet.rs
@@ -3,7 +3,7 @@
 use {
     chalkcart_coordination::{
         membership::rendezvous_weight,
-        relay::{RelayCandidate, RelayChoice, RELAYS_PER_ZONE},
+        relay::{RelayCandidate, RelaySelector, RELAYS_PER_ZONE},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -29,7 +29,7 @@
 
 struct Entry {
     zone: usize,
-    choice: RelayChoice,
+    choice: RelaySelector,
     relay: SocketAddr,
     silent: Duration,
     longest_silence: Duration,
@@ -53,7 +53,7 @@
         let candidates: Vec<RelayCandidate> = (0..ENGINES).map(engine).collect();
         let entries = (0..ENTRIES).map(|n| {
             let zone = n % ZONES;
-            let mut choice = RelayChoice::new(&format!("e{n}"), &format!("z{zone}"));
+            let mut choice = RelaySelector::new(&format!("e{n}"), &format!("z{zone}"));
             let relay = choice.choose(&candidates, None, now).expect("a relay");
             Entry {
                 zone,
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::relay::{
-        OwnCalls, PublishedCache, RelayCandidate, RelayChoice, RelayPacing, RelayState,
+        OwnCalls, PublishedCache, RelayCandidate, RelayPacing, RelaySelector, RelayState,
         RELAYS_PER_ZONE,
     },
     chalkcart_protocol::peer::{
@@ -44,8 +44,8 @@
     (0..30).map(of).collect()
 }
 
-fn choices(zone: &str) -> Vec<RelayChoice> {
-    let of = |n| RelayChoice::new(&format!("entry-{n}"), &zone.to_string());
+fn choices(zone: &str) -> Vec<RelaySelector> {
+    let of = |n| RelaySelector::new(&format!("entry-{n}"), &zone.to_string());
     (0..20).map(of).collect()
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn an_entry_leaves_a_relay_that_failed_and_comes_back_after_its_rest() {
     let mut now = Instant::now();
-    let mut choice = RelayChoice::new(&"entry-1".to_string(), &"z1".to_string());
+    let mut choice = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
     let first = choice.choose(&candidates(), None, now).expect("a relay");
     choice.on_failed(first, now);
     let second = choice.choose(&candidates(), None, now).expect("a relay");
@@ -102,7 +102,7 @@
 #[test]
 fn an_entry_always_finds_a_relay_while_any_engine_is_listed() {
     let now = Instant::now();
-    let mut choice = RelayChoice::new(&"entry-1".to_string(), &"z1".to_string());
+    let mut choice = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
     let mut tried = HashSet::new();
     for step in 0..30 {
         let at = now + Duration::from_millis(step);
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -3,7 +3,7 @@
         control::ControlHandle, fleet_links::LinkSettings, relay_outbox::RelayOutbox,
         store_relays::StoreRelays,
     },
-    chalkcart_coordination::relay::{RelayCandidate, RelayChoice},
+    chalkcart_coordination::relay::{RelayCandidate, RelaySelector},
     chalkcart_protocol::peer::{
         path, AdapterDemand, EngineNews, EngineView, EngineWord, RelayAsk, RelayUpdate, ViewUpdate,
     },
@@ -57,7 +57,7 @@
             control,
             peers: PeerClient::new(),
             outbox: outbox.clone(),
-            choice: RelayChoice::new(&settings.entry, &settings.zone),
+            choice: RelaySelector::new(&settings.entry, &settings.zone),
             views: HashMap::new(),
         };
         let task = runtime.spawn(reader.run());
@@ -90,7 +90,7 @@
     control: ControlHandle,
     peers: PeerClient,
     outbox: Arc<RelayOutbox>,
-    choice: RelayChoice,
+    choice: RelaySelector,
     /// what is known of each engine
     views: HashMap<SocketAddr, EngineView>,
 }
