--- a/coordination/src/relay/own_calls.rs
+++ b/coordination/src/relay/direct_call_pacing.rs
@@ -4,13 +4,13 @@
 /// store goes on asking; while calls of the entry's own fail as well, the store is
 /// most likely away for all, and each further call of each entry is for nothing.
 #[derive(Debug)]
-pub struct OwnCalls {
+pub struct DirectCallPacing {
     /// rest after a call that failed
     pause: Duration,
     failed: Option<Instant>,
 }
 
-impl OwnCalls {
+impl DirectCallPacing {
     pub fn new(pause: Duration) -> Self {
         Self {
             pause,
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::relay::{
-        OwnCalls, PublishedCache, RelayCandidate, RelayPacing, RelaySelector, RelayState,
+        DirectCallPacing, PublishedCache, RelayCandidate, RelayPacing, RelaySelector, RelayState,
         RELAYS_PER_ZONE,
     },
     chalkcart_protocol::peer::{
@@ -430,7 +430,7 @@
 fn an_entry_whose_call_failed_leaves_the_store_to_its_relay_for_a_while() {
     let known_within = Duration::from_millis(2_000);
     let pacing = RelayPacing { known_within };
-    let mut calls = OwnCalls::new(pacing.own_call_pause());
+    let mut calls = DirectCallPacing::new(pacing.own_call_pause());
     let now = Instant::now();
     assert!(calls.may_call(now));
     calls.on_failed(now);
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -3,7 +3,7 @@
     async_trait::async_trait,
     chalkcart_coordination::{
         following::CallTimes,
-        relay::{OwnCalls, RelayPacing},
+        relay::{DirectCallPacing, RelayPacing},
     },
     chalkcart_protocol::{
         peer::{path, PublishedAnswer, PublishedAsk},
@@ -52,8 +52,8 @@
     peers: PeerClient,
     /// the last answer came from a relay
     hears_relay: AtomicBool,
-    configuration_calls: Mutex<OwnCalls>,
-    backends_calls: Mutex<OwnCalls>,
+    configuration_calls: Mutex<DirectCallPacing>,
+    backends_calls: Mutex<DirectCallPacing>,
 }
 
 impl ZoneSource {
@@ -62,7 +62,7 @@
         relays: Arc<StoreRelays>,
         pacing: RelayPacing,
     ) -> Self {
-        let own_calls = || Mutex::new(OwnCalls::new(pacing.own_call_pause()));
+        let own_calls = || Mutex::new(DirectCallPacing::new(pacing.own_call_pause()));
         Self {
             configuration_calls: own_calls(),
             backends_calls: own_calls(),
@@ -77,7 +77,7 @@
         self.hears_relay.load(Ordering::Relaxed)
     }
 
-    fn own_calls(&self, topic: Topic) -> MutexGuard<'_, OwnCalls> {
+    fn own_calls(&self, topic: Topic) -> MutexGuard<'_, DirectCallPacing> {
         let calls = match topic {
             Topic::Configuration => &self.configuration_calls,
             Topic::Backends => &self.backends_calls,
