--- a/coordination/src/sidecar/load_book.rs
+++ b/coordination/src/sidecar/load_table.rs
@@ -27,7 +27,7 @@
 
 /// an adapter that waiting requests lack
 #[derive(Debug)]
-pub(super) struct Wish {
+pub(super) struct PendingLoad {
     pub(super) since: Instant,
     pub(super) permit: PermitState,
     /// asks without an answer
@@ -36,7 +36,7 @@
     pub(super) failed: u32,
 }
 
-impl Wish {
+impl PendingLoad {
     pub(super) fn new(now: Instant) -> Self {
         Self {
             since: now,
@@ -49,10 +49,10 @@
 
 /// the loads that are wished for
 #[derive(Debug)]
-pub(super) struct LoadBook {
+pub(super) struct LoadTable {
     pub(super) giver: Option<SocketAddr>,
     /// wishes that are on their way, the most urgent ones
-    pub(super) wishes: HashMap<AdapterKey, Wish>,
+    pub(super) wishes: HashMap<AdapterKey, PendingLoad>,
     /// adapters that waiting requests lack, on their way or not
     pub(super) wished_count: usize,
     /// requests that waited for a load
@@ -65,7 +65,7 @@
     static_next: Option<Instant>,
 }
 
-impl LoadBook {
+impl LoadTable {
     pub(super) fn new() -> Self {
         Self {
             giver: None,
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        load_book::{PermitState, Wish},
+        load_table::{PendingLoad, PermitState},
         OrderFence, OrderResult, PermitMode, SidecarAction, SidecarControl,
     },
     crate::slots::{AdapterKey, Room},
@@ -149,7 +149,7 @@
     /// forget wishes that are gone or outranked; one whose load failed keeps
     /// its count of failures
     fn drop_other_wishes(&mut self, next: &[AdapterKey]) {
-        let is_kept = |key: &AdapterKey, wish: &Wish| {
+        let is_kept = |key: &AdapterKey, wish: &PendingLoad| {
             let is_waited_for = || self.queue.iter().any(|w| w.adapter.as_ref() == Some(key));
             let is_under_way = next.contains(key) || self.slots.phase(key).is_some();
             is_under_way || (wish.failed > 0 && is_waited_for())
@@ -171,7 +171,7 @@
             .loads
             .wishes
             .entry(key.clone())
-            .or_insert_with(|| Wish::new(now));
+            .or_insert_with(|| PendingLoad::new(now));
         let room = self.slots.room(now);
         if room == Room::Full {
             self.make_room(key, now);
--- a/coordination/src/sidecar/mod.rs
+++ b/coordination/src/sidecar/mod.rs
@@ -2,7 +2,7 @@
 
 mod actions;
 mod events;
-mod load_book;
+mod load_table;
 mod loading;
 mod queueing;
 mod running;
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -30,14 +30,14 @@
 
 /// the requests that run, and those that may still run unheard
 #[derive(Debug)]
-pub(super) struct RunBook {
+pub(super) struct RunTable {
     runs: HashMap<RequestId, Run>,
     /// ended for us, but the engine did not confirm it: their pins stay
     orphans: HashMap<RequestId, Run>,
     token_time: Option<f64>,
 }
 
-impl RunBook {
+impl RunTable {
     pub(super) fn new() -> Self {
         Self {
             runs: HashMap::new(),
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        load_book::LoadBook, running::RunBook, OrderFence, OrderResult, SidecarAction,
+        load_table::LoadTable, running::RunTable, OrderFence, OrderResult, SidecarAction,
         SidecarEvent, SidecarSettings, TargetKind,
     },
     crate::{
@@ -31,8 +31,8 @@
     /// orders of the waiting requests
     pub(super) orders: HashMap<RequestId, Box<WorkOrder>>,
     pub(super) slots: SlotTable,
-    pub(super) loads: LoadBook,
-    pub(super) runs: RunBook,
+    pub(super) loads: LoadTable,
+    pub(super) runs: RunTable,
     pub(super) fence: FenceKeeper,
     pub(super) max_running: u32,
     pub(super) draining: bool,
@@ -66,8 +66,8 @@
             orders: HashMap::new(),
             slots: SlotTable::new(0, policy.min_residence()),
             policy,
-            loads: LoadBook::new(),
-            runs: RunBook::new(),
+            loads: LoadTable::new(),
+            runs: RunTable::new(),
             fence: FenceKeeper::new(settings.epoch, settings.incarnation),
             max_running,
             draining: false,
