--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -5,7 +5,7 @@
         load_table::{PendingLoad, PermitState},
         OrderFence, OrderResult, PermitMode, SidecarAction, SidecarControl,
     },
-    crate::slots::{AdapterKey, Room},
+    crate::slots::{AdapterKey, SlotAvailability},
     chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose, Reason, Step},
     chalkcart_state::ids::{Incarnation, RequestId},
     std::time::{Duration, Instant},
@@ -173,7 +173,7 @@
             .entry(key.clone())
             .or_insert_with(|| PendingLoad::new(now));
         let room = self.slots.room(now);
-        if room == Room::Full {
+        if room == SlotAvailability::Full {
             self.make_room(key, now);
             return;
         }
@@ -258,14 +258,14 @@
         });
     }
 
-    fn use_permit(&mut self, key: &AdapterKey, room: Room) {
+    fn use_permit(&mut self, key: &AdapterKey, room: SlotAvailability) {
         let Some(order) = self.order_fence() else {
             return;
         };
         match room {
-            Room::Free => self.order_load(key, order),
-            Room::Evict(victim) => self.order_unload(&victim, order),
-            Room::Full => {}
+            SlotAvailability::Free => self.order_load(key, order),
+            SlotAvailability::Evict(victim) => self.order_unload(&victim, order),
+            SlotAvailability::Full => {}
         }
     }
 
--- a/coordination/src/slots/mod.rs
+++ b/coordination/src/slots/mod.rs
@@ -7,5 +7,5 @@
 pub use {
     adapter_key::AdapterKey,
     heat::Heat,
-    slot_table::{Room, SlotPhase, SlotTable},
+    slot_table::{SlotAvailability, SlotPhase, SlotTable},
 };
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -19,7 +19,7 @@
 
 /// whether an adapter could be loaded now
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Room {
+pub enum SlotAvailability {
     /// a slot is empty
     Free,
     /// this adapter may go to make room
@@ -131,13 +131,13 @@
     }
 
     /// whether another adapter fits
-    pub fn room(&self, now: Instant) -> Room {
+    pub fn room(&self, now: Instant) -> SlotAvailability {
         if self.slots.len() < self.capacity {
-            return Room::Free;
+            return SlotAvailability::Free;
         }
         match self.coldest(now, |slot| self.may_evict(slot, now)) {
-            Some(key) => Room::Evict(key),
-            None => Room::Full,
+            Some(key) => SlotAvailability::Evict(key),
+            None => SlotAvailability::Full,
         }
     }
 
