--- a/coordination/src/routing/least_expected_wait.rs
+++ b/coordination/src/routing/least_expected_wait.rs
@@ -2,7 +2,7 @@
     super::{Candidate, Need, RouteAsk, RoutingPolicy},
     crate::{
         membership::{rendezvous_weight, stable_hash},
-        slots::Heat,
+        slots::DecayingCount,
     },
     std::{
         collections::HashMap,
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct LeastExpectedWait {
     settings: WaitSettings,
-    heats: HashMap<String, Heat>,
+    heats: HashMap<String, DecayingCount>,
 }
 
 impl LeastExpectedWait {
@@ -55,7 +55,7 @@
             self.heats.retain(|_, h| h.value_at(now) >= 1.0);
         }
         let heat = self.heats.entry(adapter.to_string());
-        let heat = heat.or_insert_with(|| Heat::new(now));
+        let heat = heat.or_insert_with(|| DecayingCount::new(now));
         heat.add(1.0, now);
         let extra = heat.value_at(now) / self.settings.requests_per_home;
         self.settings.min_homes + extra as usize
--- a/coordination/src/slots/heat.rs
+++ b/coordination/src/slots/decaying_count.rs
@@ -5,12 +5,12 @@
 
 /// a count of recent uses that decays with time
 #[derive(Debug, Clone, Copy)]
-pub struct Heat {
+pub struct DecayingCount {
     value: f64,
     at: Instant,
 }
 
-impl Heat {
+impl DecayingCount {
     pub fn new(now: Instant) -> Self {
         Self {
             value: 0.0,
--- a/coordination/src/slots/mod.rs
+++ b/coordination/src/slots/mod.rs
@@ -1,11 +1,11 @@
 //! which adapters an engine's few slots hold
 
 mod adapter_key;
-mod heat;
+mod decaying_count;
 mod slot_table;
 
 pub use {
     adapter_key::AdapterKey,
-    heat::Heat,
+    decaying_count::DecayingCount,
     slot_table::{SlotAvailability, SlotPhase, SlotTable},
 };
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AdapterKey, Heat},
+    super::{AdapterKey, DecayingCount},
     std::{
         collections::HashMap,
         time::{Duration, Instant},
@@ -45,7 +45,7 @@
     capacity: usize,
     min_residence: Duration,
     slots: HashMap<AdapterKey, Slot>,
-    heats: HashMap<AdapterKey, Heat>,
+    heats: HashMap<AdapterKey, DecayingCount>,
 }
 
 impl SlotTable {
@@ -99,7 +99,8 @@
             self.forget_coldest(now);
         }
         let heat = self.heats.entry(key.clone());
-        heat.or_insert_with(|| Heat::new(now)).add(weight, now);
+        heat.or_insert_with(|| DecayingCount::new(now))
+            .add(weight, now);
     }
 
     pub fn heat(&self, key: &AdapterKey, now: Instant) -> f64 {
