--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -183,9 +183,11 @@
             let held = view.held.iter().map(|h| (h.adapter.clone(), h.version));
             let before = std::mem::replace(&mut self.held, held.collect());
             let left = before.keys().filter(|a| !self.held.contains_key(a));
-            left.for_each(|a| self.lately.put(adapter_hash(a)));
+            left.for_each(|a| self.lately.insert(adapter_hash(a)));
         }
-        view.lately.iter().for_each(|mark| self.lately.put(*mark));
+        view.lately
+            .iter()
+            .for_each(|mark| self.lately.insert(*mark));
         self.viewed_at = said_at(&view.figures, now);
         self.view = Some(view);
         self.sight.on_heard();
@@ -317,7 +319,7 @@
     }
     /// it can bring the adapter back from its own memory
     pub fn held_lately(&self, mark: AdapterHash) -> bool {
-        self.lately.has(mark)
+        self.lately.contains(mark)
     }
     pub fn home_hash(&self) -> u64 {
         self.home_hash
--- a/coordination/src/placement/demand_table.rs
+++ b/coordination/src/placement/demand_table.rs
@@ -23,7 +23,7 @@
 
 impl DemandTable {
     /// an entry says what it needs
-    pub fn put(&mut self, demand: AdapterDemand, now: Instant) {
+    pub fn insert(&mut self, demand: AdapterDemand, now: Instant) {
         self.demands.insert(demand.entry.clone(), (now, demand));
     }
     /// forget entries that were silent for too long
@@ -32,23 +32,23 @@
             .retain(|_, (at, _)| now.saturating_duration_since(*at) < silence);
     }
     /// forget what an entry needs
-    pub fn forget(&mut self, entry: &BoxName) {
+    pub fn remove(&mut self, entry: &BoxName) {
         self.demands.remove(entry);
     }
     pub fn is_empty(&self) -> bool {
         self.demands.is_empty()
     }
     /// entries that need something, also those for which a relay speaks
-    pub fn entries(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         self.each().map(|d| d.entries).sum()
     }
     /// all that is needed as one message, said by a relay; none if nobody needs
     /// anything
-    pub fn merged(&self, relay: &BoxName) -> Option<AdapterDemand> {
+    pub fn merged_demand(&self, relay: &BoxName) -> Option<AdapterDemand> {
         let newest = self.newest()?;
         Some(AdapterDemand {
             entry: relay.clone(),
-            entries: self.entries(),
+            entries: self.entry_count(),
             fence_seen: self.each().map(|d| d.fence_seen).max().unwrap_or(0),
             wanted: self.wanted(),
             used: self.used(),
--- a/coordination/src/placement/engine_report.rs
+++ b/coordination/src/placement/engine_report.rs
@@ -14,9 +14,9 @@
     pub running: u32,
     pub queued: u32,
     /// of both, those whose prompts were not read to the end
-    pub reading: u32,
+    pub prefilling: u32,
     pub kv_used: u64,
     pub kv_total: u64,
     /// Unix ms of its start; 0 where the platform does not tell it
-    pub born: u64,
+    pub start_time_ms: u64,
 }
--- a/coordination/src/placement/load_time_estimator.rs
+++ b/coordination/src/placement/load_time_estimator.rs
@@ -55,12 +55,12 @@
 
 impl LoadTimeEstimator {
     /// an order was taken
-    pub fn on_ordered(&mut self, adapter: &AdapterRef, returns: bool, now: Instant) {
+    pub fn on_load_ordered(&mut self, adapter: &AdapterRef, returns: bool, now: Instant) {
         let load = OrderedLoad { at: now, returns };
         self.ordered.insert(adapter.clone(), load);
     }
     /// what was on its way will not come
-    pub fn forget_ordered(&mut self) {
+    pub fn clear_ordered(&mut self) {
         self.ordered.clear();
     }
     /// learn from the loads that have ended
@@ -90,13 +90,13 @@
         self.load
     }
     /// mean time of a load of what was held lately
-    pub fn return_time(&self) -> Duration {
+    pub fn reload_time(&self) -> Duration {
         self.back
     }
     /// Loads that should be under way at once, of `most`. The weight store serves a
     /// number of loads at full speed, and more of them more slowly; so loads that
     /// take longer than the fastest lately say that the fleet has too many.
-    pub fn loads_at_once(&self, most: usize) -> usize {
+    pub fn max_concurrent_loads(&self, most: usize) -> usize {
         let slowness = self.load.as_secs_f64() / self.fastest.as_secs_f64();
         let fewer = (slowness / SLOW_LOADS) as usize;
         most.saturating_sub(fewer).max(1)
--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -15,7 +15,7 @@
         }
         let loading = self.report.loading.len();
         // nothing more is sent to an engine that leaves
-        if self.says_leaving || loading >= self.loads_at_once() {
+        if self.says_leaving || loading >= self.max_concurrent_loads() {
             return None;
         }
         if let Some(order) = self.replacement(now) {
@@ -35,7 +35,7 @@
             return None;
         }
         let ordered = self.model_ordered;
-        let pause = self.settings.model_pause;
+        let pause = self.settings.model_load_interval;
         if ordered.is_some_and(|at| now.saturating_duration_since(at) < pause) {
             return None;
         }
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -40,12 +40,12 @@
     },
     /// the engine said which incarnation it is, or nothing
     Identified(Option<BackendName>),
-    Answered {
+    OrderAnswered {
         order: EngineOrder,
         answer: OrderAnswer,
     },
     /// the engine said this of itself, whatever it was asked
-    Said(OwnWord),
+    Signals(OwnWord),
 }
 
 /// what the process does next
@@ -58,7 +58,7 @@
     /// read the engine after this time at the latest
     Read { after: Duration },
     /// ask nothing of the engine for this time
-    Rest { left: Duration },
+    BackOff { remaining: Duration },
 }
 
 /// an adapter that the engine holds
@@ -140,18 +140,18 @@
             PlacementEvent::Report(report) => self.on_report(report, now),
             PlacementEvent::ReportFailed { is_down } => self.on_report_failed(is_down),
             PlacementEvent::Identified(backend) => self.on_identified(backend, now),
-            PlacementEvent::Answered { order, answer } => self.on_answer(order, answer, now),
-            PlacementEvent::Said(word) => self.on_own_word(word, now),
+            PlacementEvent::OrderAnswered { order, answer } => self.on_answer(order, answer, now),
+            PlacementEvent::Signals(word) => self.on_own_word(word, now),
         }
     }
 
     /// what to do now
-    pub fn next_step(&mut self, now: Instant) -> PlacementAction {
+    pub fn next_action(&mut self, now: Instant) -> PlacementAction {
         self.doubt_after_pause(now);
-        self.demands.expire(self.settings.entry_silence, now);
+        self.demands.expire(self.settings.entry_timeout, now);
         self.resting.retain(|_, until| *until > now);
-        if let Some(left) = self.rest_left(now) {
-            return PlacementAction::Rest { left };
+        if let Some(remaining) = self.backoff_remaining(now) {
+            return PlacementAction::BackOff { remaining };
         }
         if let Some(health_path) = self.identity_due(now) {
             self.asked_identity = Some(now);
@@ -179,14 +179,14 @@
         let figures = EngineFigures {
             fence: self.fence.value(),
             next_load_ms: self.next_load(self.speed.load_time(), now).as_millis() as u32,
-            next_return_ms: self.next_load(self.speed.return_time(), now).as_millis() as u32,
+            next_return_ms: self.next_load(self.speed.reload_time(), now).as_millis() as u32,
             spare_slots: self.spare_slots(now),
             running: self.report.running,
             queued: self.report.queued,
-            reading: self.report.reading,
+            reading: self.report.prefilling,
             kv_used: self.report.kv_used,
             kv_total: self.report.kv_total,
-            entries: self.demands.entries(),
+            entries: self.demands.entry_count(),
             is_down: Some(self.ended.as_ref() == Some(&self.backend)),
             is_leaving: self.says_leaving,
             limit_milli_per_s: self.limit.named(now).map(RequestRate::milli),
@@ -198,7 +198,7 @@
             models: self.report.models.clone(),
             loading: self.report.loading.clone(),
             held: Vec::new(),
-            lately: self.lately.marks().collect(),
+            lately: self.lately.hashes().collect(),
             figures,
         };
         let held = self.report.held.iter();
@@ -225,7 +225,7 @@
         }
     }
     /// an entry says what it heard of the engine's limit, and asks for permits
-    pub fn deal(&mut self, report: &IntakeReport, now: Instant) -> IntakeAnswer {
+    pub fn on_admission_report(&mut self, report: &IntakeReport, now: Instant) -> IntakeAnswer {
         self.limit.on_report(&self.backend, report, now)
     }
     fn cold_left_ms(&self, now: Instant) -> u16 {
@@ -233,7 +233,7 @@
         let left = left.map_or(0, |left| left.as_millis());
         u16::try_from(left).unwrap_or(u16::MAX)
     }
-    fn rest_left(&self, now: Instant) -> Option<Duration> {
+    fn backoff_remaining(&self, now: Instant) -> Option<Duration> {
         let left = self.rests_until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
@@ -252,7 +252,7 @@
                 }
             }
         }
-        self.demands.put(demand, now);
+        self.demands.insert(demand, now);
         let newest = self.demands.newest().map(|d| d.backend.clone());
         if newest.as_ref().is_some_and(|b| b.name != self.backend.name) {
             // the life that asked for it may be over
@@ -266,7 +266,7 @@
     /// the path at which to ask, if the engine's identity is in doubt
     fn identity_due(&self, now: Instant) -> Option<String> {
         let asked = self.asked_identity;
-        let pause = self.settings.identity_pause;
+        let pause = self.settings.identify_interval;
         let is_too_soon = asked.is_some_and(|at| now.saturating_duration_since(at) < pause);
         if self.is_identified || !self.is_read || is_too_soon {
             return None;
@@ -326,7 +326,7 @@
         self.limit = EngineLimit::default();
         self.cold_until = None;
         self.lately.clear();
-        self.speed.forget_ordered();
+        self.speed.clear_ordered();
     }
 
     /// The engine has started again, under the name that it had or another one. Reports
@@ -340,8 +340,8 @@
     }
 
     fn on_report(&mut self, report: EngineReport, now: Instant) {
-        if report.born != self.backend.born {
-            self.on_born(report.born);
+        if report.start_time_ms != self.backend.born {
+            self.on_born(report.start_time_ms);
         }
         let mut places = HashMap::with_capacity(report.held.len());
         for held in &report.held {
@@ -370,10 +370,10 @@
     }
 
     /// loads that are under way at once
-    pub(super) fn loads_at_once(&self) -> usize {
-        let most = self.settings.max_loading;
+    pub(super) fn max_concurrent_loads(&self) -> usize {
+        let most = self.settings.max_concurrent_loads;
         match self.settings.mechanisms.loads_by_speed {
-            true => self.speed.loads_at_once(most),
+            true => self.speed.max_concurrent_loads(most),
             false => most,
         }
     }
@@ -383,7 +383,7 @@
         let is_held = |adapter: &AdapterRef| report.held.iter().any(|h| h.adapter == *adapter);
         let left = self.places.keys().filter(|adapter| !is_held(adapter));
         for adapter in left {
-            self.lately.put(adapter_hash(adapter));
+            self.lately.insert(adapter_hash(adapter));
         }
     }
 
@@ -395,7 +395,7 @@
             !self.places.contains_key(&w.adapter) && !self.report.loading.contains(&w.adapter)
         });
         let before = missing.count() + self.report.loading.len();
-        let rounds = before / self.settings.max_loading.max(1);
+        let rounds = before / self.settings.max_concurrent_loads.max(1);
         self.model_wait(now) + self.speed.load_time() * rounds as u32 + own
     }
 
@@ -423,7 +423,7 @@
                 self.asked_identity = None;
             }
             OrderAnswer::Busy | OrderAnswer::Refused | OrderAnswer::Unknown => {
-                let until = now + self.settings.order_pause;
+                let until = now + self.settings.order_retry_delay;
                 self.resting.insert(order.kind, until);
             }
         }
@@ -435,12 +435,12 @@
                 if let Some(place) = self.places.get_mut(adapter) {
                     place.replacing = true;
                 }
-                let returns = self.lately.has(adapter_hash(adapter));
-                self.speed.on_ordered(adapter, returns, now);
+                let returns = self.lately.contains(adapter_hash(adapter));
+                self.speed.on_load_ordered(adapter, returns, now);
             }
             OrderKind::UnloadAdapter(adapter) => {
                 self.places.remove(adapter);
-                self.lately.put(adapter_hash(adapter));
+                self.lately.insert(adapter_hash(adapter));
                 self.report.held.retain(|h| h.adapter != *adapter);
             }
             OrderKind::LoadModel(_) => {}
--- a/coordination/src/placement/recent_adapters.rs
+++ b/coordination/src/placement/recent_adapters.rs
@@ -25,7 +25,7 @@
 }
 
 impl RecentAdapters {
-    pub fn put(&mut self, mark: AdapterHash) {
+    pub fn insert(&mut self, mark: AdapterHash) {
         if !self.marks.insert(mark) {
             return;
         }
@@ -36,7 +36,7 @@
             }
         }
     }
-    pub fn has(&self, mark: AdapterHash) -> bool {
+    pub fn contains(&self, mark: AdapterHash) -> bool {
         self.marks.contains(&mark)
     }
     pub fn clear(&mut self) {
@@ -44,7 +44,7 @@
         self.order.clear();
     }
     /// from the oldest on
-    pub fn marks(&self) -> impl Iterator<Item = AdapterHash> + '_ {
+    pub fn hashes(&self) -> impl Iterator<Item = AdapterHash> + '_ {
         self.order.iter().copied()
     }
 }
--- a/coordination/src/relay/relay_state.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -72,8 +72,8 @@
             let engine = self.engines.entry(told.engine);
             let engine = engine.or_insert_with(|| RelayedEngine::new(now));
             match told.demand {
-                Some(demand) => engine.demands.put(demand, now),
-                None => engine.demands.forget(&entry),
+                Some(demand) => engine.demands.insert(demand, now),
+                None => engine.demands.remove(&entry),
             }
             self.with_demand.insert(told.engine);
         }
@@ -176,7 +176,7 @@
         let due = std::mem::take(&mut self.with_demand);
         let demands = due.into_iter().filter_map(|addr| {
             let engine = self.engines.get(&addr)?;
-            Some((addr, engine.demands.merged(&self.name)?))
+            Some((addr, engine.demands.merged_demand(&self.name)?))
         });
         demands.collect()
     }
@@ -191,7 +191,7 @@
 
     fn forget_entry(&mut self, entry: &BoxName) {
         for (addr, engine) in &mut self.engines {
-            engine.demands.forget(entry);
+            engine.demands.remove(entry);
             self.with_demand.insert(*addr);
         }
     }
@@ -236,12 +236,12 @@
                 let is_held = |a: &AdapterRef| view.held.iter().any(|h| h.adapter == *a);
                 let left = before.held.iter().map(|h| &h.adapter);
                 let left = left.filter(|adapter| !is_held(adapter));
-                left.for_each(|adapter| self.lately.put(adapter_hash(adapter)));
+                left.for_each(|adapter| self.lately.insert(adapter_hash(adapter)));
             }
             _ => self.lately.clear(),
         }
         let marks = std::mem::take(&mut view.lately);
-        marks.into_iter().for_each(|mark| self.lately.put(mark));
+        marks.into_iter().for_each(|mark| self.lately.insert(mark));
         self.view = Some(view);
         self.heard = now;
     }
@@ -269,7 +269,7 @@
 
     fn with_lately(&self, view: &EngineView) -> EngineView {
         EngineView {
-            lately: self.lately.marks().collect(),
+            lately: self.lately.hashes().collect(),
             ..view.clone()
         }
     }
--- a/coordination/tests/keeper_fixture/mod.rs
+++ b/coordination/tests/keeper_fixture/mod.rs
@@ -76,7 +76,7 @@
         self.handle(PlacementEvent::Identified(Some(name.to_string())));
     }
     pub fn step(&mut self) -> PlacementAction {
-        self.control.next_step(self.now)
+        self.control.next_action(self.now)
     }
     pub fn order(&mut self) -> Option<EngineOrder> {
         match self.step() {
@@ -85,7 +85,7 @@
         }
     }
     pub fn answer(&mut self, order: EngineOrder, answer: OrderAnswer) {
-        self.handle(PlacementEvent::Answered { order, answer });
+        self.handle(PlacementEvent::OrderAnswered { order, answer });
     }
     pub fn view(&self) -> EngineView {
         self.control.view(self.now)
@@ -99,7 +99,7 @@
         version: *version,
     });
     EngineReport {
-        born,
+        start_time_ms: born,
         models: models.iter().map(|m| m.to_string()).collect(),
         held: held.collect(),
         ..EngineReport::default()
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -264,15 +264,15 @@
     let order = keeper.order().expect("a load");
     keeper
         .control
-        .handle(PlacementEvent::Said(RESTS), keeper.now);
+        .handle(PlacementEvent::Signals(RESTS), keeper.now);
     keeper.answer(order, OrderAnswer::Refused);
     for _ in 0..REST_S * 10 {
         let step = keeper.step();
-        assert!(matches!(step, PlacementAction::Rest { .. }), "{step:?}");
+        assert!(matches!(step, PlacementAction::BackOff { .. }), "{step:?}");
         keeper.demand(&["a"], &[]);
         keeper.now += ms(100);
     }
-    assert!(!matches!(keeper.step(), PlacementAction::Rest { .. }));
+    assert!(!matches!(keeper.step(), PlacementAction::BackOff { .. }));
 }
 
 /// an entry names a later life than the one that asked for rest
@@ -281,10 +281,10 @@
     let mut keeper = keeper();
     keeper
         .control
-        .handle(PlacementEvent::Said(RESTS), keeper.now);
-    assert!(matches!(keeper.step(), PlacementAction::Rest { .. }));
+        .handle(PlacementEvent::Signals(RESTS), keeper.now);
+    assert!(matches!(keeper.step(), PlacementAction::BackOff { .. }));
     keeper.demand_of(&format!("{ENGINE}-again"), &["a"], &[]);
-    assert!(!matches!(keeper.step(), PlacementAction::Rest { .. }));
+    assert!(!matches!(keeper.step(), PlacementAction::BackOff { .. }));
 }
 
 /// other entries have had no answer of it, and the store is silent
@@ -293,7 +293,7 @@
     let mut keeper = keeper();
     keeper
         .control
-        .handle(PlacementEvent::Said(LEAVES), keeper.now);
+        .handle(PlacementEvent::Signals(LEAVES), keeper.now);
     assert!(keeper.order().is_none(), "a load in vain");
     assert!(keeper.view().figures.is_leaving);
     let mut fixture = fixture_with_views();
@@ -325,7 +325,7 @@
         .with_cold(Some(Duration::from_secs(2)));
     keeper
         .control
-        .handle(PlacementEvent::Said(word), keeper.now);
+        .handle(PlacementEvent::Signals(word), keeper.now);
     let figures = keeper.view().figures;
     assert_eq!(figures.limit_milli_per_s, Some(2_000));
     assert_eq!(figures.cold_left_ms, 2_000);
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -93,12 +93,12 @@
     /// the next order, after its identity was told
     fn next_order(&mut self) -> Option<EngineOrder> {
         loop {
-            match self.control.next_step(self.now) {
+            match self.control.next_action(self.now) {
                 PlacementAction::Identify { .. } => {
                     self.tell(PlacementEvent::Identified(Some("b".to_string())))
                 }
                 PlacementAction::Order(order) => return Some(order),
-                PlacementAction::Read { .. } | PlacementAction::Rest { .. } => return None,
+                PlacementAction::Read { .. } | PlacementAction::BackOff { .. } => return None,
             }
         }
     }
@@ -111,7 +111,7 @@
         }
         self.orders.push(order.clone());
         let answer = OrderAnswer::Taken;
-        self.tell(PlacementEvent::Answered { order, answer });
+        self.tell(PlacementEvent::OrderAnswered { order, answer });
         self.read();
     }
     fn finish_loads(&mut self, version: u64) {
@@ -142,13 +142,13 @@
     let now = Instant::now();
     control.handle(PlacementEvent::Demand(demand(&[("a", 0)])), now);
     assert!(matches!(
-        control.next_step(now),
+        control.next_action(now),
         PlacementAction::Read { .. }
     ));
     let report = EngineReport::default();
     control.handle(PlacementEvent::Report(report), now);
     assert!(matches!(
-        control.next_step(now),
+        control.next_action(now),
         PlacementAction::Identify { .. }
     ));
 }
@@ -278,7 +278,7 @@
         let order = fixture.next_order().expect("an order");
         assert!(fences.insert(order.fence), "{} twice", order.fence);
         let answer = OrderAnswer::Fenced;
-        fixture.tell(PlacementEvent::Answered { order, answer });
+        fixture.tell(PlacementEvent::OrderAnswered { order, answer });
         fixture.read();
     }
     assert_eq!(fences.iter().min(), Some(&1_000));
@@ -317,7 +317,7 @@
         fixture.demand(demand(&[("a", 0)]));
         let order = fixture.next_order().expect("an order");
         let name = format!("{answer:?}");
-        fixture.tell(PlacementEvent::Answered { order, answer });
+        fixture.tell(PlacementEvent::OrderAnswered { order, answer });
         assert_eq!(fixture.next_order(), None, "{name}: read first");
         fixture.read();
         assert_eq!(fixture.next_order().is_some(), at_once, "{name}");
@@ -332,9 +332,9 @@
     fixture.demand(demand(&[("a", 0)]));
     let order = fixture.next_order().expect("an order");
     let answer = OrderAnswer::OtherBackend(None);
-    fixture.tell(PlacementEvent::Answered { order, answer });
+    fixture.tell(PlacementEvent::OrderAnswered { order, answer });
     fixture.read();
-    let step = fixture.control.next_step(fixture.now);
+    let step = fixture.control.next_action(fixture.now);
     assert!(matches!(step, PlacementAction::Identify { .. }), "{step:?}");
     fixture.tell(PlacementEvent::Identified(Some("b2".to_string())));
     fixture.demand(demand(&[("a", 0)]));
@@ -351,7 +351,7 @@
     let order = fixture.next_order().expect("an order");
     assert_eq!(order.kind, OrderKind::LoadModel("m".to_string()));
     let answer = OrderAnswer::Taken;
-    fixture.tell(PlacementEvent::Answered { order, answer });
+    fixture.tell(PlacementEvent::OrderAnswered { order, answer });
     fixture.report.busy = true;
     fixture.read();
     assert_eq!(fixture.next_order(), None);
--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -77,7 +77,7 @@
 async fn intake_report(mut state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
     let reply = match read_message::<IntakeReport>(&mut state).await {
-        Ok(report) => message_reply(&shared.control().deal(&report, clock::now())),
+        Ok(report) => message_reply(&shared.control().on_admission_report(&report, clock::now())),
         Err(e) => pages::bad_message(&e),
     };
     Ok((state, reply))
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -51,7 +51,7 @@
     pub async fn run(mut self) {
         loop {
             let now = clock::now();
-            let step = self.shared.control().next_step(now);
+            let step = self.shared.control().next_action(now);
             match step {
                 PlacementAction::Identify { health_path } => self.identify(&health_path).await,
                 PlacementAction::Order(order) => {
@@ -59,7 +59,7 @@
                     self.read().await;
                 }
                 PlacementAction::Read { after } => self.wait_or_read(after, now).await,
-                PlacementAction::Rest { left } => self.rest(left).await,
+                PlacementAction::BackOff { remaining } => self.rest(remaining).await,
             }
         }
     }
@@ -106,7 +106,7 @@
             self.said = lasting;
         }
         if is_news || !word.is_empty() {
-            self.shared.handle(PlacementEvent::Said(word));
+            self.shared.handle(PlacementEvent::Signals(word));
         }
         value
     }
@@ -165,7 +165,7 @@
             "engine: ordered"
         );
         self.shared
-            .handle(PlacementEvent::Answered { order, answer });
+            .handle(PlacementEvent::OrderAnswered { order, answer });
     }
 
     fn publish(&mut self) {
