--- a/coordination/src/relay/direct_call_pacing.rs
+++ b/coordination/src/relay/direct_call_pacing.rs
@@ -21,10 +21,10 @@
         let failed = self.failed;
         failed.is_none_or(|at| now.saturating_duration_since(at) >= self.pause)
     }
-    pub fn on_failed(&mut self, now: Instant) {
+    pub fn on_failure(&mut self, now: Instant) {
         self.failed = Some(now);
     }
-    pub fn on_heard(&mut self) {
+    pub fn on_success(&mut self) {
         self.failed = None;
     }
 }
--- a/coordination/src/relay/mod.rs
+++ b/coordination/src/relay/mod.rs
@@ -11,6 +11,6 @@
     direct_call_pacing::DirectCallPacing,
     published_cache::PublishedCache,
     relay_pacing::RelayPacing,
-    relay_selector::{RelayCandidate, RelaySelector, RELAYS_FROM_ENGINES, RELAYS_PER_ZONE},
+    relay_selector::{RelayCandidate, RelaySelector, MIN_ENGINES_FOR_RELAYS, RELAYS_PER_ZONE},
     relay_state::RelayState,
 };
--- a/coordination/src/relay/published_cache.rs
+++ b/coordination/src/relay/published_cache.rs
@@ -54,7 +54,7 @@
 
     /// take in all records of the topic, or those that have changed; the store knew
     /// nothing newer at `current_at`
-    pub fn take_in(&mut self, heard: Snapshot, is_whole: bool, current_at: Instant, now: Instant) {
+    pub fn apply(&mut self, heard: Snapshot, is_whole: bool, current_at: Instant, now: Instant) {
         if heard.at < self.at {
             // an answer of an earlier state says nothing
             return;
@@ -82,13 +82,13 @@
     }
 
     /// whether the store has answered at all
-    pub fn has_heard(&self) -> bool {
+    pub fn has_received(&self) -> bool {
         self.heard.is_some()
     }
 
     /// the answer to an entry that knows the topic up to `after` and asked at
     /// `asked`; none if there is nothing newer
-    pub fn answer(
+    pub fn response(
         &self,
         after: Option<u64>,
         asked: Instant,
@@ -112,7 +112,7 @@
     }
 
     /// the answer to an entry that has waited long enough for something newer
-    pub fn nothing_newer(&self, after: Option<u64>, asked: Instant) -> PublishedAnswer {
+    pub fn empty_response(&self, after: Option<u64>, asked: Instant) -> PublishedAnswer {
         let at = self.at.max(after.unwrap_or(0));
         let records = Vec::new();
         self.answer_with(Snapshot { records, at }, asked)
--- a/coordination/src/relay/relay_pacing.rs
+++ b/coordination/src/relay/relay_pacing.rs
@@ -16,24 +16,24 @@
 pub struct RelayPacing {
     /// time within which a change of the list or of the configuration must be
     /// known to all
-    pub known_within: Duration,
+    pub propagation_limit: Duration,
 }
 
 impl RelayPacing {
     pub fn watch_wait(&self) -> Duration {
-        self.known_within.mul_f64(WAIT_PART)
+        self.propagation_limit.mul_f64(WAIT_PART)
     }
     /// how a relay follows the store
-    pub fn follow(&self) -> FollowPacing {
+    pub fn watch_pacing(&self) -> FollowPacing {
         FollowPacing::holding(self.watch_wait())
     }
     pub fn pause_after_change(&self) -> Duration {
-        self.known_within.mul_f64(PAUSE_PART)
+        self.propagation_limit.mul_f64(PAUSE_PART)
     }
-    pub fn own_call_pause(&self) -> Duration {
-        self.known_within.mul_f64(OWN_CALL_PART)
+    pub fn direct_call_pause(&self) -> Duration {
+        self.propagation_limit.mul_f64(OWN_CALL_PART)
     }
     pub fn stale_after(&self) -> Duration {
-        self.known_within.mul_f64(STALE_PART)
+        self.propagation_limit.mul_f64(STALE_PART)
     }
 }
--- a/coordination/src/relay/relay_selector.rs
+++ b/coordination/src/relay/relay_selector.rs
@@ -11,7 +11,7 @@
 
 /// engines from which on an entry hears them by a relay. With fewer of them the
 /// links of its own cost less than the detour
-pub const RELAYS_FROM_ENGINES: usize = 24;
+pub const MIN_ENGINES_FOR_RELAYS: usize = 24;
 /// sidecars of an availability zone that its entries use at a time, so that one
 /// may die, freeze or be cut off
 pub const RELAYS_PER_ZONE: usize = 2;
@@ -47,13 +47,13 @@
     }
 
     /// a relay was silent, or can't be reached
-    pub fn on_failed(&mut self, relay: SocketAddr, now: Instant) {
+    pub fn on_failure(&mut self, relay: SocketAddr, now: Instant) {
         self.failed.insert(relay, now);
     }
 
     /// the engine whose sidecar is to be used; the present one as long as it is
     /// among the first of the zone
-    pub fn choose(
+    pub fn select(
         &mut self,
         candidates: &[RelayCandidate],
         present: Option<SocketAddr>,
@@ -75,7 +75,7 @@
 
     /// The engine whose sidecar reads the store for all entries of the zone, the
     /// first that is sound: one reader a zone, while views come by several relays.
-    pub fn store_reader(
+    pub fn select_store_reader(
         &mut self,
         candidates: &[RelayCandidate],
         now: Instant,
--- a/coordination/src/relay/relay_state.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -108,7 +108,7 @@
 
     /// nothing but the figures of an engine has changed; says whether entries
     /// should hear it at once
-    pub fn on_figures(
+    pub fn on_stats(
         &mut self,
         engine: SocketAddr,
         backend: &BackendId,
@@ -131,7 +131,7 @@
     }
 
     /// the sidecar of an engine is silent
-    pub fn on_silent(&mut self, engine: SocketAddr, now: Instant) {
+    pub fn on_unresponsive(&mut self, engine: SocketAddr, now: Instant) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.view = None;
             known.heard = now;
@@ -140,7 +140,7 @@
     }
 
     /// what entries have not heard, for all of them
-    pub fn take_news(&mut self, now: Instant) -> RelayUpdate {
+    pub fn take_update(&mut self, now: Instant) -> RelayUpdate {
         let forgotten = std::mem::take(&mut self.forgotten);
         let mut news: Vec<EngineNews> = forgotten.into_iter().map(silent).collect();
         for addr in std::mem::take(&mut self.with_news) {
@@ -157,7 +157,7 @@
     }
 
     /// what an entry that comes in now must hear, to follow the news from here on
-    pub fn whole(&self, now: Instant) -> RelayUpdate {
+    pub fn full_update(&self, now: Instant) -> RelayUpdate {
         let told = self.engines.iter().filter_map(|(addr, engine)| {
             let view = engine.told.as_ref()?;
             Some(EngineNews {
@@ -172,7 +172,7 @@
     }
 
     /// what sidecars must hear now
-    pub fn take_demands(&mut self) -> Vec<(SocketAddr, AdapterDemand)> {
+    pub fn take_due_demands(&mut self) -> Vec<(SocketAddr, AdapterDemand)> {
         let due = std::mem::take(&mut self.with_demand);
         let demands = due.into_iter().filter_map(|addr| {
             let engine = self.engines.get(&addr)?;
--- a/coordination/tests/relay_fleet.rs
+++ b/coordination/tests/relay_fleet.rs
@@ -54,7 +54,7 @@
         let entries = (0..ENTRIES).map(|n| {
             let zone = n % ZONES;
             let mut choice = RelaySelector::new(&format!("e{n}"), &format!("z{zone}"));
-            let relay = choice.choose(&candidates, None, now).expect("a relay");
+            let relay = choice.select(&candidates, None, now).expect("a relay");
             Entry {
                 zone,
                 choice,
@@ -91,7 +91,7 @@
                 entry.silent = Duration::ZERO;
                 if step.is_multiple_of(REVIEW_STEPS) {
                     let present = Some(entry.relay);
-                    let chosen = entry.choice.choose(&self.candidates, present, self.now);
+                    let chosen = entry.choice.select(&self.candidates, present, self.now);
                     entry.relay = chosen.expect("a relay");
                 }
                 continue;
@@ -100,8 +100,8 @@
             entry.longest_silence = entry.longest_silence.max(entry.silent);
             let here = entry.silent.as_millis() % SILENCE.as_millis();
             if here == 0 {
-                entry.choice.on_failed(entry.relay, self.now);
-                let chosen = entry.choice.choose(&self.candidates, None, self.now);
+                entry.choice.on_failure(entry.relay, self.now);
+                let chosen = entry.choice.select(&self.candidates, None, self.now);
                 entry.relay = chosen.expect("a relay");
             }
         }
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -55,7 +55,7 @@
     for zone in ["z0", "z1", "z2"] {
         let chosen = choices(zone)
             .iter_mut()
-            .map(|choice| choice.choose(&candidates(), None, now).expect("a relay"))
+            .map(|choice| choice.select(&candidates(), None, now).expect("a relay"))
             .collect::<HashSet<SocketAddr>>();
         assert_eq!(chosen.len(), RELAYS_PER_ZONE);
         let own = candidates().into_iter().filter(|c| c.zone == zone);
@@ -68,21 +68,23 @@
 fn an_entry_leaves_a_relay_that_failed_and_comes_back_after_its_rest() {
     let mut now = Instant::now();
     let mut choice = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
-    let first = choice.choose(&candidates(), None, now).expect("a relay");
-    choice.on_failed(first, now);
-    let second = choice.choose(&candidates(), None, now).expect("a relay");
+    let first = choice.select(&candidates(), None, now).expect("a relay");
+    choice.on_failure(first, now);
+    let second = choice.select(&candidates(), None, now).expect("a relay");
     assert_ne!(first, second);
     let present = Some(second);
-    assert_eq!(choice.choose(&candidates(), present, now), present, "kept");
+    assert_eq!(choice.select(&candidates(), present, now), present, "kept");
     now += Duration::from_secs(6);
-    assert_eq!(choice.choose(&candidates(), None, now), Some(first));
+    assert_eq!(choice.select(&candidates(), None, now), Some(first));
 }
 
 #[test]
 fn the_entries_of_a_zone_have_one_reader_of_the_store_and_leave_one_that_failed() {
     let (now, candidates) = (Instant::now(), candidates());
     let mut choices = choices("z1");
-    let readers = choices.iter_mut().map(|c| c.store_reader(&candidates, now));
+    let readers = choices
+        .iter_mut()
+        .map(|c| c.select_store_reader(&candidates, now));
     let readers: HashSet<SocketAddr> = readers.map(|r| r.expect("a reader")).collect();
     assert_eq!(readers.len(), 1, "{readers:?}");
     let reader = *readers.iter().next().expect("a reader");
@@ -91,12 +93,15 @@
     // it is one of those by which views are heard
     let relays: HashSet<SocketAddr> = choices
         .iter_mut()
-        .filter_map(|c| c.choose(&candidates, None, now))
+        .filter_map(|c| c.select(&candidates, None, now))
         .collect();
     assert!(relays.contains(&reader), "{relays:?}");
-    choices[0].on_failed(reader, now);
-    assert_ne!(choices[0].store_reader(&candidates, now), Some(reader));
-    assert_eq!(choices[0].store_reader(&[], now), None);
+    choices[0].on_failure(reader, now);
+    assert_ne!(
+        choices[0].select_store_reader(&candidates, now),
+        Some(reader)
+    );
+    assert_eq!(choices[0].select_store_reader(&[], now), None);
 }
 
 #[test]
@@ -106,13 +111,13 @@
     let mut tried = HashSet::new();
     for step in 0..30 {
         let at = now + Duration::from_millis(step);
-        let chosen = choice.choose(&candidates(), None, at).expect("a relay");
+        let chosen = choice.select(&candidates(), None, at).expect("a relay");
         assert!(tried.insert(chosen), "each is tried before any is again");
-        choice.on_failed(chosen, at);
+        choice.on_failure(chosen, at);
     }
     let later = now + Duration::from_millis(40);
-    assert!(choice.choose(&candidates(), None, later).is_some());
-    assert_eq!(choice.choose(&[], None, later), None);
+    assert!(choice.select(&candidates(), None, later).is_some());
+    assert_eq!(choice.select(&[], None, later), None);
 }
 
 fn demand(entry: &str, adapter_name: &str) -> AdapterDemand {
@@ -155,14 +160,14 @@
     let mut book = RelayState::new("relay".to_string());
     assert!(book.on_demands(whole("e1", "a"), now), "one more engine");
     assert!(!book.on_demands(whole("e2", "a"), now));
-    let told = book.take_demands();
+    let told = book.take_due_demands();
     let (engine, merged) = &told[0];
     assert_eq!((*engine, told.len()), (addr(1), 1));
     assert_eq!((merged.entry.as_str(), merged.entries), ("relay", 2));
     assert_eq!(merged.wanted[0].waiting, 4);
     assert_eq!(merged.used[0].in_flight, 6);
     assert_eq!(merged.fence_seen, 7);
-    assert!(book.take_demands().is_empty(), "told once");
+    assert!(book.take_due_demands().is_empty(), "told once");
 }
 
 #[test]
@@ -175,7 +180,7 @@
         !book.expire(now + Duration::from_secs(3)),
         "e2 needs it still"
     );
-    assert_eq!(book.take_demands()[0].1.entries, 1);
+    assert_eq!(book.take_due_demands()[0].1.entries, 1);
     assert!(book.expire(now + Duration::from_secs(5)));
     assert_eq!(book.engines().count(), 0);
 }
@@ -187,13 +192,13 @@
     book.on_demands(whole("e1", "a"), now);
     book.on_view(addr(1), view(&[1]), now);
     let mut reader = Reader::default();
-    reader.take_in(book.take_news(now));
+    reader.take_in(book.take_update(now));
     assert_eq!(reader.0.len(), 1);
     let mut without = whole("e1", "a");
     without.is_whole = false;
     without.engines[0].demand = None;
     assert!(book.on_demands(without, now), "one engine less");
-    reader.take_in(book.take_news(now));
+    reader.take_in(book.take_update(now));
     assert!(
         reader.0.is_empty(),
         "nothing is kept for an engine that left"
@@ -273,7 +278,9 @@
     for (step, heard) in story.into_iter().enumerate() {
         if step == late_at % 20 {
             late = Some(Reader::default());
-            late.as_mut().expect("it is there").take_in(book.whole(now));
+            late.as_mut()
+                .expect("it is there")
+                .take_in(book.full_update(now));
         }
         match heard {
             Heard::View(engine, held) => {
@@ -288,20 +295,20 @@
                 if let Some(view) = truth.0.get_mut(&addr(engine)) {
                     view.figures = figures;
                 }
-                book.on_figures(addr(engine), &"b".into(), figures, now);
+                book.on_stats(addr(engine), &"b".into(), figures, now);
             }
             Heard::Silent(engine) => {
                 truth.0.remove(&addr(engine));
-                book.on_silent(addr(engine), now);
+                book.on_unresponsive(addr(engine), now);
             }
             Heard::Told => {
-                let update = book.take_news(now);
+                let update = book.take_update(now);
                 early.take_in(update.clone());
                 late.iter_mut().for_each(|l| l.take_in(update.clone()));
             }
         }
     }
-    let update = book.take_news(now);
+    let update = book.take_update(now);
     early.take_in(update.clone());
     late.iter_mut().for_each(|l| l.take_in(update.clone()));
     early == truth && late.is_none_or(|late| late == truth)
@@ -346,31 +353,31 @@
 fn a_relay_tells_the_store_as_it_heard_it_and_only_while_it_hears_it() {
     let now = Instant::now();
     let mut book = PublishedCache::new(STALE_AFTER);
-    assert_eq!(book.answer(None, now, now), Some(PublishedAnswer::Stale));
-    book.take_in(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
+    assert_eq!(book.response(None, now, now), Some(PublishedAnswer::Stale));
+    book.apply(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
     let all = current(snapshot(5, vec![listed("a"), listed("b")]));
-    assert_eq!(book.answer(None, now, now), Some(all));
-    assert_eq!(book.answer(Some(5), now, now), None, "nothing newer");
+    assert_eq!(book.response(None, now, now), Some(all));
+    assert_eq!(book.response(Some(5), now, now), None, "nothing newer");
     // a later whole lacks one that is known, and an older answer says nothing
-    book.take_in(snapshot(9, vec![listed("a")]), true, now, now);
-    book.take_in(snapshot(7, vec![listed("c")]), false, now, now);
+    book.apply(snapshot(9, vec![listed("a")]), true, now, now);
+    book.apply(snapshot(7, vec![listed("c")]), false, now, now);
     let lost = Some(PublishedAnswer::HistoryLost);
     assert_eq!(
-        book.answer(Some(5), now, now),
+        book.response(Some(5), now, now),
         lost,
         "all must be asked for"
     );
     let all = current(snapshot(9, vec![listed("a")]));
-    assert_eq!(book.answer(None, now, now), Some(all));
+    assert_eq!(book.response(None, now, now), Some(all));
     let gone = Record::BackendGone("a".to_string());
-    book.take_in(snapshot(10, vec![gone.clone()]), false, now, now);
+    book.apply(snapshot(10, vec![gone.clone()]), false, now, now);
     let gone = current(snapshot(10, vec![gone]));
-    assert_eq!(book.answer(Some(9), now, now), Some(gone));
+    assert_eq!(book.response(Some(9), now, now), Some(gone));
     let nothing = current(snapshot(12, Vec::new()));
-    assert_eq!(book.nothing_newer(Some(12), now), nothing, "never back");
+    assert_eq!(book.empty_response(Some(12), now), nothing, "never back");
     let later = now + Duration::from_secs(2);
     assert_eq!(
-        book.answer(Some(10), later, later),
+        book.response(Some(10), later, later),
         Some(PublishedAnswer::Stale)
     );
 }
@@ -388,15 +395,15 @@
         }),
         other => other,
     };
-    book.take_in(
+    book.apply(
         snapshot(5, vec![listed("a"), leaving.clone()]),
         true,
         now,
         now,
     );
-    book.take_in(snapshot(6, vec![leaving.clone()]), false, now, now);
+    book.apply(snapshot(6, vec![leaving.clone()]), false, now, now);
     let told = current(snapshot(6, vec![leaving]));
-    assert_eq!(book.answer(Some(5), now, now), Some(told));
+    assert_eq!(book.response(Some(5), now, now), Some(told));
 }
 
 /// it has not heard what left the list before it began
@@ -404,42 +411,42 @@
 fn a_relay_that_begins_tells_all_to_who_knows_an_earlier_revision() {
     let now = Instant::now();
     let mut book = PublishedCache::new(STALE_AFTER);
-    book.take_in(snapshot(888, vec![listed("a")]), true, now, now);
+    book.apply(snapshot(888, vec![listed("a")]), true, now, now);
     let lost = Some(PublishedAnswer::HistoryLost);
-    assert_eq!(book.answer(Some(847), now, now), lost);
-    assert_eq!(book.answer(Some(888), now, now), None);
-    book.take_in(snapshot(890, vec![listed("c")]), false, now, now);
+    assert_eq!(book.response(Some(847), now, now), lost);
+    assert_eq!(book.response(Some(888), now, now), None);
+    book.apply(snapshot(890, vec![listed("c")]), false, now, now);
     let newer = current(snapshot(890, vec![listed("c")]));
-    assert_eq!(book.answer(Some(888), now, now), Some(newer));
+    assert_eq!(book.response(Some(888), now, now), Some(newer));
 }
 
 #[test]
 fn an_earlier_state_of_the_store_is_no_sign_that_it_is_heard() {
     let now = Instant::now();
     let mut book = PublishedCache::new(STALE_AFTER);
-    book.take_in(snapshot(9, vec![listed("a")]), true, now, now);
+    book.apply(snapshot(9, vec![listed("a")]), true, now, now);
     let later = now + STALE_AFTER + Duration::from_millis(1);
-    book.take_in(snapshot(7, vec![listed("b")]), true, later, later);
+    book.apply(snapshot(7, vec![listed("b")]), true, later, later);
     assert_eq!(
-        book.answer(Some(9), later, later),
+        book.response(Some(9), later, later),
         Some(PublishedAnswer::Stale)
     );
 }
 
 #[test]
 fn an_entry_whose_call_failed_leaves_the_store_to_its_relay_for_a_while() {
-    let known_within = Duration::from_millis(2_000);
-    let pacing = RelayPacing { known_within };
-    let mut calls = DirectCallPacing::new(pacing.own_call_pause());
+    let propagation_limit = Duration::from_millis(2_000);
+    let pacing = RelayPacing { propagation_limit };
+    let mut calls = DirectCallPacing::new(pacing.direct_call_pause());
     let now = Instant::now();
     assert!(calls.may_call(now));
-    calls.on_failed(now);
+    calls.on_failure(now);
     assert!(!calls.may_call(now + Duration::from_millis(400)));
     assert!(calls.may_call(now + Duration::from_millis(500)));
-    calls.on_heard();
+    calls.on_success();
     assert!(calls.may_call(now));
-    let known_after = pacing.stale_after() + pacing.own_call_pause();
-    assert!(known_after < known_within, "a change is known in time");
+    let known_after = pacing.stale_after() + pacing.direct_call_pause();
+    assert!(known_after < propagation_limit, "a change is known in time");
 }
 
 #[test]
@@ -448,14 +455,14 @@
     let mut book = PublishedCache::new(STALE_AFTER);
     for at in 1..=2_001 {
         let gone = Record::BackendGone(format!("b{at}"));
-        book.take_in(snapshot(at, vec![gone]), false, now, now);
+        book.apply(snapshot(at, vec![gone]), false, now, now);
     }
     assert_eq!(
-        book.answer(Some(1), now, now),
+        book.response(Some(1), now, now),
         Some(PublishedAnswer::HistoryLost)
     );
     assert!(book
-        .answer(Some(2_000), now, now)
+        .response(Some(2_000), now, now)
         .is_some_and(|a| a != PublishedAnswer::HistoryLost));
 }
 
@@ -467,18 +474,18 @@
         zone: "y".to_string(),
         is_evacuated,
     };
-    let told = |book: &PublishedCache, after| match book.answer(after, now, now) {
+    let told = |book: &PublishedCache, after| match book.response(after, now, now) {
         Some(PublishedAnswer::Records { snapshot, .. }) => snapshot.records,
         other => panic!("{other:?}"),
     };
     let mut book = PublishedCache::new(STALE_AFTER);
-    book.take_in(snapshot(1, Vec::new()), true, now, now);
-    book.take_in(snapshot(2, vec![zone(true)]), false, now, now);
+    book.apply(snapshot(1, Vec::new()), true, now, now);
+    book.apply(snapshot(2, vec![zone(true)]), false, now, now);
     assert_eq!(told(&book, Some(1)), [zone(true)]);
     assert_eq!(told(&book, None), [zone(true)]);
-    book.take_in(snapshot(3, Vec::new()), true, now, now);
+    book.apply(snapshot(3, Vec::new()), true, now, now);
     assert_eq!(
-        book.answer(Some(2), now, now),
+        book.response(Some(2), now, now),
         Some(PublishedAnswer::HistoryLost),
         "what went is not known here: all must be asked for"
     );
@@ -487,10 +494,10 @@
 
 #[test]
 fn a_relay_that_lost_the_store_is_found_out_before_a_change_must_be_known() {
-    for known_within in [500, 2_000, 3_000, 4_000].map(Duration::from_millis) {
-        let pacing = RelayPacing { known_within };
+    for propagation_limit in [500, 2_000, 3_000, 4_000].map(Duration::from_millis) {
+        let pacing = RelayPacing { propagation_limit };
         let calm = pacing.watch_wait() + pacing.pause_after_change();
         assert!(calm < pacing.stale_after(), "a sound relay is never stale");
-        assert!(pacing.stale_after() < known_within.mul_f64(0.7));
+        assert!(pacing.stale_after() < propagation_limit.mul_f64(0.7));
     }
 }
--- a/entry/src/conf/ingress_settings.rs
+++ b/entry/src/conf/ingress_settings.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::{
-        limits::LimitSettings, mechanisms::Mechanisms, relay::RELAYS_FROM_ENGINES,
+        limits::LimitSettings, mechanisms::Mechanisms, relay::MIN_ENGINES_FOR_RELAYS,
     },
     chalkcart_node::settings::{
         check_filled, check_log, check_positive, defaults, Checked, SettingsError,
@@ -121,7 +121,7 @@
 }
 
 fn default_relays_from() -> usize {
-    RELAYS_FROM_ENGINES
+    MIN_ENGINES_FOR_RELAYS
 }
 
 /// ms, the shortest time on the pages of the platform's sites
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -101,7 +101,7 @@
         loop {
             let now = clock::now();
             let candidates = self.outbox.candidates();
-            let chosen = self.choice.choose(&candidates, present, now);
+            let chosen = self.choice.select(&candidates, present, now);
             let Some(engine) = chosen else {
                 sleep(REVIEW).await;
                 continue;
@@ -114,7 +114,7 @@
             if let End::Failed(e) = end {
                 log::warn!(relay = relay.to_string().as_str(), cause = e.to_string().as_str();
                     "links: relay lost");
-                self.choice.on_failed(engine, clock::now());
+                self.choice.on_failure(engine, clock::now());
                 present = None;
                 sleep(RETRY).await;
             }
@@ -176,7 +176,7 @@
     /// the zone's reader of the store first, then the relay that is heard anyway
     fn set_store_relays(&mut self, relay: SocketAddr) {
         let candidates = self.outbox.candidates();
-        let reader = self.choice.store_reader(&candidates, clock::now());
+        let reader = self.choice.select_store_reader(&candidates, clock::now());
         let port = self.settings.sidecar_port;
         let reader = reader.map(|engine| SocketAddr::new(engine.ip(), port));
         let mut ranked: Vec<SocketAddr> = reader.into_iter().collect();
@@ -188,7 +188,7 @@
 
     fn is_outranked(&mut self, engine: SocketAddr) -> bool {
         let candidates = self.outbox.candidates();
-        let chosen = self.choice.choose(&candidates, Some(engine), clock::now());
+        let chosen = self.choice.select(&candidates, Some(engine), clock::now());
         chosen != Some(engine)
     }
 
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -146,7 +146,7 @@
         false => Arc::default(),
     };
     let pacing = RelayPacing {
-        known_within: Duration::from_millis(shared.settings.drain_ms),
+        propagation_limit: Duration::from_millis(shared.settings.drain_ms),
     };
     let source = Arc::new(ZoneSource::new(store, relays, pacing));
     let records = Arc::new(EntryRecords::new(shared.clone(), source.clone()));
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -62,7 +62,7 @@
         relays: Arc<StoreRelays>,
         pacing: RelayPacing,
     ) -> Self {
-        let own_calls = || Mutex::new(DirectCallPacing::new(pacing.own_call_pause()));
+        let own_calls = || Mutex::new(DirectCallPacing::new(pacing.direct_call_pause()));
         Self {
             configuration_calls: own_calls(),
             backends_calls: own_calls(),
@@ -98,8 +98,8 @@
         }
         let answer = call.await;
         match &answer {
-            Ok(_) => self.own_calls(topic).on_heard(),
-            Err(_) => self.own_calls(topic).on_failed(clock::now()),
+            Ok(_) => self.own_calls(topic).on_success(),
+            Err(_) => self.own_calls(topic).on_failure(clock::now()),
         }
         answer
     }
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -42,7 +42,7 @@
     /// how often the store is asked while this process is a relay
     pub fn relay_pacing(&self) -> RelayPacing {
         RelayPacing {
-            known_within: Duration::from_millis(self.drain_ms.min(self.config_apply_ms)),
+            propagation_limit: Duration::from_millis(self.drain_ms.min(self.config_apply_ms)),
         }
     }
 }
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -100,7 +100,7 @@
     pub fn tell_news(&self, now: Instant) {
         // readers come in under the same lock, so that they miss nothing
         let mut book = self.book();
-        let news = News::new(book.take_news(now));
+        let news = News::new(book.take_update(now));
         // an error says that nobody reads
         let _ = self.news.send(Arc::new(news));
     }
@@ -108,7 +108,7 @@
     /// all that is known, then the news; ends for a reader that is too slow
     pub fn follow(&self, now: Instant, form: WireForm) -> impl Stream<Item = Bytes> + Send {
         let book = self.book();
-        let whole = encoded(&book.whole(now), form);
+        let whole = encoded(&book.full_update(now), form);
         let news = BroadcastStream::new(self.news.subscribe());
         drop(book);
         let news = news.take_while(|news| {
@@ -134,11 +134,11 @@
     }
     fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
         let now = clock::now();
-        let is_urgent = self.book().on_figures(engine, backend, figures, now);
+        let is_urgent = self.book().on_stats(engine, backend, figures, now);
         self.wake(is_urgent);
     }
     fn on_silent(&self, engine: SocketAddr, _backend: &BackendId) {
-        self.book().on_silent(engine, clock::now());
+        self.book().on_unresponsive(engine, clock::now());
         self.wake(true);
     }
     /// entries that hear by a relay learn it from what engines answer
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -76,7 +76,7 @@
             return;
         };
         followers.extend([Topic::Configuration, Topic::Backends].map(|topic| {
-            let pacing = self.pacing.follow();
+            let pacing = self.pacing.watch_pacing();
             let follower = Follower::new(store.clone(), self.clone(), topic, pacing);
             tokio::spawn(follower.run())
         }));
@@ -99,19 +99,19 @@
         let asked = clock::now();
         let heard = self.heard(ask.topic);
         let mut changes = heard.changed.subscribe();
-        if !heard.book().has_heard() {
+        if !heard.book().has_received() {
             // the relay has just begun; without an answer it is stale
             let _ = timeout(FIRST_ANSWER, changes.changed()).await;
         }
         let until = Deadline::now() + Duration::from_millis(ask.wait_ms);
         loop {
             changes.mark_unchanged();
-            if let Some(answer) = heard.book().answer(ask.after, asked, clock::now()) {
+            if let Some(answer) = heard.book().response(ask.after, asked, clock::now()) {
                 return answer;
             }
             let left = until.saturating_duration_since(Deadline::now());
             if left.is_zero() {
-                return heard.book().nothing_newer(ask.after, asked);
+                return heard.book().empty_response(ask.after, asked);
             }
             // a time without a change is looked at above
             let _ = timeout(left.min(LOOK_EVERY), changes.changed()).await;
@@ -135,7 +135,7 @@
         let has_news = is_whole || !snapshot.records.is_empty();
         let to = self.heard(topic);
         to.book()
-            .take_in(snapshot, is_whole, current_at, clock::now());
+            .apply(snapshot, is_whole, current_at, clock::now());
         if has_news {
             to.changed.send_modify(|count| *count += 1);
         }
--- a/sidecar/src/relay/pump.rs
+++ b/sidecar/src/relay/pump.rs
@@ -30,7 +30,7 @@
                 "relay: engines to follow changed");
             links.follow(book.engines());
         }
-        for (engine, demand) in hub.book().take_demands() {
+        for (engine, demand) in hub.book().take_due_demands() {
             links.send(engine, demand, now);
         }
         links.keep_alive(now);
