--- a/coordination/src/sidecar/actions.rs
+++ b/coordination/src/sidecar/actions.rs
@@ -1,5 +1,5 @@
 use {
-    super::Ticket,
+    super::ReplyId,
     crate::slots::AdapterKey,
     chalkcart_protocol::peer::{Outcome, PermitAsk, Refusal, ReserveAnswer, WorkOrder},
     chalkcart_state::ids::{Fence, Incarnation, RequestId},
@@ -37,31 +37,31 @@
         /// when the request came in
         arrived: Instant,
         /// it waited for a load
-        stalled: bool,
+        has_stalled: bool,
     },
     /// stop a run; its end is still awaited
     StopRun {
         request: RequestId,
     },
-    Refuse {
+    Reject {
         request: RequestId,
         refusal: Refusal,
     },
-    AskPermit {
-        giver: SocketAddr,
-        ask: PermitAsk,
+    RequestPermit {
+        issuer: SocketAddr,
+        request: PermitAsk,
         adapter: AdapterKey,
     },
     ReturnPermit {
-        giver: SocketAddr,
-        ask: PermitAsk,
+        issuer: SocketAddr,
+        request: PermitAsk,
     },
-    AnswerReserve {
-        ticket: Ticket,
-        answer: ReserveAnswer,
+    RespondToReserve {
+        reply: ReplyId,
+        response: ReserveAnswer,
     },
-    AnswerCancel {
-        ticket: Ticket,
+    RespondToCancel {
+        reply: ReplyId,
         outcome: Outcome,
     },
     /// nothing runs and nothing will
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -9,7 +9,7 @@
 };
 
 /// names an asker that waits for an answer
-pub type Ticket = u64;
+pub type ReplyId = u64;
 
 /// how an order to an engine ended
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,26 +32,26 @@
     pub detail: String,
     /// tokens generated
     pub tokens: u64,
-    pub took: Duration,
+    pub duration: Duration,
     /// the engine may still be running it
-    pub may_run_on: bool,
+    pub may_still_run: bool,
 }
 
 /// what happens to a sidecar
 #[derive(Debug, Clone)]
 pub enum SidecarEvent {
     Arrived(Box<WorkOrder>),
-    ReserveAsked {
-        ticket: Ticket,
+    ReserveRequested {
+        reply: ReplyId,
         count: u32,
     },
-    CancelAsked {
-        ticket: Ticket,
+    CancelRequested {
+        reply: ReplyId,
         request: RequestId,
     },
     /// the engine's answer; none if it can't be reached
     EngineRead(Option<EngineStatus>),
-    FenceAnswered {
+    FenceTakeEnded {
         incarnation: Incarnation,
         fence: Fence,
         result: OrderResult,
@@ -60,7 +60,7 @@
         adapter: AdapterKey,
         incarnation: Incarnation,
         result: OrderResult,
-        took: Duration,
+        duration: Duration,
     },
     UnloadEnded {
         adapter: AdapterKey,
@@ -72,11 +72,11 @@
         end: RunEnd,
     },
     /// the giver's answer; none if it can't be reached
-    PermitAnswered {
+    PermitRequestEnded {
         adapter: AdapterKey,
-        answer: Option<PermitAnswer>,
+        response: Option<PermitAnswer>,
     },
     Configured(Arc<Root>),
-    DrainAsked,
+    DrainRequested,
     Tick,
 }
--- a/coordination/src/sidecar/load_table.rs
+++ b/coordination/src/sidecar/load_table.rs
@@ -50,7 +50,7 @@
 /// the loads that are wished for
 #[derive(Debug)]
 pub(super) struct LoadTable {
-    pub(super) giver: Option<SocketAddr>,
+    pub(super) issuer: Option<SocketAddr>,
     /// wishes that are on their way, the most urgent ones
     pub(super) wishes: HashMap<AdapterKey, PendingLoad>,
     /// adapters that waiting requests lack, on their way or not
@@ -68,7 +68,7 @@
 impl LoadTable {
     pub(super) fn new() -> Self {
         Self {
-            giver: None,
+            issuer: None,
             wishes: HashMap::new(),
             wished_count: 0,
             stalled: HashSet::new(),
@@ -78,9 +78,9 @@
         }
     }
     /// an entry said who gives permits
-    pub(super) fn on_giver(&mut self, giver: Option<SocketAddr>) {
-        if giver.is_some() {
-            self.giver = giver;
+    pub(super) fn on_issuer(&mut self, issuer: Option<SocketAddr>) {
+        if issuer.is_some() {
+            self.issuer = issuer;
         }
     }
     /// time from the wish for an adapter until it is loaded, smoothed
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -24,12 +24,12 @@
 
 impl SidecarControl {
     /// move the most urgent wishes one step on; the others wait here, so that
-    /// the giver hears only of what may be loaded next
+    /// the issuer hears only of what may be loaded next
     pub(super) fn load_what_waits(&mut self, now: Instant) {
         let wished = self.wished_adapters(now);
         self.loads.wished_count = wished.len();
         let under_way = self.slots.loading_count() + self.loads.unloading.len();
-        let places = self.settings.max_loads.saturating_sub(under_way);
+        let places = self.settings.max_concurrent_loads.saturating_sub(under_way);
         let mut next = wished;
         // loading, unloading, or running empty for another
         next.retain(|key| self.slots.phase(key).is_none());
@@ -51,7 +51,7 @@
         let before = self
             .loads
             .wished_count
-            .div_ceil(self.settings.max_loads.max(1));
+            .div_ceil(self.settings.max_concurrent_loads.max(1));
         match is_wished {
             true => Duration::ZERO,
             false => self.loads.expected_time() * before as u32,
@@ -178,7 +178,7 @@
             return;
         }
         match wish.permit {
-            PermitState::AskAt(at) if now >= at => self.ask_permit(key, now),
+            PermitState::AskAt(at) if now >= at => self.request_permit(key, now),
             PermitState::Held(until) if now >= until => {
                 wish.permit = PermitState::AskAt(now);
             }
@@ -198,7 +198,7 @@
         }
     }
 
-    fn ask_permit(&mut self, key: &AdapterKey, now: Instant) {
+    fn request_permit(&mut self, key: &AdapterKey, now: Instant) {
         let Some(wish) = self.loads.wishes.get_mut(key) else {
             return;
         };
@@ -209,8 +209,8 @@
             }
             return;
         }
-        let giver = match self.loads.giver {
-            Some(giver) if wish.unanswered < MAX_UNANSWERED => giver,
+        let issuer = match self.loads.issuer {
+            Some(issuer) if wish.unanswered < MAX_UNANSWERED => issuer,
             // the store keeps its own limit
             _ => {
                 wish.permit = PermitState::Held(now + UNGIVEN_LEASE);
@@ -218,15 +218,15 @@
             }
         };
         wish.permit = PermitState::Asked;
-        let ask = self.permit_ask(key, PermitPurpose::Ask, now);
-        self.actions.push(SidecarAction::AskPermit {
-            giver,
-            ask,
+        let request = self.permit_request(key, PermitPurpose::Ask, now);
+        self.actions.push(SidecarAction::RequestPermit {
+            issuer,
+            request,
             adapter: key.clone(),
         });
     }
 
-    fn permit_ask(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitAsk {
+    fn permit_request(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitAsk {
         let waiting = self
             .queue
             .iter()
@@ -243,12 +243,12 @@
     }
 
     fn return_permit(&mut self, key: &AdapterKey) {
-        let Some(giver) = self.loads.giver else {
+        let Some(issuer) = self.loads.issuer else {
             return;
         };
         self.actions.push(SidecarAction::ReturnPermit {
-            giver,
-            ask: PermitAsk {
+            issuer,
+            request: PermitAsk {
                 purpose: PermitPurpose::Return,
                 target: self.settings.name.clone(),
                 adapter: key.adapter.clone(),
--- a/coordination/src/sidecar/mod.rs
+++ b/coordination/src/sidecar/mod.rs
@@ -11,7 +11,7 @@
 
 pub use {
     actions::{OrderFence, SidecarAction},
-    events::{OrderResult, RunEnd, SidecarEvent, Ticket},
+    events::{OrderResult, ReplyId, RunEnd, SidecarEvent},
     settings::{PermitMode, SidecarSettings, TargetKind},
     sidecar_control::SidecarControl,
 };
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -1,7 +1,7 @@
 //! requests on their way in, and out without a run
 
 use {
-    super::{PermitMode, SidecarAction, SidecarControl, Ticket},
+    super::{PermitMode, ReplyId, SidecarAction, SidecarControl},
     crate::{
         once::{Admission, Phase},
         queue::Waiting,
@@ -39,20 +39,20 @@
         }
     }
 
-    pub(super) fn on_reserve(&mut self, ticket: Ticket, count: u32, now: Instant) {
-        let answer = if self.is_leaving() {
+    pub(super) fn on_reserve(&mut self, reply: ReplyId, count: u32, now: Instant) {
+        let response = if self.is_leaving() {
             ReserveAnswer::Refused(self.refusal(Step::Reserve, self.leaving_reason()))
         } else {
             self.reserve(count, now)
         };
         self.actions
-            .push(SidecarAction::AnswerReserve { ticket, answer });
+            .push(SidecarAction::RespondToReserve { reply, response });
     }
 
-    pub(super) fn on_cancel(&mut self, ticket: Ticket, request: &RequestId) {
+    pub(super) fn on_cancel(&mut self, reply: ReplyId, request: &RequestId) {
         let outcome = self.cancel(request);
         self.actions
-            .push(SidecarAction::AnswerCancel { ticket, outcome });
+            .push(SidecarAction::RespondToCancel { reply, outcome });
     }
 
     pub(super) fn on_drain(&mut self) {
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn push_refusal(&mut self, request: &RequestId, refusal: Refusal) {
-        self.actions.push(SidecarAction::Refuse {
+        self.actions.push(SidecarAction::Reject {
             request: request.clone(),
             refusal,
         });
@@ -245,8 +245,8 @@
             overtaken: 0,
             head_since: None,
         });
-        if self.settings.permits == PermitMode::Given {
-            self.loads.on_giver(work.permit_giver);
+        if self.settings.permits == PermitMode::Issued {
+            self.loads.on_issuer(work.permit_giver);
         }
         self.orders.insert(work.request.clone(), work);
     }
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -117,7 +117,7 @@
             return;
         };
         if end.failure.is_none() {
-            self.runs.measure(end.tokens, end.took);
+            self.runs.measure(end.tokens, end.duration);
         }
         let correction = end.tokens.max(1) as f64 - run.charged as f64;
         if run.adapter.is_some() {
@@ -125,7 +125,7 @@
         }
         self.end_reserved(request, &run, end.outcome);
         self.refuse_failed(request, &end);
-        if end.may_run_on {
+        if end.may_still_run {
             self.runs.orphans.insert(request.clone(), run);
             self.doubt();
         } else {
@@ -203,13 +203,13 @@
             return;
         }
         self.note_overtaken(&waiting, now);
-        let stalled = self.loads.take_stalled(request);
+        let has_stalled = self.loads.take_stalled(request);
         self.runs.runs.insert(request.clone(), run);
         self.actions.push(SidecarAction::Run {
             priority: waiting.priority_at(now),
             deadline: waiting.deadline,
             arrived: waiting.arrived,
-            stalled,
+            has_stalled,
             order: waiting.adapter.and(order),
             work,
         });
--- a/coordination/src/sidecar/settings.rs
+++ b/coordination/src/sidecar/settings.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PermitMode {
     /// an entry gives permits
-    Given,
+    Issued,
     /// each sidecar for itself, with back-off; the store limits
-    None,
+    Unlimited,
     /// a fixed part of the store's rate, in loads a second
     StaticShare(f64),
 }
@@ -38,9 +38,9 @@
     /// how long a reserved id may wait for its use
     pub id_valid_for: Duration,
     /// loads in flight at most
-    pub max_loads: usize,
+    pub max_concurrent_loads: usize,
     /// how often the engine is read when nothing happens
-    pub read_every: Duration,
+    pub read_interval: Duration,
     /// how loads keep to the weight store's limit
     pub permits: PermitMode,
     /// seed of the random parts of reserved ids
@@ -57,9 +57,9 @@
             lease: Duration::from_secs(1),
             id_capacity: 100_000,
             id_valid_for: Duration::from_secs(600),
-            max_loads: 2,
-            read_every: Duration::from_millis(500),
-            permits: PermitMode::Given,
+            max_concurrent_loads: 2,
+            read_interval: Duration::from_millis(500),
+            permits: PermitMode::Issued,
             seed: 0,
         }
     }
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -74,7 +74,7 @@
             pause: PauseDetector::new(settings.lease, now),
             reading: false,
             doubtful: true,
-            last_read: now.checked_sub(settings.read_every).unwrap_or(now),
+            last_read: now.checked_sub(settings.read_interval).unwrap_or(now),
             actions: Vec::new(),
             settings,
         }
@@ -130,10 +130,10 @@
     fn apply(&mut self, event: SidecarEvent, now: Instant) {
         match event {
             SidecarEvent::Arrived(work) => self.on_arrived(work, now),
-            SidecarEvent::ReserveAsked { ticket, count } => self.on_reserve(ticket, count, now),
-            SidecarEvent::CancelAsked { ticket, request } => self.on_cancel(ticket, &request),
+            SidecarEvent::ReserveRequested { reply, count } => self.on_reserve(reply, count, now),
+            SidecarEvent::CancelRequested { reply, request } => self.on_cancel(reply, &request),
             SidecarEvent::EngineRead(status) => self.on_engine_read(status, now),
-            SidecarEvent::FenceAnswered {
+            SidecarEvent::FenceTakeEnded {
                 incarnation,
                 fence,
                 result,
@@ -142,19 +142,19 @@
                 adapter,
                 incarnation,
                 result,
-                took,
-            } => self.on_load_ended(&adapter, incarnation, result, took, now),
+                duration,
+            } => self.on_load_ended(&adapter, incarnation, result, duration, now),
             SidecarEvent::UnloadEnded {
                 adapter,
                 incarnation,
                 result,
             } => self.on_unload_ended(&adapter, incarnation, result),
             SidecarEvent::RunEnded { request, end } => self.on_run_ended(&request, end),
-            SidecarEvent::PermitAnswered { adapter, answer } => {
-                self.on_permit(&adapter, answer, now)
+            SidecarEvent::PermitRequestEnded { adapter, response } => {
+                self.on_permit(&adapter, response, now)
             }
             SidecarEvent::Configured(root) => self.on_configured(root),
-            SidecarEvent::DrainAsked => self.on_drain(),
+            SidecarEvent::DrainRequested => self.on_drain(),
             SidecarEvent::Tick => {}
         }
     }
@@ -226,8 +226,8 @@
 
     fn read_engine_if_due(&mut self, now: Instant) {
         let since = now.saturating_duration_since(self.last_read);
-        let is_due = since >= self.settings.read_every;
-        if is_due || (self.doubtful && !self.reading && since >= self.settings.read_every / 4) {
+        let is_due = since >= self.settings.read_interval;
+        if is_due || (self.doubtful && !self.reading && since >= self.settings.read_interval / 4) {
             self.last_read = now;
             self.read_engine();
         }
--- a/coordination/tests/fences.rs
+++ b/coordination/tests/fences.rs
@@ -82,14 +82,14 @@
     let settings = SidecarSettings {
         epoch: 10,
         lease: LEASE,
-        permits: PermitMode::None,
+        permits: PermitMode::Unlimited,
         ..SidecarSettings::default()
     };
     let mut control = SidecarControl::new(settings, now);
     let loaded = vec![held];
     let read = |fence| SidecarEvent::EngineRead(Some(status(fence, loaded.clone())));
     let order = fence_to_take(&control.handle(read(0), now)).expect("a fence");
-    let answer = SidecarEvent::FenceAnswered {
+    let answer = SidecarEvent::FenceTakeEnded {
         incarnation: order.incarnation,
         fence: order.fence,
         result: OrderResult::Done,
--- a/coordination/tests/sidecar_admission.rs
+++ b/coordination/tests/sidecar_admission.rs
@@ -60,8 +60,8 @@
             failure: None,
             detail: String::new(),
             tokens: 1,
-            took,
-            may_run_on: false,
+            duration: took,
+            may_still_run: false,
         },
     }
 }
@@ -71,7 +71,7 @@
     let mut control = SidecarControl::new(
         SidecarSettings {
             epoch: 10,
-            max_loads: MAX_LOADS,
+            max_concurrent_loads: MAX_LOADS,
             ..SidecarSettings::default()
         },
         now,
@@ -91,7 +91,7 @@
         _ => None,
     });
     let fence = taken.expect("a fence to take");
-    let answer = SidecarEvent::FenceAnswered {
+    let answer = SidecarEvent::FenceTakeEnded {
         incarnation: INCARNATION,
         fence,
         result: OrderResult::Done,
@@ -104,9 +104,8 @@
 
 fn asks(actions: &[SidecarAction], wanted: PermitPurpose) -> usize {
     let is_it = |a: &&SidecarAction| match a {
-        SidecarAction::AskPermit { ask, .. } | SidecarAction::ReturnPermit { ask, .. } => {
-            ask.purpose == wanted
-        }
+        SidecarAction::RequestPermit { request, .. }
+        | SidecarAction::ReturnPermit { request, .. } => request.purpose == wanted,
         _ => false,
     };
     actions.iter().filter(is_it).count()
@@ -114,7 +113,7 @@
 
 fn refusals(actions: &[SidecarAction]) -> Vec<Reason> {
     let reason = |a: &SidecarAction| match a {
-        SidecarAction::Refuse { refusal, .. } => Some(refusal.reason),
+        SidecarAction::Reject { refusal, .. } => Some(refusal.reason),
         _ => None,
     };
     actions.iter().filter_map(reason).collect()
--- a/sidecar/src/app/engine_run.rs
+++ b/sidecar/src/app/engine_run.rs
@@ -191,8 +191,8 @@
             failure: None,
             detail: String::new(),
             tokens: self.tokens,
-            took: clock::elapsed(self.started),
-            may_run_on: false,
+            duration: clock::elapsed(self.started),
+            may_still_run: false,
         }
     }
 
@@ -202,8 +202,8 @@
             failure: Some(reason),
             detail: detail.to_string(),
             tokens: self.tokens,
-            took: clock::elapsed(self.started),
-            may_run_on: false,
+            duration: clock::elapsed(self.started),
+            may_still_run: false,
         }
     }
 
@@ -220,7 +220,7 @@
     async fn end_lost(self, detail: &str) -> RunEnd {
         let confirmed = self.engine.cancel(&self.request).await.is_ok();
         let mut end = self.end(Outcome::MayHaveRun, Reason::Lost, detail);
-        end.may_run_on = !confirmed;
+        end.may_still_run = !confirmed;
         end
     }
 
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -74,29 +74,29 @@
                 priority,
                 deadline,
                 arrived,
-                stalled,
+                has_stalled,
             } => {
                 let cx = RunContext {
                     order,
                     priority,
                     deadline,
                 };
-                self.count_start(&work, arrived, stalled);
+                self.count_start(&work, arrived, has_stalled);
                 self.run(work, cx);
             }
             SidecarAction::StopRun { request } => self.stop_run(&request),
-            SidecarAction::Refuse { request, refusal } => self.refuse(&request, refusal),
-            SidecarAction::AskPermit {
-                giver,
-                ask,
+            SidecarAction::Reject { request, refusal } => self.refuse(&request, refusal),
+            SidecarAction::RequestPermit {
+                issuer,
+                request,
                 adapter,
-            } => self.ask_permit(giver, ask, adapter),
-            SidecarAction::ReturnPermit { giver, ask } => self.return_permit(giver, ask),
-            SidecarAction::AnswerReserve { ticket, answer } => {
-                self.shared.reserves.answer(ticket, answer)
+            } => self.ask_permit(issuer, request, adapter),
+            SidecarAction::ReturnPermit { issuer, request } => self.return_permit(issuer, request),
+            SidecarAction::RespondToReserve { reply, response } => {
+                self.shared.reserves.answer(reply, response)
             }
-            SidecarAction::AnswerCancel { ticket, outcome } => {
-                self.shared.cancels.answer(ticket, outcome)
+            SidecarAction::RespondToCancel { reply, outcome } => {
+                self.shared.cancels.answer(reply, outcome)
             }
             SidecarAction::Drained => {
                 self.shared.drained.send_replace(true);
@@ -131,7 +131,7 @@
         self.with_engine(|engine| async move {
             let result = engine.take_fence(order).await;
             log::info!("engine: fence {} taken: {}", order.fence, said(&result));
-            SidecarEvent::FenceAnswered {
+            SidecarEvent::FenceTakeEnded {
                 incarnation: order.incarnation,
                 fence: order.fence,
                 result: order_result(&result),
@@ -148,7 +148,7 @@
                 adapter,
                 incarnation: order.incarnation,
                 result: order_result(&result),
-                took: clock::elapsed(started),
+                duration: clock::elapsed(started),
             }
         });
     }
@@ -213,8 +213,8 @@
             if let Err(e) = &answer {
                 log::warn!("permits: no answer for {adapter}: {e}");
             }
-            let answer = answer.ok();
-            shared.tell(SidecarEvent::PermitAnswered { adapter, answer });
+            let response = answer.ok();
+            shared.tell(SidecarEvent::PermitRequestEnded { adapter, response });
         });
     }
 
@@ -267,7 +267,7 @@
         failure: Some(Reason::BadRequest),
         detail: "work of another kind than the target's".to_string(),
         tokens: 0,
-        took: Duration::ZERO,
-        may_run_on: false,
+        duration: Duration::ZERO,
+        may_still_run: false,
     }
 }
--- a/sidecar/src/app/service_run.rs
+++ b/sidecar/src/app/service_run.rs
@@ -27,9 +27,9 @@
         failure,
         detail,
         tokens: 1,
-        took: clock::elapsed(started),
+        duration: clock::elapsed(started),
         // a plain service holds nothing that must stay loaded
-        may_run_on: false,
+        may_still_run: false,
     };
     let remaining = cx.deadline.saturating_duration_since(started);
     if remaining.is_zero() {
--- a/sidecar/src/app/tickets.rs
+++ b/sidecar/src/app/tickets.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::sidecar::Ticket,
+    chalkcart_coordination::sidecar::ReplyId,
     std::{
         collections::HashMap,
         sync::{
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Tickets<T> {
     next: AtomicU64,
-    waiting: Mutex<HashMap<Ticket, oneshot::Sender<T>>>,
+    waiting: Mutex<HashMap<ReplyId, oneshot::Sender<T>>>,
 }
 
 impl<T> Default for Tickets<T> {
@@ -27,14 +27,14 @@
 }
 
 impl<T> Tickets<T> {
-    pub fn issue(&self) -> (Ticket, oneshot::Receiver<T>) {
+    pub fn issue(&self) -> (ReplyId, oneshot::Receiver<T>) {
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         waiting.insert(ticket, tx);
         (ticket, rx)
     }
-    pub fn answer(&self, ticket: Ticket, answer: T) {
+    pub fn answer(&self, ticket: ReplyId, answer: T) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(tx) = waiting.remove(&ticket) {
             // the asker may be gone
--- a/sidecar/src/conf/settings.rs
+++ b/sidecar/src/conf/settings.rs
@@ -39,8 +39,8 @@
 impl From<Permits> for PermitMode {
     fn from(permits: Permits) -> Self {
         match permits {
-            Permits::Given => Self::Given,
-            Permits::None => Self::None,
+            Permits::Given => Self::Issued,
+            Permits::None => Self::Unlimited,
             Permits::StaticShare { loads_per_second } => Self::StaticShare(loads_per_second),
         }
     }
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -99,8 +99,8 @@
 }
 
 async fn reserve_ids(shared: &Shared, count: u32) -> ReserveAnswer {
-    let (ticket, answer) = shared.reserves.issue();
-    shared.tell(SidecarEvent::ReserveAsked { ticket, count });
+    let (reply, answer) = shared.reserves.issue();
+    shared.tell(SidecarEvent::ReserveRequested { reply, count });
     answer.await.unwrap_or_else(|_| {
         let name = &shared.settings.name;
         ReserveAnswer::Refused(Refusal::not_run(Step::Reserve, name, Reason::Lost))
@@ -108,9 +108,9 @@
 }
 
 async fn cancel_request(shared: &Shared, order: CancelOrder) -> CancelAnswer {
-    let (ticket, answer) = shared.cancels.issue();
-    shared.tell(SidecarEvent::CancelAsked {
-        ticket,
+    let (reply, answer) = shared.cancels.issue();
+    shared.tell(SidecarEvent::CancelRequested {
+        reply,
         request: order.request,
     });
     CancelAnswer {
--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -147,7 +147,7 @@
     fn handle(&mut self, to: usize, event: SidecarEvent) {
         let actions = self.boxes[to].control.handle(event, self.now);
         for action in actions {
-            if let SidecarAction::Refuse { request, .. } = &action {
+            if let SidecarAction::Reject { request, .. } = &action {
                 self.boxes[to].open.remove(request);
                 continue;
             }
@@ -202,7 +202,7 @@
                     Ok(()) => OrderResult::Done,
                     Err(_) => OrderResult::Fenced,
                 };
-                Some(SidecarEvent::FenceAnswered {
+                Some(SidecarEvent::FenceTakeEnded {
                     incarnation: order.incarnation,
                     fence: order.fence,
                     result,
@@ -247,10 +247,12 @@
                     Err(_) => Some(run_ended(&work.request, Outcome::NotRun, false)),
                 }
             }
-            SidecarAction::AskPermit { adapter, .. } => Some(SidecarEvent::PermitAnswered {
-                adapter: adapter.clone(),
-                answer: Some(PermitAnswer::Granted { lease: LEASE }),
-            }),
+            SidecarAction::RequestPermit { adapter, .. } => {
+                Some(SidecarEvent::PermitRequestEnded {
+                    adapter: adapter.clone(),
+                    response: Some(PermitAnswer::Granted { lease: LEASE }),
+                })
+            }
             _ => None,
         };
         if let (Some(event), true) = (event, heard) {
@@ -262,7 +264,7 @@
     fn give_up(&mut self, sent: &Sent) {
         let event = match &sent.action {
             SidecarAction::ReadEngine => SidecarEvent::EngineRead(None),
-            SidecarAction::TakeFence(order) => SidecarEvent::FenceAnswered {
+            SidecarAction::TakeFence(order) => SidecarEvent::FenceTakeEnded {
                 incarnation: order.incarnation,
                 fence: order.fence,
                 result: OrderResult::Unknown,
@@ -431,7 +433,7 @@
         adapter: adapter.clone(),
         incarnation: order.incarnation,
         result,
-        took: Duration::from_millis(100),
+        duration: Duration::from_millis(100),
     }
 }
 
@@ -448,8 +450,8 @@
             failure,
             detail: String::new(),
             tokens: 10,
-            took: Duration::from_millis(50),
-            may_run_on,
+            duration: Duration::from_millis(50),
+            may_still_run: may_run_on,
         },
     }
 }
