--- a/coordination/src/placement/demand_table.rs
+++ b/coordination/src/placement/demand_table.rs
@@ -10,72 +10,70 @@
     },
 };
 
-/// weights of a request that waits, of the most urgent class and of others
+/// Weights of a queued request when adapters are ordered for loading.
 const URGENT_WEIGHT: u32 = 3;
-const WEIGHT: u32 = 2;
-const MOST_URGENT: u8 = 0;
+const NORMAL_WEIGHT: u32 = 2;
+const MOST_URGENT_PRIORITY: u8 = 0;
 
-/// what all entries need of one engine
+/// The latest demand of demands_by_entry entry for one engine.
 #[derive(Debug, Default)]
 pub struct DemandTable {
     demands: HashMap<BoxName, (Instant, AdapterDemand)>,
 }
 
 impl DemandTable {
-    /// an entry says what it needs
+    /// Replaces the demand of the entry that sent it.
     pub fn insert(&mut self, demand: AdapterDemand, now: Instant) {
         self.demands.insert(demand.entry.clone(), (now, demand));
     }
-    /// forget entries that were silent for too long
-    pub fn expire(&mut self, silence: Duration, now: Instant) {
+    /// Removes the demands of entries that sent none for `timeout`.
+    pub fn expire(&mut self, timeout: Duration, now: Instant) {
         self.demands
-            .retain(|_, (at, _)| now.saturating_duration_since(*at) < silence);
+            .retain(|_, (received_at, _)| now.saturating_duration_since(*received_at) < timeout);
     }
-    /// forget what an entry needs
     pub fn remove(&mut self, entry: &BoxName) {
         self.demands.remove(entry);
     }
     pub fn is_empty(&self) -> bool {
         self.demands.is_empty()
     }
-    /// entries that need something, also those for which a relay speaks
+    /// Returns the number of entries with a demand, including those behind a relay.
     pub fn entry_count(&self) -> u32 {
-        self.each().map(|d| d.entries).sum()
+        self.all().map(|d| d.entries).sum()
     }
-    /// all that is needed as one message, said by a relay; none if nobody needs
-    /// anything
+    /// Merges all demands into one message from a relay; `None` if there is no demand.
     pub fn merged_demand(&self, relay: &BoxName) -> Option<AdapterDemand> {
         let newest = self.newest()?;
         Some(AdapterDemand {
             entry: relay.clone(),
             entries: self.entry_count(),
-            fence_seen: self.each().map(|d| d.fence_seen).max().unwrap_or(0),
+            fence_seen: self.all().map(|d| d.fence_seen).max().unwrap_or(0),
             wanted: self.wanted(),
-            used: self.used(),
-            outdated: self.outdated(),
+            used: self.merged_uses(),
+            outdated: self.merged_outdated(),
             ..newest.clone()
         })
     }
-    /// requests of all entries that run on an adapter
+    /// Returns the number of requests of all entries that use the adapter.
     pub fn in_flight(&self, adapter: &AdapterRef) -> u32 {
-        let used = self.each().flat_map(|d| &d.used);
-        let of = used.filter(|u| u.adapter == *adapter);
-        of.map(|u| u.in_flight).sum()
+        let used = self.all().flat_map(|d| &d.used);
+        let matching = used.filter(|u| u.adapter == *adapter);
+        matching.map(|u| u.in_flight).sum()
     }
     pub fn is_wanted(&self, adapter: &AdapterRef) -> bool {
-        let mut wanted = self.each().flat_map(|d| &d.wanted);
+        let mut wanted = self.all().flat_map(|d| &d.wanted);
         wanted.any(|w| w.adapter == *adapter)
     }
-    /// what requests wait for: first what most of them do, the more urgent
-    /// counting a little more
+    /// Returns the adapters that requests wait for, ordered by the weighted number of
+    /// waiting requests.
     pub fn wanted(&self) -> Vec<WantedAdapter> {
         let mut merged: HashMap<&AdapterRef, WantedAdapter> = HashMap::new();
-        for wanted in self.each().flat_map(|d| &d.wanted) {
+        for wanted in self.all().flat_map(|d| &d.wanted) {
             match merged.get_mut(&wanted.adapter) {
-                Some(row) => {
-                    row.waiting += wanted.waiting;
-                    row.priority = row.priority.min(wanted.priority);
-                    row.waited_ms = row.waited_ms.max(wanted.waited_ms);
+                Some(total) => {
+                    total.waiting += wanted.waiting;
+                    total.priority = total.priority.min(wanted.priority);
+                    total.waited_ms = total.waited_ms.max(wanted.waited_ms);
                 }
                 None => {
                     merged.insert(&wanted.adapter, wanted.clone());
@@ -84,28 +82,28 @@
         }
         let mut wanted: Vec<WantedAdapter> = merged.into_values().collect();
         wanted.sort_by(|a, b| {
-            weight(b)
-                .cmp(&weight(a))
+            weighted_waiting(b)
+                .cmp(&weighted_waiting(a))
                 .then(a.priority.cmp(&b.priority))
                 .then(b.waited_ms.cmp(&a.waited_ms))
                 .then(a.adapter.cmp(&b.adapter))
         });
         wanted
     }
-    /// the lowest version of an adapter that entries still accept
+    /// Returns the newest version of an outdated adapter that any entry knows.
     pub fn newest_version(&self, adapter: &AdapterRef) -> Option<u64> {
-        let outdated = self.each().flat_map(|d| &d.outdated);
-        let of = outdated.filter(|o| o.adapter == *adapter);
-        of.map(|o| o.version).max()
+        let outdated = self.all().flat_map(|d| &d.outdated);
+        let matching = outdated.filter(|o| o.adapter == *adapter);
+        matching.map(|o| o.version).max()
     }
-    /// the message that stands in the newest list
+    /// Returns the demand that is based on the newest list of back ends.
     pub fn newest(&self) -> Option<&AdapterDemand> {
-        self.each().max_by_key(|d| d.list_version)
+        self.all().max_by_key(|d| d.list_version)
     }
 
-    fn used(&self) -> Vec<AdapterUse> {
+    fn merged_uses(&self) -> Vec<AdapterUse> {
         let mut in_flight: BTreeMap<&AdapterRef, u32> = BTreeMap::new();
-        for used in self.each().flat_map(|d| &d.used) {
+        for used in self.all().flat_map(|d| &d.used) {
             *in_flight.entry(&used.adapter).or_default() += used.in_flight;
         }
         let uses = in_flight.into_iter().map(|(adapter, n)| AdapterUse {
@@ -115,10 +113,10 @@
         uses.collect()
     }
 
-    /// of each adapter the newest version that an entry knows
-    fn outdated(&self) -> Vec<HeldAdapter> {
+    /// Returns the newest version that any entry knows, for demands_by_entry outdated adapter.
+    fn merged_outdated(&self) -> Vec<HeldAdapter> {
         let mut newest: BTreeMap<&AdapterRef, u64> = BTreeMap::new();
-        for outdated in self.each().flat_map(|d| &d.outdated) {
+        for outdated in self.all().flat_map(|d| &d.outdated) {
             let version = newest.entry(&outdated.adapter).or_default();
             *version = outdated.version.max(*version);
         }
@@ -129,16 +127,16 @@
         outdated.collect()
     }
 
-    fn each(&self) -> impl Iterator<Item = &AdapterDemand> {
+    fn all(&self) -> impl Iterator<Item = &AdapterDemand> {
         self.demands.values().map(|(_, demand)| demand)
     }
 }
 
-/// weight of an adapter among those that wait to be loaded
-fn weight(wanted: &WantedAdapter) -> u32 {
-    let each = match wanted.priority {
-        MOST_URGENT => URGENT_WEIGHT,
-        _ => WEIGHT,
+/// Returns the weighted number of requests that wait for an adapter.
+fn weighted_waiting(wanted: &WantedAdapter) -> u32 {
+    let per_request = match wanted.priority {
+        MOST_URGENT_PRIORITY => URGENT_WEIGHT,
+        _ => NORMAL_WEIGHT,
     };
-    wanted.waiting * each
+    wanted.waiting * per_request
 }
--- a/coordination/src/placement/engine_order.rs
+++ b/coordination/src/placement/engine_order.rs
@@ -6,10 +6,10 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// what an engine is told to do
+/// An operation that a sidecar orders its engine to perform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum OrderKind {
-    /// bring in an adapter, or replace it by its newest version
+    /// Loads an adapter, or replaces it by its newest version.
     LoadAdapter(AdapterRef),
     UnloadAdapter(AdapterRef),
     LoadModel(BaseModelName),
@@ -25,30 +25,30 @@
     }
 }
 
-/// an order with what lets the engine refuse it
+/// An order with the identity and the fence that the engine checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineOrder {
     pub kind: OrderKind,
-    /// the incarnation that is meant
+    /// The incarnation of the engine that the order is meant for.
     pub backend: BackendId,
     pub fence: u64,
 }
 
-/// what became of an order
+/// The engine's response to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// it is being done
+    /// The engine has started the operation.
     Taken,
-    /// it is done already
+    /// Nothing to do: the engine is already in the requested state.
     Done,
-    /// another order is under way
+    /// The engine is performing another order.
     Busy,
-    /// a higher fence was seen
+    /// The engine has seen a higher fence.
     Fenced,
-    /// the engine is another incarnation, if it said which
+    /// The engine is another incarnation, with its name if it reported one.
     OtherBackend(Option<BackendName>),
-    /// the engine will not do it
+    /// The engine refused the operation.
     Refused,
-    /// no answer: it may have been taken
+    /// No response: the engine may have started the operation.
     Unknown,
 }
--- a/coordination/src/placement/engine_report.rs
+++ b/coordination/src/placement/engine_report.rs
@@ -3,20 +3,20 @@
     ids::BaseModelName,
 };
 
-/// what an engine says of itself
+/// The state of an engine as read from its status endpoint.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EngineReport {
     pub models: Vec<BaseModelName>,
     pub held: Vec<HeldAdapter>,
-    /// adapters on their way
+    /// Adapters that are being loaded.
     pub loading: Vec<AdapterRef>,
     pub busy: bool,
     pub running: u32,
     pub queued: u32,
-    /// of both, those whose prompts were not read to the end
+    /// Running and queued requests whose prefill has not ended.
     pub prefilling: u32,
     pub kv_used: u64,
     pub kv_total: u64,
-    /// Unix ms of its start; 0 where the platform does not tell it
+    /// Start time in Unix ms; 0 if the platform does not provide it.
     pub start_time_ms: u64,
 }
--- a/coordination/src/placement/fence_token.rs
+++ b/coordination/src/placement/fence_token.rs
@@ -1,33 +1,33 @@
-/// distance by which a refused token is raised
-const RAISE: u64 = 60_000;
+/// Increment over a refused token, in ms.
+const INCREMENT_MS: u64 = 60_000;
 
-/// the fencing token of one life of a sidecar.
+/// The fencing token of one incarnation of a sidecar.
 ///
-/// It starts from the clock, so that a later life is higher. The clock may
-/// have stood ahead during an earlier life: entries remember the token of that
-/// life and tell it with their needs, before the first order; and an engine
-/// that compares tokens refuses a lower one, which is raised, never repeated.
+/// The token starts at the time of day, so that a later incarnation has a higher
+/// one. If the clock has gone back since, the token is raised in two ways: entries
+/// send the highest token they have seen with their demands, before the first order,
+/// and a token that the engine refuses is raised and never used again.
 #[derive(Debug, Clone)]
 pub struct FenceToken {
     value: u64,
 }
 
 impl FenceToken {
-    /// `clock_ms` is the time of day at the start, in ms since the epoch
+    /// `clock_ms` is the time of day at the start, in ms since the Unix epoch.
     pub fn new(clock_ms: u64) -> Self {
         Self { value: clock_ms }
     }
     pub fn value(&self) -> u64 {
         self.value
     }
-    /// an earlier life of this sidecar has used `seen`
+    /// Raises the token above `seen`, which an earlier incarnation has used.
     pub fn on_seen(&mut self, seen: u64) {
         if seen > self.value {
             self.value = seen + 1;
         }
     }
-    /// the engine has seen a higher one than `refused`
+    /// Raises the token well above `refused`: the engine has seen a higher one.
     pub fn on_refused(&mut self, refused: u64) {
-        self.value = self.value.max(refused + RAISE);
+        self.value = self.value.max(refused + INCREMENT_MS);
     }
 }
--- a/coordination/src/placement/load_time_estimator.rs
+++ b/coordination/src/placement/load_time_estimator.rs
@@ -7,104 +7,110 @@
     },
 };
 
-/// time of a load before any was seen
-const LOAD_TIME_AT_FIRST: Duration = Duration::from_millis(300);
-/// a load that takes this many times as long as the fastest is one too many
-const SLOW_LOADS: f64 = 1.25;
-/// with each load the fastest counts for this much slower, so that a store that
-/// is slow for good is not held to it
-const FORGET_FASTEST: f64 = 1.02;
-/// no load is taken for faster than this: it was no load from the store
-const FASTEST_LOAD: Duration = Duration::from_millis(100);
-/// time to bring back what the engine held lately, before any was seen
-const RETURN_TIME_AT_FIRST: Duration = Duration::from_millis(40);
-/// weight of the latest load in the mean
-const LATEST_LOAD: f64 = 0.3;
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(300);
+const INITIAL_RELOAD_TIME: Duration = Duration::from_millis(40);
+/// The number of concurrent loads is lowered by one for each multiple of this ratio of
+/// the mean load time to the fastest one.
+const SLOWDOWN_PER_LOAD: f64 = 1.25;
+/// Growth of the fastest load time per load, so that the estimate follows a store that
+/// has become slower.
+const FASTEST_TIME_GROWTH: f64 = 1.02;
+/// Lower bound of the fastest load time; a shorter load did not come from the store.
+const MIN_LOAD_TIME: Duration = Duration::from_millis(100);
+/// Weight of the latest load in the moving average.
+const LATEST_LOAD_WEIGHT: f64 = 0.3;
 
-/// how long an engine's loads of adapters take, from the order to the report
-/// that has the adapter
+/// Estimates how long an engine takes to load an adapter, from the order to the first
+/// report that lists the adapter as held.
 #[derive(Debug)]
 pub struct LoadTimeEstimator {
     ordered: HashMap<AdapterRef, OrderedLoad>,
-    /// mean time of loads from the weight store
-    load: Duration,
-    /// the shortest of them
-    fastest: Duration,
-    /// mean time of loads of what was held lately
-    back: Duration,
+    /// Mean time of loads from the weight store.
+    load_time: Duration,
+    /// Shortest recent load from the weight store.
+    fastest_load_time: Duration,
+    /// Mean time of reloads of recently held adapters.
+    reload_time: Duration,
 }
 
-/// an adapter on its way
+/// A load that was ordered and has not ended.
 #[derive(Debug, Clone, Copy)]
 struct OrderedLoad {
-    at: Instant,
-    /// the engine has held it lately
-    returns: bool,
+    ordered_at: Instant,
+    /// The engine held the adapter recently.
+    is_reload: bool,
 }
 
 impl Default for LoadTimeEstimator {
     fn default() -> Self {
         Self {
             ordered: HashMap::new(),
-            load: LOAD_TIME_AT_FIRST,
-            fastest: LOAD_TIME_AT_FIRST,
-            back: RETURN_TIME_AT_FIRST,
+            load_time: INITIAL_LOAD_TIME,
+            fastest_load_time: INITIAL_LOAD_TIME,
+            reload_time: INITIAL_RELOAD_TIME,
         }
     }
 }
 
 impl LoadTimeEstimator {
-    /// an order was taken
-    pub fn on_load_ordered(&mut self, adapter: &AdapterRef, returns: bool, now: Instant) {
-        let load = OrderedLoad { at: now, returns };
+    /// Records that the engine accepted a load.
+    pub fn on_load_ordered(&mut self, adapter: &AdapterRef, is_reload: bool, now: Instant) {
+        let load = OrderedLoad {
+            ordered_at: now,
+            is_reload,
+        };
         self.ordered.insert(adapter.clone(), load);
     }
-    /// what was on its way will not come
+    /// Drops the pending loads, which will not complete.
     pub fn clear_ordered(&mut self) {
         self.ordered.clear();
     }
-    /// learn from the loads that have ended
+    /// Updates the estimates from the loads that have ended.
     pub fn on_report(&mut self, report: &EngineReport, now: Instant) {
-        let (mut load, mut back) = (self.load, self.back);
-        let mut fastest = self.fastest;
+        let (mut load_time, mut reload_time) = (self.load_time, self.reload_time);
+        let mut fastest = self.fastest_load_time;
         self.ordered.retain(|adapter, ordered| {
             let is_held = report.held.iter().any(|h| h.adapter == *adapter);
             let is_loading = report.loading.contains(adapter);
             if is_held && !is_loading {
-                let took = now.saturating_duration_since(ordered.at);
-                match ordered.returns {
-                    true => back = mean_with(back, took),
+                let elapsed = now.saturating_duration_since(ordered.ordered_at);
+                match ordered.is_reload {
+                    true => reload_time = moving_average(reload_time, elapsed),
                     false => {
-                        load = mean_with(load, took);
-                        fastest = fastest.mul_f64(FORGET_FASTEST).min(took).max(FASTEST_LOAD);
+                        load_time = moving_average(load_time, elapsed);
+                        fastest = fastest
+                            .mul_f64(FASTEST_TIME_GROWTH)
+                            .min(elapsed)
+                            .max(MIN_LOAD_TIME);
                     }
                 }
             }
             is_loading
         });
-        (self.load, self.fastest, self.back) = (load, fastest, back);
+        (self.load_time, self.fastest_load_time, self.reload_time) =
+            (load_time, fastest, reload_time);
     }
 
-    /// mean time of a load from the weight store
+    /// Returns the mean time of a load from the weight store.
     pub fn load_time(&self) -> Duration {
-        self.load
+        self.load_time
     }
-    /// mean time of a load of what was held lately
+    /// Returns the mean time of a reload of a recently held adapter.
     pub fn reload_time(&self) -> Duration {
-        self.back
+        self.reload_time
     }
-    /// Loads that should be under way at once, of `most`. The weight store serves a
-    /// number of loads at full speed, and more of them more slowly; so loads that
-    /// take longer than the fastest lately say that the fleet has too many.
-    pub fn max_concurrent_loads(&self, most: usize) -> usize {
-        let slowness = self.load.as_secs_f64() / self.fastest.as_secs_f64();
-        let fewer = (slowness / SLOW_LOADS) as usize;
-        most.saturating_sub(fewer).max(1)
+    /// Returns how many loads should run at a time, at most `limit`. The weight store
+    /// slows down when the fleet runs too many loads; load times above the fastest
+    /// recent one indicate this.
+    pub fn max_concurrent_loads(&self, limit: usize) -> usize {
+        let slowdown = self.load_time.as_secs_f64() / self.fastest_load_time.as_secs_f64();
+        let reduction = (slowdown / SLOWDOWN_PER_LOAD) as usize;
+        limit.saturating_sub(reduction).max(1)
     }
 }
 
-/// a mean of load times with one more of them
-fn mean_with(mean: Duration, took: Duration) -> Duration {
+/// Adds a load time to an exponential moving average.
+fn moving_average(mean: Duration, latest: Duration) -> Duration {
     let mean = mean.as_secs_f64();
-    Duration::from_secs_f64(mean + (took.as_secs_f64() - mean) * LATEST_LOAD)
+    Duration::from_secs_f64(mean + (latest.as_secs_f64() - mean) * LATEST_LOAD_WEIGHT)
 }
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! which adapters an engine holds: decided by the sidecar beside it, from what
-//! the entries need
+//! Placement of adapters on an engine, decided by the engine's sidecar from the demands of
+//! the entries.
 
 mod demand_table;
 mod engine_order;
--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -1,4 +1,4 @@
-//! which order the engine of a sidecar gets next
+//! Selection of the next order for the engine.
 
 use {
     super::{placement_control::OccupiedSlot, OrderKind, PlacementControl},
@@ -14,29 +14,30 @@
             return Some(order);
         }
         let loading = self.report.loading.len();
-        // nothing more is sent to an engine that leaves
-        if self.says_leaving || loading >= self.max_concurrent_loads() {
+        if self.is_engine_leaving || loading >= self.max_concurrent_loads() {
             return None;
         }
         if let Some(order) = self.replacement(now) {
             return Some(order);
         }
         let next = self.next_wanted(now)?;
-        let has_room = self.places.len() + self.new_loading() < self.capacity(&room);
-        match has_room {
+        let has_free_slot =
+            self.slots.len() + self.loading_into_free_slots() < self.capacity(&room);
+        match has_free_slot {
             true => Some(OrderKind::LoadAdapter(next)),
-            false => self.coldest(now).map(OrderKind::UnloadAdapter),
+            false => self.eviction_candidate(now).map(OrderKind::UnloadAdapter),
         }
     }
 
-    /// the base model that wanted adapters belong to and that is not there
+    /// Returns the order to load the base model of the wanted adapters if the engine holds
+    /// no model.
     fn missing_model(&mut self, room: &EngineRoom, now: Instant) -> Option<OrderKind> {
         if self.report.busy || !self.report.models.is_empty() {
             return None;
         }
-        let ordered = self.model_ordered;
-        let pause = self.settings.model_load_interval;
-        if ordered.is_some_and(|at| now.saturating_duration_since(at) < pause) {
+        let ordered = self.model_ordered_at;
+        let interval = self.settings.model_load_interval;
+        if ordered.is_some_and(|at| now.saturating_duration_since(at) < interval) {
             return None;
         }
         let wanted = self.demands.wanted();
@@ -44,21 +45,22 @@
             Some(wanted) => wanted.adapter.model.clone(),
             None => room.models.first()?.model.clone(),
         };
-        self.model_ordered = Some(now);
+        self.model_ordered_at = Some(now);
         Some(OrderKind::LoadModel(model))
     }
 
+    /// Returns the order to replace an outdated adapter by its newest version.
     fn replacement(&self, now: Instant) -> Option<OrderKind> {
-        let due = self.places.iter().find(|(adapter, place)| {
-            let Some(since) = place.outdated_since else {
+        let due = self.slots.iter().find(|(adapter, slot)| {
+            let Some(since) = slot.outdated_since else {
                 return false;
             };
             let waited = now.saturating_duration_since(since);
             let is_idle = self.demands.in_flight(adapter) == 0;
-            !place.replacing && (is_idle || waited >= self.settings.replace_after)
+            !slot.is_replacing && (is_idle || waited >= self.settings.replace_after)
         });
         let order = due.map(|(adapter, _)| OrderKind::LoadAdapter(adapter.clone()))?;
-        (!self.resting.contains_key(&order)).then_some(order)
+        (!self.retry_at.contains_key(&order)).then_some(order)
     }
 
     fn next_wanted(&self, now: Instant) -> Option<AdapterRef> {
@@ -66,68 +68,69 @@
         let mut missing = wanted.map(|w| w.adapter).filter(|adapter| {
             let order = OrderKind::LoadAdapter(adapter.clone());
             self.report.models.contains(&adapter.model)
-                && !self.places.contains_key(adapter)
+                && !self.slots.contains_key(adapter)
                 && !self.report.loading.contains(adapter)
-                && self.resting.get(&order).is_none_or(|until| *until <= now)
+                && self.retry_at.get(&order).is_none_or(|at| *at <= now)
         });
         missing.next()
     }
 
-    /// adapters on their way that take a place of their own
-    pub(super) fn new_loading(&self) -> usize {
+    /// Returns the number of loading adapters that replace no older version.
+    pub(super) fn loading_into_free_slots(&self) -> usize {
         let loading = self.report.loading.iter();
-        loading.filter(|a| !self.places.contains_key(a)).count()
+        loading.filter(|a| !self.slots.contains_key(a)).count()
     }
 
     pub(super) fn is_replacing(&self) -> bool {
-        self.places.values().any(|p| p.replacing)
+        self.slots.values().any(|s| s.is_replacing)
     }
 
-    /// adapters that fit the engine, by places and by weight
+    /// Returns the number of adapters that fit the engine's slots and its memory.
     fn capacity(&self, room: &EngineRoom) -> usize {
-        let held = room.models.iter();
-        let held = held.filter(|m| self.report.models.contains(&m.model));
-        let (mut left, mut largest) = (room.weights_mb, 0.0f64);
-        for model in held {
-            left -= model.weights_mb;
-            largest = largest.max(model.adapter_mb);
+        let models = room.models.iter();
+        let loaded = models.filter(|m| self.report.models.contains(&m.model));
+        let (mut free_mb, mut max_adapter_mb) = (room.weights_mb, 0.0f64);
+        for model in loaded {
+            free_mb -= model.weights_mb;
+            max_adapter_mb = max_adapter_mb.max(model.adapter_mb);
         }
-        let by_weight = match largest > 0.0 {
-            true => (left / largest).max(0.0) as usize,
+        let memory_capacity = match max_adapter_mb > 0.0 {
+            true => (free_mb / max_adapter_mb).max(0.0) as usize,
             false => usize::MAX,
         };
-        by_weight.min(room.adapter_slots as usize)
+        memory_capacity.min(room.adapter_slots as usize)
     }
 
-    /// the adapter that was not used for longest and that nobody needs
-    fn coldest(&self, now: Instant) -> Option<AdapterRef> {
+    /// Returns the least recently used of the adapters that may be evicted.
+    fn eviction_candidate(&self, now: Instant) -> Option<AdapterRef> {
         let evictable = self
-            .places
+            .slots
             .iter()
-            .filter(|(a, p)| self.is_evictable(a, p, now));
-        let coldest = evictable.min_by_key(|(adapter, place)| (place.last_used, *adapter));
-        coldest.map(|(adapter, _)| adapter.clone())
+            .filter(|(a, s)| self.is_evictable(a, s, now));
+        let oldest = evictable.min_by_key(|(adapter, slot)| (slot.last_used, *adapter));
+        oldest.map(|(adapter, _)| adapter.clone())
     }
 
-    fn is_evictable(&self, adapter: &AdapterRef, place: &OccupiedSlot, now: Instant) -> bool {
+    fn is_evictable(&self, adapter: &AdapterRef, slot: &OccupiedSlot, now: Instant) -> bool {
         let order = OrderKind::UnloadAdapter(adapter.clone());
-        now.saturating_duration_since(place.last_used) >= self.settings.min_idle
-            && !place.replacing
+        now.saturating_duration_since(slot.last_used) >= self.settings.min_idle
+            && !slot.is_replacing
             && self.demands.in_flight(adapter) == 0
             && !self.demands.is_wanted(adapter)
-            && !self.resting.contains_key(&order)
+            && !self.retry_at.contains_key(&order)
     }
 
+    /// Returns the number of slots that are free or can be freed by an eviction.
     pub(super) fn spare_slots(&self, now: Instant) -> u32 {
         let Some(demand) = self.demands.newest() else {
             return 0;
         };
         let capacity = self.capacity(&demand.room);
-        let taken = self.places.len() + self.new_loading();
+        let occupied = self.slots.len() + self.loading_into_free_slots();
         let evictable = self
-            .places
+            .slots
             .iter()
-            .filter(|(a, p)| self.is_evictable(a, p, now));
-        (capacity.saturating_sub(taken) + evictable.count()) as u32
+            .filter(|(a, s)| self.is_evictable(a, s, now));
+        (capacity.saturating_sub(occupied) + evictable.count()) as u32
     }
 }
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -17,147 +17,145 @@
     },
 };
 
-/// how often the engine is read while adapters are on their way
-const READ_LOADING: Duration = Duration::from_millis(20);
-/// and otherwise
-const READ_CALM: Duration = Duration::from_millis(100);
+/// Interval between reads of the engine while it loads adapters.
+const LOADING_READ_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between reads of the engine otherwise.
+const IDLE_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A report that is older than this says nothing of the engine: it is read each 100 ms and
-/// each call ends within 500 ms, so this process did not run meanwhile, or its machine was
-/// suspended.
-const REPORT_FRESH: Duration = Duration::from_secs(1);
+/// Age from which a report is discarded. Reads are more frequent and time out earlier, so
+/// an older report means that this process or its machine was suspended.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// what happens to the control state of a sidecar's placement
+/// An input of `PlacementControl`.
 #[derive(Debug)]
 pub enum PlacementEvent {
     Demand(AdapterDemand),
-    /// the engine was read
+    /// The engine was read.
     Report(EngineReport),
-    /// the engine could not be read
+    /// The engine could not be read.
     ReportFailed {
-        /// nobody listens at its address
+        /// Nothing listens at the engine's address.
         is_down: bool,
     },
-    /// the engine said which incarnation it is, or nothing
+    /// The engine's response to an identity request, with its name if it gave one.
     Identified(Option<BackendName>),
     OrderAnswered {
         order: EngineOrder,
         answer: OrderAnswer,
     },
-    /// the engine said this of itself, whatever it was asked
+    /// Signals about the engine's state, received with any of its responses.
     Signals(OwnWord),
 }
 
-/// what the process does next
+/// What the process must do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementAction {
-    /// ask the engine at this path which incarnation it is
+    /// Request the engine's identity at this path.
     Identify { health_path: String },
-    /// give this order
+    /// Send this order.
     Order(EngineOrder),
-    /// read the engine after this time at the latest
+    /// Read the engine at the latest after this time.
     Read { after: Duration },
-    /// ask nothing of the engine for this time
+    /// Send nothing to the engine for this time.
     BackOff { remaining: Duration },
 }
 
-/// an adapter that the engine holds
+/// A slot of the engine that holds an adapter.
 #[derive(Debug, Clone)]
 pub(super) struct OccupiedSlot {
     pub(super) version: u64,
     pub(super) last_used: Instant,
-    /// a newer version is known since then
+    /// When a newer version became known.
     pub(super) outdated_since: Option<Instant>,
-    /// its newer version was ordered
-    pub(super) replacing: bool,
+    /// The load of the newest version was ordered.
+    pub(super) is_replacing: bool,
 }
 
-/// which adapters one engine holds.
+/// Decides which adapters one engine holds.
 ///
-/// Orders are given one at a time, and the engine is read after each, by the
-/// same task, so that a report never describes the time before an order that
-/// was answered.
+/// One task sends one order at a time and reads the engine after each, so that no report
+/// is older than the last completed order.
 pub struct PlacementControl {
     pub(super) settings: PlacementSettings,
     fence: FenceToken,
     backend: BackendId,
-    /// the engine itself said so, in this life of it
+    /// The engine confirmed its name in its current incarnation.
     is_identified: bool,
-    asked_identity: Option<Instant>,
+    identity_requested_at: Option<Instant>,
     pub(super) demands: DemandTable,
-    pub(super) places: HashMap<AdapterRef, OccupiedSlot>,
+    pub(super) slots: HashMap<AdapterRef, OccupiedSlot>,
     pub(super) report: EngineReport,
-    /// the engine was read since its last change of incarnation or doubt
-    is_read: bool,
+    /// `report` is recent and describes the current incarnation.
+    is_report_valid: bool,
     read_at: Option<Instant>,
-    /// a life of the engine after which nobody listened at its address
+    /// The incarnation after which nothing listened at the engine's address.
     ended: Option<BackendId>,
-    /// orders that failed, and until when they rest
-    pub(super) resting: HashMap<OrderKind, Instant>,
-    /// the engine has said that it leaves
-    pub(super) says_leaving: bool,
-    /// the engine wants nothing of this machine before
-    rests_until: Option<Instant>,
-    /// requests that the engine takes, by its own word
+    /// When orders that failed may be retried.
+    pub(super) retry_at: HashMap<OrderKind, Instant>,
+    /// The engine has signalled that it is leaving.
+    pub(super) is_engine_leaving: bool,
+    /// End of the back-off that the engine requested from this machine.
+    backoff_until: Option<Instant>,
+    /// The request limit that the engine advertises.
     pub(super) limit: EngineLimit,
-    /// until when it is cold, by its own word
-    cold_until: Option<Instant>,
-    pub(super) model_ordered: Option<Instant>,
-    speed: LoadTimeEstimator,
-    lately: RecentAdapters,
+    /// End of the slow start that the engine signalled.
+    slow_start_until: Option<Instant>,
+    pub(super) model_ordered_at: Option<Instant>,
+    load_times: LoadTimeEstimator,
+    recent: RecentAdapters,
 }
 
 impl PlacementControl {
-    /// `clock_ms` is the time of day, in ms since the epoch
+    /// `clock_ms` is the time of day, in ms since the Unix epoch.
     pub fn new(settings: PlacementSettings, clock_ms: u64) -> Self {
         Self {
             settings,
             fence: FenceToken::new(clock_ms),
             backend: BackendId::default(),
             is_identified: false,
-            asked_identity: None,
+            identity_requested_at: None,
             demands: DemandTable::default(),
-            places: HashMap::new(),
+            slots: HashMap::new(),
             report: EngineReport::default(),
-            is_read: false,
+            is_report_valid: false,
             read_at: None,
             ended: None,
-            resting: HashMap::new(),
-            says_leaving: false,
-            rests_until: None,
+            retry_at: HashMap::new(),
+            is_engine_leaving: false,
+            backoff_until: None,
             limit: EngineLimit::default(),
-            cold_until: None,
-            model_ordered: None,
-            speed: LoadTimeEstimator::default(),
-            lately: RecentAdapters::default(),
+            slow_start_until: None,
+            model_ordered_at: None,
+            load_times: LoadTimeEstimator::default(),
+            recent: RecentAdapters::default(),
         }
     }
 
-    /// take in what happened
     pub fn handle(&mut self, event: PlacementEvent, now: Instant) {
         match event {
             PlacementEvent::Demand(demand) => self.on_demand(demand, now),
             PlacementEvent::Report(report) => self.on_report(report, now),
             PlacementEvent::ReportFailed { is_down } => self.on_report_failed(is_down),
             PlacementEvent::Identified(backend) => self.on_identified(backend, now),
-            PlacementEvent::OrderAnswered { order, answer } => self.on_answer(order, answer, now),
-            PlacementEvent::Signals(word) => self.on_own_word(word, now),
+            PlacementEvent::OrderAnswered { order, answer } => {
+                self.on_order_answered(order, answer, now)
+            }
+            PlacementEvent::Signals(signals) => self.on_signals(signals, now),
         }
     }
 
-    /// what to do now
     pub fn next_action(&mut self, now: Instant) -> PlacementAction {
-        self.doubt_after_pause(now);
+        self.discard_old_report(now);
         self.demands.expire(self.settings.entry_timeout, now);
-        self.resting.retain(|_, until| *until > now);
+        self.retry_at.retain(|_, at| *at > now);
         if let Some(remaining) = self.backoff_remaining(now) {
             return PlacementAction::BackOff { remaining };
         }
         if let Some(health_path) = self.identity_due(now) {
-            self.asked_identity = Some(now);
+            self.identity_requested_at = Some(now);
             return PlacementAction::Identify { health_path };
         }
-        if self.is_read && !self.backend.is_empty() {
+        if self.is_report_valid && !self.backend.is_empty() {
             if let Some(kind) = self.next_order(now) {
                 return PlacementAction::Order(EngineOrder {
                     kind,
@@ -167,19 +165,23 @@
             }
         }
         let is_loading = !self.report.loading.is_empty() || self.is_replacing();
-        let after = match is_loading || !self.is_read {
-            true => READ_LOADING,
-            false => READ_CALM,
+        let after = match is_loading || !self.is_report_valid {
+            true => LOADING_READ_INTERVAL,
+            false => IDLE_READ_INTERVAL,
         };
         PlacementAction::Read { after }
     }
 
-    /// what entries may know
+    /// Returns the state of the engine that is published to entries.
     pub fn view(&self, now: Instant) -> EngineView {
         let figures = EngineFigures {
             fence: self.fence.value(),
-            next_load_ms: self.next_load(self.speed.load_time(), now).as_millis() as u32,
-            next_return_ms: self.next_load(self.speed.reload_time(), now).as_millis() as u32,
+            next_load_ms: self
+                .expected_load_delay(self.load_times.load_time(), now)
+                .as_millis() as u32,
+            next_return_ms: self
+                .expected_load_delay(self.load_times.reload_time(), now)
+                .as_millis() as u32,
             spare_slots: self.spare_slots(now),
             running: self.report.running,
             queued: self.report.queued,
@@ -188,9 +190,9 @@
             kv_total: self.report.kv_total,
             entries: self.demands.entry_count(),
             is_down: Some(self.ended.as_ref() == Some(&self.backend)),
-            is_leaving: self.says_leaving,
+            is_leaving: self.is_engine_leaving,
             limit_milli_per_s: self.limit.named(now).map(RequestRate::milli),
-            cold_left_ms: self.cold_left_ms(now),
+            cold_left_ms: self.slow_start_left_ms(now),
             ..EngineFigures::default()
         };
         let mut view = EngineView {
@@ -198,11 +200,14 @@
             models: self.report.models.clone(),
             loading: self.report.loading.clone(),
             held: Vec::new(),
-            lately: self.lately.hashes().collect(),
+            lately: self.recent.hashes().collect(),
             figures,
         };
         let held = self.report.held.iter();
-        let ready = held.filter(|h| !self.places.get(&h.adapter).is_some_and(|p| p.replacing));
+        let ready = held.filter(|h| {
+            let slot = self.slots.get(&h.adapter);
+            !slot.is_some_and(|s| s.is_replacing)
+        });
         view.held = ready.cloned().collect();
         view.held.sort_by(|a, b| a.adapter.cmp(&b.adapter));
         view
@@ -212,63 +217,66 @@
         &self.backend
     }
 
-    /// Orders, reports and questions for its identity share a machine's rest with requests.
-    fn on_own_word(&mut self, word: OwnWord, now: Instant) {
-        self.says_leaving |= word.is_leaving;
-        self.limit.on_engine_word(word.limit, now);
-        if let Some(left) = word.cold {
-            self.cold_until = Some(now + left);
+    /// Applies the engine's signals. A requested back-off holds for everything that this
+    /// machine sends to the engine: orders, reads and identity requests.
+    fn on_signals(&mut self, signals: OwnWord, now: Instant) {
+        self.is_engine_leaving |= signals.is_leaving;
+        self.limit.on_engine_word(signals.limit, now);
+        if let Some(left) = signals.cold {
+            self.slow_start_until = Some(now + left);
         }
-        if let Some(rest) = word.rest {
-            let until = now + rest;
-            self.rests_until = Some(self.rests_until.map_or(until, |known| known.max(until)));
+        if let Some(backoff) = signals.rest {
+            let until = now + backoff;
+            self.backoff_until = Some(self.backoff_until.map_or(until, |known| known.max(until)));
         }
     }
-    /// an entry says what it heard of the engine's limit, and asks for permits
+    /// Records the limit that an entry observed and responds to its request for permits.
     pub fn on_admission_report(&mut self, report: &IntakeReport, now: Instant) -> IntakeAnswer {
         self.limit.on_report(&self.backend, report, now)
     }
-    fn cold_left_ms(&self, now: Instant) -> u16 {
-        let left = self.cold_until.map(|at| at.saturating_duration_since(now));
+    fn slow_start_left_ms(&self, now: Instant) -> u16 {
+        let until = self.slow_start_until;
+        let left = until.map(|at| at.saturating_duration_since(now));
         let left = left.map_or(0, |left| left.as_millis());
         u16::try_from(left).unwrap_or(u16::MAX)
     }
     fn backoff_remaining(&self, now: Instant) -> Option<Duration> {
-        let left = self.rests_until?.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+        let remaining = self.backoff_until?.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
     fn on_demand(&mut self, demand: AdapterDemand, now: Instant) {
         self.fence.on_seen(demand.fence_seen);
         for used in &demand.used {
-            if let Some(place) = self.places.get_mut(&used.adapter) {
-                place.last_used = now;
+            if let Some(slot) = self.slots.get_mut(&used.adapter) {
+                slot.last_used = now;
             }
         }
         for newer in &demand.outdated {
-            if let Some(place) = self.places.get_mut(&newer.adapter) {
-                if place.version < newer.version {
-                    place.outdated_since.get_or_insert(now);
+            if let Some(slot) = self.slots.get_mut(&newer.adapter) {
+                if slot.version < newer.version {
+                    slot.outdated_since.get_or_insert(now);
                 }
             }
         }
         self.demands.insert(demand, now);
         let newest = self.demands.newest().map(|d| d.backend.clone());
         if newest.as_ref().is_some_and(|b| b.name != self.backend.name) {
-            // the life that asked for it may be over
-            self.rests_until = None;
+            // the incarnation that requested the back-off may have ended
+            self.backoff_until = None;
         }
         if let Some(backend) = newest.filter(|_| !self.is_identified) {
-            self.follow_name(backend.name);
+            self.set_name(backend.name);
         }
     }
 
-    /// the path at which to ask, if the engine's identity is in doubt
+    /// Returns the path to request the engine's identity at, if it is unconfirmed and the
+    /// last request was not too recent.
     fn identity_due(&self, now: Instant) -> Option<String> {
-        let asked = self.asked_identity;
-        let pause = self.settings.identify_interval;
-        let is_too_soon = asked.is_some_and(|at| now.saturating_duration_since(at) < pause);
-        if self.is_identified || !self.is_read || is_too_soon {
+        let requested = self.identity_requested_at;
+        let interval = self.settings.identify_interval;
+        let is_too_soon = requested.is_some_and(|at| now.saturating_duration_since(at) < interval);
+        if self.is_identified || !self.is_report_valid || is_too_soon {
             return None;
         }
         let path = &self.demands.newest()?.health_path;
@@ -276,130 +284,129 @@
     }
 
     fn on_identified(&mut self, name: Option<BackendName>, now: Instant) {
-        self.asked_identity = Some(now);
+        self.identity_requested_at = Some(now);
         if let Some(name) = name {
             self.is_identified = true;
             if name == self.backend.name {
                 self.ended = None;
             }
-            // with another name nothing is known of its places until it is read again: an order
-            // by the report before would go beyond what the engine can hold
-            self.follow_name(name);
+            // a new name invalidates the report: orders based on it could exceed the slots
+            self.set_name(name);
         }
     }
 
-    /// no order is given by what was read before a pause
-    fn doubt_after_pause(&mut self, now: Instant) {
+    /// Discards a report from before a pause of this process, so that no order is based on
+    /// it.
+    fn discard_old_report(&mut self, now: Instant) {
         let age = self.read_at.map(|at| now.saturating_duration_since(at));
-        if age.is_some_and(|age| age > REPORT_FRESH) {
-            self.is_read = false;
+        if age.is_some_and(|age| age > MAX_REPORT_AGE) {
+            self.is_report_valid = false;
             self.is_identified = false;
             self.read_at = None;
         }
     }
 
-    /// it may come back as another incarnation
+    /// Requires a new identification: the engine may return as another incarnation.
     fn on_report_failed(&mut self, is_down: bool) {
         if is_down && !self.backend.is_empty() {
             self.ended = Some(self.backend.clone());
         }
-        self.is_read = false;
+        self.is_report_valid = false;
         self.is_identified = false;
     }
 
-    fn follow_name(&mut self, name: BackendName) {
+    fn set_name(&mut self, name: BackendName) {
         if self.backend.name != name {
             self.backend.name = name;
-            self.is_read = false;
-            self.forget_life();
+            self.is_report_valid = false;
+            self.reset_incarnation();
         }
     }
 
-    /// Nothing that was ordered or held outlives the engine's life. The time of the last
-    /// load of a base model does: an engine that starts again and again begins no more
-    /// loads than the weight store allows over all engines.
-    fn forget_life(&mut self) {
-        self.places.clear();
-        self.resting.clear();
-        self.rests_until = None;
-        self.says_leaving = false;
+    /// Clears the state of the previous incarnation. The time of the last load of a base
+    /// model is kept, so that an engine that restarts repeatedly does not overload the
+    /// weight store.
+    fn reset_incarnation(&mut self) {
+        self.slots.clear();
+        self.retry_at.clear();
+        self.backoff_until = None;
+        self.is_engine_leaving = false;
         self.limit = EngineLimit::default();
-        self.cold_until = None;
-        self.lately.clear();
-        self.speed.clear_ordered();
+        self.slow_start_until = None;
+        self.recent.clear();
+        self.load_times.clear_ordered();
     }
 
-    /// The engine has started again, under the name that it had or another one. Reports
-    /// are read one after the other, so that any other `born` is a later life, also one
-    /// that is smaller because the engine's clock stepped back.
-    fn on_born(&mut self, born: u64) {
-        self.backend.born = born;
+    /// Handles a restart of the engine. Reports are read in order, so that any other start
+    /// time is a later incarnation, even a smaller one after the engine's clock was set
+    /// back.
+    fn on_restart(&mut self, start_time_ms: u64) {
+        self.backend.born = start_time_ms;
         self.is_identified = false;
-        self.asked_identity = None;
-        self.forget_life();
+        self.identity_requested_at = None;
+        self.reset_incarnation();
     }
 
     fn on_report(&mut self, report: EngineReport, now: Instant) {
         if report.start_time_ms != self.backend.born {
-            self.on_born(report.start_time_ms);
+            self.on_restart(report.start_time_ms);
         }
-        let mut places = HashMap::with_capacity(report.held.len());
+        let mut slots = HashMap::with_capacity(report.held.len());
         for held in &report.held {
-            let known = self.places.get(&held.adapter);
-            let same = known.filter(|p| p.version == held.version).cloned();
-            let mut place = same.unwrap_or(OccupiedSlot {
+            let known = self.slots.get(&held.adapter);
+            let same = known.filter(|s| s.version == held.version).cloned();
+            let mut slot = same.unwrap_or(OccupiedSlot {
                 version: held.version,
                 last_used: now,
                 outdated_since: None,
-                replacing: false,
+                is_replacing: false,
             });
-            // a replacement that the engine no longer lists was not taken
-            place.replacing &= report.loading.contains(&held.adapter);
+            // the engine did not accept a replacement that it does not list
+            slot.is_replacing &= report.loading.contains(&held.adapter);
             let newest = self.demands.newest_version(&held.adapter);
-            if newest.is_some_and(|v| v > place.version) {
-                place.outdated_since.get_or_insert(now);
+            if newest.is_some_and(|v| v > slot.version) {
+                slot.outdated_since.get_or_insert(now);
             }
-            places.insert(held.adapter.clone(), place);
+            slots.insert(held.adapter.clone(), slot);
         }
-        self.remember_left(&report);
-        self.speed.on_report(&report, now);
-        self.places = places;
+        self.remember_evicted(&report);
+        self.load_times.on_report(&report, now);
+        self.slots = slots;
         self.report = report;
-        self.is_read = true;
+        self.is_report_valid = true;
         self.read_at = Some(now);
     }
 
-    /// loads that are under way at once
     pub(super) fn max_concurrent_loads(&self) -> usize {
-        let most = self.settings.max_concurrent_loads;
+        let limit = self.settings.max_concurrent_loads;
         match self.settings.mechanisms.loads_by_speed {
-            true => self.speed.max_concurrent_loads(most),
-            false => most,
+            true => self.load_times.max_concurrent_loads(limit),
+            false => limit,
         }
     }
 
-    /// what is no longer held may come back fast
-    fn remember_left(&mut self, report: &EngineReport) {
+    /// Remembers the adapters that the engine no longer holds, which it reloads quickly.
+    fn remember_evicted(&mut self, report: &EngineReport) {
         let is_held = |adapter: &AdapterRef| report.held.iter().any(|h| h.adapter == *adapter);
-        let left = self.places.keys().filter(|adapter| !is_held(adapter));
-        for adapter in left {
-            self.lately.insert(adapter_hash(adapter));
+        let evicted = self.slots.keys().filter(|adapter| !is_held(adapter));
+        for adapter in evicted {
+            self.recent.insert(adapter_hash(adapter));
         }
     }
 
-    /// time until an adapter that is wanted now would be there, if its load
-    /// alone takes `own`
-    fn next_load(&self, own: Duration, now: Instant) -> Duration {
+    /// Returns the time until an adapter that is requested now would be loaded, if its own
+    /// load takes `load_time`.
+    fn expected_load_delay(&self, load_time: Duration, now: Instant) -> Duration {
         let wanted = self.demands.wanted();
         let missing = wanted.iter().filter(|w| {
-            !self.places.contains_key(&w.adapter) && !self.report.loading.contains(&w.adapter)
+            !self.slots.contains_key(&w.adapter) && !self.report.loading.contains(&w.adapter)
         });
-        let before = missing.count() + self.report.loading.len();
-        let rounds = before / self.settings.max_concurrent_loads.max(1);
-        self.model_wait(now) + self.speed.load_time() * rounds as u32 + own
+        let loads_ahead = missing.count() + self.report.loading.len();
+        let rounds = loads_ahead / self.settings.max_concurrent_loads.max(1);
+        self.model_wait(now) + self.load_times.load_time() * rounds as u32 + load_time
     }
 
-    /// time until the base model is there, if it is not
+    /// Returns the time until the base model is loaded; zero if the engine holds a model.
     fn model_wait(&self, now: Instant) -> Duration {
         if !self.report.models.is_empty() {
             return Duration::ZERO;
@@ -407,40 +414,40 @@
         let demand = self.demands.newest();
         let model = demand.and_then(|d| d.room.models.first());
         let reload = model.map_or(0, |m| u64::from(m.reload_ms));
-        let ordered = self.model_ordered;
-        let passed = ordered.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        Duration::from_millis(reload).saturating_sub(passed)
+        let ordered = self.model_ordered_at;
+        let elapsed = ordered.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        Duration::from_millis(reload).saturating_sub(elapsed)
     }
 
-    fn on_answer(&mut self, order: EngineOrder, answer: OrderAnswer, now: Instant) {
-        // whatever it was, the engine is read before the next order
-        self.is_read = false;
+    fn on_order_answered(&mut self, order: EngineOrder, answer: OrderAnswer, now: Instant) {
+        // the engine is read again before the next order
+        self.is_report_valid = false;
         match answer {
-            OrderAnswer::Taken | OrderAnswer::Done => self.on_taken(&order.kind, now),
+            OrderAnswer::Taken | OrderAnswer::Done => self.on_order_accepted(&order.kind, now),
             OrderAnswer::Fenced => self.fence.on_refused(order.fence),
             OrderAnswer::OtherBackend(_) => {
                 self.is_identified = false;
-                self.asked_identity = None;
+                self.identity_requested_at = None;
             }
             OrderAnswer::Busy | OrderAnswer::Refused | OrderAnswer::Unknown => {
-                let until = now + self.settings.order_retry_delay;
-                self.resting.insert(order.kind, until);
+                let retry_at = now + self.settings.order_retry_delay;
+                self.retry_at.insert(order.kind, retry_at);
             }
         }
     }
 
-    fn on_taken(&mut self, kind: &OrderKind, now: Instant) {
+    fn on_order_accepted(&mut self, kind: &OrderKind, now: Instant) {
         match kind {
             OrderKind::LoadAdapter(adapter) => {
-                if let Some(place) = self.places.get_mut(adapter) {
-                    place.replacing = true;
+                if let Some(slot) = self.slots.get_mut(adapter) {
+                    slot.is_replacing = true;
                 }
-                let returns = self.lately.contains(adapter_hash(adapter));
-                self.speed.on_load_ordered(adapter, returns, now);
+                let is_reload = self.recent.contains(adapter_hash(adapter));
+                self.load_times.on_load_ordered(adapter, is_reload, now);
             }
             OrderKind::UnloadAdapter(adapter) => {
-                self.places.remove(adapter);
-                self.lately.insert(adapter_hash(adapter));
+                self.slots.remove(adapter);
+                self.recent.insert(adapter_hash(adapter));
                 self.report.held.retain(|h| h.adapter != *adapter);
             }
             OrderKind::LoadModel(_) => {}
--- a/coordination/src/placement/recent_adapters.rs
+++ b/coordination/src/placement/recent_adapters.rs
@@ -4,46 +4,45 @@
     std::collections::{HashSet, VecDeque},
 };
 
-/// adapters remembered of one engine; the oldest are forgotten. An engine's
-/// memory holds more of them
-const MOST: usize = 512;
+/// Adapters remembered per engine, fewer than fit an engine's host cache.
+const MAX_ADAPTERS: usize = 512;
 
-/// hash of an adapter's name, the same in every process
+/// Hash of an adapter's name; all processes compute the same one.
 pub type AdapterHash = u64;
 
 pub fn adapter_hash(adapter: &AdapterRef) -> AdapterHash {
     stable_hash(&adapter.to_string())
 }
 
-/// Adapters that one incarnation of an engine has held and holds no more. It
-/// brings these back from its own memory, in a part of the time that the weight
-/// store takes, and at no price.
+/// Adapters that one incarnation of an engine held recently and has evicted. The
+/// engine reloads them from its host cache, faster than from the weight store and
+/// without using its bandwidth.
 #[derive(Debug, Clone, Default)]
 pub struct RecentAdapters {
-    marks: HashSet<AdapterHash>,
+    hashes: HashSet<AdapterHash>,
     order: VecDeque<AdapterHash>,
 }
 
 impl RecentAdapters {
-    pub fn insert(&mut self, mark: AdapterHash) {
-        if !self.marks.insert(mark) {
+    pub fn insert(&mut self, hash: AdapterHash) {
+        if !self.hashes.insert(hash) {
             return;
         }
-        self.order.push_back(mark);
-        if self.order.len() > MOST {
+        self.order.push_back(hash);
+        if self.order.len() > MAX_ADAPTERS {
             if let Some(oldest) = self.order.pop_front() {
-                self.marks.remove(&oldest);
+                self.hashes.remove(&oldest);
             }
         }
     }
-    pub fn contains(&self, mark: AdapterHash) -> bool {
-        self.marks.contains(&mark)
+    pub fn contains(&self, hash: AdapterHash) -> bool {
+        self.hashes.contains(&hash)
     }
     pub fn clear(&mut self) {
-        self.marks.clear();
+        self.hashes.clear();
         self.order.clear();
     }
-    /// from the oldest on
+    /// Returns the hashes, oldest first.
     pub fn hashes(&self) -> impl Iterator<Item = AdapterHash> + '_ {
         self.order.iter().copied()
     }
--- a/coordination/src/placement/settings.rs
+++ b/coordination/src/placement/settings.rs
@@ -1,21 +1,21 @@
 use {crate::mechanisms::Mechanisms, std::time::Duration};
 
-/// bounds of what a sidecar orders
+/// Limits and delays of the orders that a sidecar gives to its engine.
 #[derive(Debug, Clone)]
 pub struct PlacementSettings {
-    /// adapters on their way to the engine at once, while loads are fast
+    /// Maximum number of concurrent loads; fewer run while loads are slow.
     pub max_concurrent_loads: usize,
-    /// an adapter that was used more lately than this is not evicted
+    /// Minimum time since the last use before an adapter is evicted.
     pub min_idle: Duration,
-    /// an entry that was silent for this long needs nothing
+    /// Time without a message after which the demand of an entry expires.
     pub entry_timeout: Duration,
-    /// an adapter in use is replaced by its newer version after this time
+    /// Time after which an outdated adapter is replaced although requests use it.
     pub replace_after: Duration,
-    /// pause before an order that failed is given again
+    /// Delay before a failed order is retried.
     pub order_retry_delay: Duration,
-    /// pause between two questions for the engine's identity
+    /// Minimum interval between requests for the engine's identity.
     pub identify_interval: Duration,
-    /// pause between two loads of a base model
+    /// Minimum interval between loads of a base model.
     pub model_load_interval: Duration,
     pub mechanisms: Mechanisms,
 }
