--- a/coordination/src/relay/direct_call_pacing.rs
+++ b/coordination/src/relay/direct_call_pacing.rs
@@ -1,30 +1,30 @@
 use std::time::{Duration, Instant};
 
-/// When an entry that has a relay may ask the store itself. A relay that lost the
-/// store goes on asking; while calls of the entry's own fail as well, the store is
-/// most likely away for all, and each further call of each entry is for nothing.
+/// Limits the direct calls to the store of an entry that has a relay. The relay retries
+/// on its own; if the entry's call fails as well, the store is probably unreachable for
+/// all, and more calls would only add load.
 #[derive(Debug)]
 pub struct DirectCallPacing {
-    /// rest after a call that failed
-    pause: Duration,
-    failed: Option<Instant>,
+    /// Back-off after a failed call.
+    backoff: Duration,
+    failed_at: Option<Instant>,
 }
 
 impl DirectCallPacing {
-    pub fn new(pause: Duration) -> Self {
+    pub fn new(backoff: Duration) -> Self {
         Self {
-            pause,
-            failed: None,
+            backoff,
+            failed_at: None,
         }
     }
     pub fn may_call(&self, now: Instant) -> bool {
-        let failed = self.failed;
-        failed.is_none_or(|at| now.saturating_duration_since(at) >= self.pause)
+        let failed_at = self.failed_at;
+        failed_at.is_none_or(|at| now.saturating_duration_since(at) >= self.backoff)
     }
     pub fn on_failure(&mut self, now: Instant) {
-        self.failed = Some(now);
+        self.failed_at = Some(now);
     }
     pub fn on_success(&mut self) {
-        self.failed = None;
+        self.failed_at = None;
     }
 }
--- a/coordination/src/relay/mod.rs
+++ b/coordination/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! who hears whom in a large fleet: some sidecars of each availability zone
-//! pass on what all engines say, and gather what the entries of the zone need
+//! Relays of a large fleet: some sidecars of each availability zone fan out the views of
+//! all engines to the zone's entries and merge the entries' demands.
 
 mod direct_call_pacing;
 mod published_cache;
--- a/coordination/src/relay/published_cache.rs
+++ b/coordination/src/relay/published_cache.rs
@@ -11,12 +11,12 @@
     },
 };
 
-/// back ends that are gone and remembered, so that entries hear of them
-const MOST_GONE: usize = 2_000;
+/// Removed back ends that are remembered, so that entries receive the removal.
+const MAX_REMOVED_BACKENDS: usize = 2_000;
 
-/// what a record speaks of; a later one replaces it
+/// The key of a record; a later record with the same key replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum RecordKey {
     Table,
     Version(AdapterRef),
     Backend(BackendName),
@@ -24,20 +24,21 @@
     Other(String),
 }
 
-/// One topic of the platform's store, as a relay has heard it. Revisions are the
-/// store's, so that an entry may go from one relay to another, or to the store.
+/// A relay's copy of one topic of the platform's store. Revisions are those of the store,
+/// so that an entry may switch to another relay or to the store itself.
 #[derive(Debug)]
 pub struct PublishedCache {
-    /// a relay that has not heard the store for longer does not speak for it
+    /// Time without data from the store after which the copy is stale.
     stale_after: Duration,
-    records: BTreeMap<Subject, (u64, Record)>,
-    /// revision up to which all is known
-    at: u64,
-    heard: Option<Instant>,
-    /// when the store knew nothing newer
+    /// Records with the revisions at which they changed.
+    records: BTreeMap<RecordKey, (u64, Record)>,
+    /// Revision up to which the copy is complete.
+    revision: u64,
+    received_at: Option<Instant>,
+    /// Last time at which the store had nothing newer.
     current_at: Option<Instant>,
-    /// changes up to this revision may be forgotten
-    forgotten_to: u64,
+    /// Changes up to this revision may be missing from the copy.
+    history_lost_to: u64,
 }
 
 impl PublishedCache {
@@ -45,88 +46,89 @@
         Self {
             stale_after,
             records: BTreeMap::new(),
-            at: 0,
-            heard: None,
+            revision: 0,
+            received_at: None,
             current_at: None,
-            forgotten_to: 0,
+            history_lost_to: 0,
         }
     }
 
-    /// take in all records of the topic, or those that have changed; the store knew
-    /// nothing newer at `current_at`
-    pub fn apply(&mut self, heard: Snapshot, is_whole: bool, current_at: Instant, now: Instant) {
-        if heard.at < self.at {
-            // an answer of an earlier state says nothing
+    /// Applies a listing of the topic (`is_full`) or a set of changes; the store had
+    /// nothing newer at `current_at`.
+    pub fn apply(&mut self, update: Snapshot, is_full: bool, current_at: Instant, now: Instant) {
+        if update.at < self.revision {
+            // an earlier state does not show that the store can still be reached
             return;
         }
-        self.heard = Some(now);
+        self.received_at = Some(now);
         self.current_at = self.current_at.max(Some(current_at));
-        if is_whole {
-            self.note_missing(&heard);
-            // What came and went before it is not known here: an entry that knows the
-            // topic up to an earlier revision must hear all of it.
-            self.forgotten_to = heard.at;
+        if is_full {
+            self.record_removals(&update);
+            // Changes before the listing are unknown, so that an entry at an earlier
+            // revision must read the topic in full.
+            self.history_lost_to = update.at;
         }
-        self.at = heard.at;
-        for record in heard.records {
-            let subject = subject(&record);
-            // What a watch tells is news for who knows the topic up to the revision
-            // before, also where a later page of a whole had it already: pages are no
-            // snapshot, and the whole counts as of its first.
-            let known = self.records.get(&subject);
-            if !is_whole || known.is_none_or(|(_, known)| *known != record) {
-                self.records.insert(subject, (heard.at, record));
+        self.revision = update.at;
+        for record in update.records {
+            let key = record_key(&record);
+            // A change gets its revision even if the listing contained it already. The
+            // pages of a listing are no snapshot: a later page may include changes after
+            // the listing's revision, which is that of its first page.
+            let known = self.records.get(&key);
+            if !is_full || known.is_none_or(|(_, known)| *known != record) {
+                self.records.insert(key, (update.at, record));
             }
         }
-        self.forget_gone();
+        self.drop_old_removals();
     }
 
-    /// whether the store has answered at all
+    /// Returns whether any data was received from the store.
     pub fn has_received(&self) -> bool {
-        self.heard.is_some()
+        self.received_at.is_some()
     }
 
-    /// the answer to an entry that knows the topic up to `after` and asked at
-    /// `asked`; none if there is nothing newer
+    /// Returns the response to an entry that knows the topic up to revision `after` and
+    /// sent its request at `requested_at`; `None` if there is nothing newer.
     pub fn response(
         &self,
         after: Option<u64>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) -> Option<PublishedAnswer> {
-        let age = self.heard.map(|at| now.saturating_duration_since(at));
+        let age = self.received_at.map(|at| now.saturating_duration_since(at));
         if age.is_none_or(|age| age > self.stale_after) {
             return Some(PublishedAnswer::Stale);
         }
         let Some(after) = after else {
-            let is_there = |record: &&Record| !matches!(record, Record::BackendGone(_));
+            let is_present = |record: &&Record| !matches!(record, Record::BackendGone(_));
             let records = self.records.values().map(|(_, record)| record);
-            return Some(self.records(records.filter(is_there).cloned().collect(), asked));
+            let present = records.filter(is_present).cloned().collect();
+            return Some(self.records_response(present, requested_at));
         };
-        if after < self.forgotten_to {
+        if after < self.history_lost_to {
             return Some(PublishedAnswer::HistoryLost);
         }
         let newer = self.records.values().filter(|(at, _)| *at > after);
         let newer: Vec<Record> = newer.map(|(_, record)| record.clone()).collect();
-        (!newer.is_empty()).then(|| self.records(newer, asked))
+        (!newer.is_empty()).then(|| self.records_response(newer, requested_at))
     }
 
-    /// the answer to an entry that has waited long enough for something newer
-    pub fn empty_response(&self, after: Option<u64>, asked: Instant) -> PublishedAnswer {
-        let at = self.at.max(after.unwrap_or(0));
+    /// Returns the response to an entry whose wait for a change has timed out.
+    pub fn empty_response(&self, after: Option<u64>, requested_at: Instant) -> PublishedAnswer {
+        let at = self.revision.max(after.unwrap_or(0));
         let records = Vec::new();
-        self.answer_with(Snapshot { records, at }, asked)
+        self.snapshot_response(Snapshot { records, at }, requested_at)
     }
 
-    fn records(&self, records: Vec<Record>, asked: Instant) -> PublishedAnswer {
-        let at = self.at;
-        self.answer_with(Snapshot { records, at }, asked)
+    fn records_response(&self, records: Vec<Record>, requested_at: Instant) -> PublishedAnswer {
+        let at = self.revision;
+        self.snapshot_response(Snapshot { records, at }, requested_at)
     }
 
-    fn answer_with(&self, snapshot: Snapshot, asked: Instant) -> PublishedAnswer {
+    fn snapshot_response(&self, snapshot: Snapshot, requested_at: Instant) -> PublishedAnswer {
         let current_ms = match self.current_at {
-            Some(at) if at >= asked => at.duration_since(asked).as_millis() as i64,
-            Some(at) => -(asked.duration_since(at).as_millis() as i64) - 1,
+            Some(at) if at >= requested_at => at.duration_since(requested_at).as_millis() as i64,
+            Some(at) => -(requested_at.duration_since(at).as_millis() as i64) - 1,
             None => return PublishedAnswer::Stale,
         };
         PublishedAnswer::Records {
@@ -135,55 +137,57 @@
         }
     }
 
-    /// back ends that are not in the whole are gone, and zones are evacuated no more
-    fn note_missing(&mut self, whole: &Snapshot) {
-        let listed: Vec<Subject> = whole.records.iter().map(subject).collect();
-        for (subject, (at, record)) in &mut self.records {
-            if listed.contains(subject) {
+    /// Records which known back ends and evacuations of zones a listing no longer contains.
+    fn record_removals(&mut self, listing: &Snapshot) {
+        let listed: Vec<RecordKey> = listing.records.iter().map(record_key).collect();
+        for (key, (at, record)) in &mut self.records {
+            if listed.contains(key) {
                 continue;
             }
             match record {
                 Record::Backend(backend) => {
                     *record = Record::BackendGone(backend.id.name.clone());
-                    *at = whole.at;
+                    *at = listing.at;
                 }
                 Record::Zone { is_evacuated, .. } if *is_evacuated => {
                     *is_evacuated = false;
-                    *at = whole.at;
+                    *at = listing.at;
                 }
                 _ => {}
             }
         }
     }
 
-    fn forget_gone(&mut self) {
-        let gone = self.records.values();
-        let gone = gone.filter(|(_, record)| matches!(record, Record::BackendGone(_)));
-        let mut gone_at: Vec<u64> = gone.map(|(at, _)| *at).collect();
-        if gone_at.len() <= MOST_GONE {
+    /// Drops the older half of the remembered removals once there are too many.
+    fn drop_old_removals(&mut self) {
+        let records = self.records.values();
+        let removed = records.filter(|(_, record)| matches!(record, Record::BackendGone(_)));
+        let mut removed_at: Vec<u64> = removed.map(|(at, _)| *at).collect();
+        if removed_at.len() <= MAX_REMOVED_BACKENDS {
             return;
         }
-        gone_at.sort_unstable();
-        let bound = gone_at[gone_at.len() / 2];
-        self.forgotten_to = bound;
-        let is_kept =
-            |(at, record): &(u64, Record)| !matches!(record, Record::BackendGone(_)) || *at > bound;
-        self.records.retain(|_, row| is_kept(row));
+        removed_at.sort_unstable();
+        let median = removed_at[removed_at.len() / 2];
+        self.history_lost_to = median;
+        let is_kept = |(at, record): &(u64, Record)| {
+            !matches!(record, Record::BackendGone(_)) || *at > median
+        };
+        self.records.retain(|_, entry| is_kept(entry));
     }
 }
 
-fn subject(record: &Record) -> Subject {
+fn record_key(record: &Record) -> RecordKey {
     match record {
-        Record::Table(_) => Subject::Table,
-        Record::AdapterVersion { adapter, .. } => Subject::Version(adapter.clone()),
-        Record::Backend(backend) => Subject::Backend(backend.id.name.clone()),
-        Record::BackendGone(id) => Subject::Backend(id.clone()),
-        Record::Zone { zone, .. } => Subject::Zone(zone.clone()),
-        // an entry must hear of it in the place of what it knows
+        Record::Table(_) => RecordKey::Table,
+        Record::AdapterVersion { adapter, .. } => RecordKey::Version(adapter.clone()),
+        Record::Backend(backend) => RecordKey::Backend(backend.id.name.clone()),
+        Record::BackendGone(id) => RecordKey::Backend(id.clone()),
+        Record::Zone { zone, .. } => RecordKey::Zone(zone.clone()),
+        // has the key of the readable record, so that it replaces that one at entries
         Record::Unreadable { subject, key, .. } => match subject {
-            RecordSubject::Table => Subject::Table,
-            RecordSubject::Backend(name) => Subject::Backend(name.clone()),
-            RecordSubject::Other => Subject::Other(key.clone()),
+            RecordSubject::Table => RecordKey::Table,
+            RecordSubject::Backend(name) => RecordKey::Backend(name.clone()),
+            RecordSubject::Other => RecordKey::Other(key.clone()),
         },
     }
 }
--- a/coordination/src/relay/relay_pacing.rs
+++ b/coordination/src/relay/relay_pacing.rs
@@ -1,39 +1,40 @@
 use {crate::following::FollowPacing, std::time::Duration};
 
-/// parts of the time within which all must know a change: the wait of one watch
-/// of the store, the pause after a change of the list, and the time without an
-/// answer after which a relay no longer speaks for the store. The rest is for the
-/// entry's own call
-const WAIT_PART: f64 = 0.3;
-const PAUSE_PART: f64 = 0.2;
-const STALE_PART: f64 = 0.6;
-/// part of it in which an entry whose own call failed leaves the asking to its relay
-const OWN_CALL_PART: f64 = 0.25;
+// Fractions of the propagation limit. What remains after `STALE_FRACTION` is left for the
+// entry's direct call to the store.
+const WATCH_WAIT_FRACTION: f64 = 0.3;
+const CHANGE_PAUSE_FRACTION: f64 = 0.2;
+const STALE_FRACTION: f64 = 0.6;
+const DIRECT_CALL_PAUSE_FRACTION: f64 = 0.25;
 
-/// How often a relay asks the store. A relay that is cut off from it silently
-/// must be found out soon enough for its entries to ask the store themselves.
+/// Intervals at which a relay reads the store. They are short enough that entries notice
+/// a relay that lost the store and call the store directly within the propagation limit.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayPacing {
-    /// time within which a change of the list or of the configuration must be
-    /// known to all
+    /// Maximum time until all entries know a change of the back ends or of the
+    /// configuration.
     pub propagation_limit: Duration,
 }
 
 impl RelayPacing {
+    /// Returns how long one watch of the store waits for a change.
     pub fn watch_wait(&self) -> Duration {
-        self.propagation_limit.mul_f64(WAIT_PART)
+        self.propagation_limit.mul_f64(WATCH_WAIT_FRACTION)
     }
-    /// how a relay follows the store
     pub fn watch_pacing(&self) -> FollowPacing {
         FollowPacing::holding(self.watch_wait())
     }
+    /// Returns the pause of the watch after a change of the back ends.
     pub fn pause_after_change(&self) -> Duration {
-        self.propagation_limit.mul_f64(PAUSE_PART)
+        self.propagation_limit.mul_f64(CHANGE_PAUSE_FRACTION)
     }
+    /// Returns the back-off of an entry after its direct call to the store failed.
     pub fn direct_call_pause(&self) -> Duration {
-        self.propagation_limit.mul_f64(OWN_CALL_PART)
+        self.propagation_limit.mul_f64(DIRECT_CALL_PAUSE_FRACTION)
     }
+    /// Returns the time without a response of the store after which a relay reports that
+    /// its records are stale.
     pub fn stale_after(&self) -> Duration {
-        self.propagation_limit.mul_f64(STALE_PART)
+        self.propagation_limit.mul_f64(STALE_FRACTION)
     }
 }
--- a/coordination/src/relay/relay_selector.rs
+++ b/coordination/src/relay/relay_selector.rs
@@ -9,31 +9,31 @@
     },
 };
 
-/// engines from which on an entry hears them by a relay. With fewer of them the
-/// links of its own cost less than the detour
+/// Number of engines from which entries use relays; with fewer, direct links cost less.
 pub const MIN_ENGINES_FOR_RELAYS: usize = 24;
-/// sidecars of an availability zone that its entries use at a time, so that one
-/// may die, freeze or be cut off
+/// Number of relays that the entries of an availability zone use at a time; more than one,
+/// so that the failure of a relay does not affect all entries.
 pub const RELAYS_PER_ZONE: usize = 2;
-/// a relay that failed is left alone for this long
-const REST: Duration = Duration::from_secs(5);
+/// Time for which a failed relay is not selected.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
 
-/// an engine whose sidecar may be a relay
+/// An engine whose sidecar may be a relay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayCandidate {
-    /// the engine's address
+    /// The engine's address.
     pub engine: SocketAddr,
     pub zone: ZoneName,
 }
 
-/// Chooses the relay of one entry. Nobody is elected: entries of a zone rank
-/// the listed engines alike, and lists that differ for a moment do no harm.
+/// Selects the relay of one entry. There is no election: all entries of a zone rank the
+/// listed engines by rendezvous hash and get the same order. Lists that differ for a while
+/// only cause the use of more relays.
 #[derive(Debug)]
 pub struct RelaySelector {
     zone: ZoneName,
     zone_hash: u64,
     entry_hash: u64,
-    failed: HashMap<SocketAddr, Instant>,
+    failed_at: HashMap<SocketAddr, Instant>,
 }
 
 impl RelaySelector {
@@ -42,52 +42,56 @@
             zone: zone.clone(),
             zone_hash: stable_hash(zone),
             entry_hash: stable_hash(entry),
-            failed: HashMap::new(),
+            failed_at: HashMap::new(),
         }
     }
 
-    /// a relay was silent, or can't be reached
+    /// Records that a relay was unresponsive or could not be reached.
     pub fn on_failure(&mut self, relay: SocketAddr, now: Instant) {
-        self.failed.insert(relay, now);
+        self.failed_at.insert(relay, now);
     }
 
-    /// the engine whose sidecar is to be used; the present one as long as it is
-    /// among the first of the zone
+    /// Returns the engine whose sidecar to use as the relay: `current` while it is among
+    /// the first healthy ones of the zone's order, else the first healthy one of the
+    /// entry's order, else the one that failed first.
     pub fn select(
         &mut self,
         candidates: &[RelayCandidate],
-        present: Option<SocketAddr>,
+        current: Option<SocketAddr>,
         now: Instant,
     ) -> Option<SocketAddr> {
-        self.failed
-            .retain(|_, at| now.saturating_duration_since(*at) < REST);
+        self.failed_at
+            .retain(|_, at| now.saturating_duration_since(*at) < FAILURE_BACKOFF);
         let ranked = self.rank(candidates);
-        let mut sound = ranked.iter().filter(|addr| !self.failed.contains_key(addr));
-        let first: Vec<SocketAddr> = sound.by_ref().take(RELAYS_PER_ZONE).copied().collect();
-        if let Some(present) = present.filter(|present| first.contains(present)) {
-            return Some(present);
+        let is_healthy = |addr: &&SocketAddr| !self.failed_at.contains_key(*addr);
+        let mut healthy = ranked.iter().filter(is_healthy);
+        let first: Vec<SocketAddr> = healthy.by_ref().take(RELAYS_PER_ZONE).copied().collect();
+        if let Some(current) = current.filter(|current| first.contains(current)) {
+            return Some(current);
         }
-        let own = self.own_order(&ranked);
-        let is_sound = |addr: &&SocketAddr| !self.failed.contains_key(*addr);
-        let chosen = own.iter().find(is_sound);
-        chosen.or_else(|| self.longest_rested(&ranked)).copied()
+        let entry_order = self.entry_order(&ranked);
+        let selected = entry_order.iter().find(is_healthy);
+        selected.or_else(|| self.earliest_failed(&ranked)).copied()
     }
 
-    /// The engine whose sidecar reads the store for all entries of the zone, the
-    /// first that is sound: one reader a zone, while views come by several relays.
+    /// Returns the engine whose sidecar reads the store for all entries of the zone, the
+    /// first healthy one of the zone's order. A zone has one reader of the store, whereas
+    /// views come from several relays.
     pub fn select_store_reader(
         &mut self,
         candidates: &[RelayCandidate],
         now: Instant,
     ) -> Option<SocketAddr> {
-        self.failed
-            .retain(|_, at| now.saturating_duration_since(*at) < REST);
+        self.failed_at
+            .retain(|_, at| now.saturating_duration_since(*at) < FAILURE_BACKOFF);
         let ranked = self.rank(candidates);
-        let mut sound = ranked.iter().filter(|addr| !self.failed.contains_key(addr));
-        sound.next().copied()
+        let is_healthy = |addr: &&SocketAddr| !self.failed_at.contains_key(*addr);
+        let mut healthy = ranked.iter().filter(is_healthy);
+        healthy.next().copied()
     }
 
-    /// engines of the own zone, then those of the others, in the zone's order
+    /// Returns the engines in the zone's order: those of this zone first, each part ranked
+    /// by rendezvous hash.
     fn rank(&self, candidates: &[RelayCandidate]) -> Vec<SocketAddr> {
         let mut ranked: Vec<_> = candidates
             .iter()
@@ -98,22 +102,22 @@
             })
             .collect();
         ranked.sort();
-        // two incarnations may be listed at one address
+        // two incarnations may be listed under one address
         ranked.dedup();
         ranked.into_iter().map(|(_, _, engine)| engine).collect()
     }
 
-    /// the entries of a zone share its relays evenly
-    fn own_order(&self, ranked: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut own = ranked.to_vec();
-        let shared = RELAYS_PER_ZONE.min(own.len());
+    /// Rotates the zone's first relays by the entry's hash, so that they share the load.
+    fn entry_order(&self, ranked: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut order = ranked.to_vec();
+        let shared = RELAYS_PER_ZONE.min(order.len());
         if shared > 0 {
-            own[..shared].rotate_left((self.entry_hash % shared as u64) as usize);
+            order[..shared].rotate_left((self.entry_hash % shared as u64) as usize);
         }
-        own
+        order
     }
 
-    fn longest_rested<'r>(&self, ranked: &'r [SocketAddr]) -> Option<&'r SocketAddr> {
-        ranked.iter().min_by_key(|addr| self.failed.get(addr))
+    fn earliest_failed<'r>(&self, ranked: &'r [SocketAddr]) -> Option<&'r SocketAddr> {
+        ranked.iter().min_by_key(|addr| self.failed_at.get(addr))
     }
 }
--- a/coordination/src/relay/relay_state.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -15,86 +15,86 @@
     },
 };
 
-/// an entry that was silent for this long needs nothing; entries speak each
-/// 900 ms
-const ENTRY_SILENCE: Duration = Duration::from_secs(3);
+/// Time without a message after which an entry expires; entries send one every 900 ms.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a relay knows: what its entries need of each engine, and what the
-/// sidecar of each engine has said.
+/// The state of a relay: the demands of its entries for each engine, and the views that
+/// the engines' sidecars reported.
 #[derive(Debug)]
 pub struct RelayState {
     name: BoxName,
-    /// when each entry spoke
+    /// Time of the last message of each entry.
     entries: HashMap<BoxName, Instant>,
     engines: BTreeMap<SocketAddr, RelayedEngine>,
-    /// engines whose word entries have not heard
-    with_news: BTreeSet<SocketAddr>,
-    /// engines that nobody follows any more, of which entries have not heard it
-    forgotten: BTreeSet<SocketAddr>,
-    /// engines whose sidecar has not heard what is needed
-    with_demand: BTreeSet<SocketAddr>,
+    /// Engines whose newest view has not been sent to entries.
+    unsent_views: BTreeSet<SocketAddr>,
+    /// Engines without demand whose removal has not been sent to entries.
+    unsent_removals: BTreeSet<SocketAddr>,
+    /// Engines whose merged demand has not been sent to their sidecar.
+    unsent_demands: BTreeSet<SocketAddr>,
 }
 
-/// one engine, as its sidecar tells it
+/// One engine, as its sidecar reports it.
 #[derive(Debug)]
 struct RelayedEngine {
     demands: DemandTable,
-    /// the newest view, none while its sidecar is silent
+    /// The newest view; `None` while the sidecar is unresponsive.
     view: Option<EngineView>,
-    /// what entries have heard
-    told: Option<EngineView>,
-    lately: RecentAdapters,
-    heard: Instant,
+    /// The view that was sent to entries.
+    sent_view: Option<EngineView>,
+    recent: RecentAdapters,
+    received_at: Instant,
 }
 
 impl RelayState {
-    /// `name` is that of the relay's box
+    /// `name` is the name of the relay's box.
     pub fn new(name: BoxName) -> Self {
         Self {
             name,
             entries: HashMap::new(),
             engines: BTreeMap::new(),
-            with_news: BTreeSet::new(),
-            forgotten: BTreeSet::new(),
-            with_demand: BTreeSet::new(),
+            unsent_views: BTreeSet::new(),
+            unsent_removals: BTreeSet::new(),
+            unsent_demands: BTreeSet::new(),
         }
     }
 
-    /// an entry says what it needs; says whether the engines to follow changed
+    /// Applies the demands of an entry. Returns whether the set of watched engines changed.
     pub fn on_demands(&mut self, message: RelayDemands, now: Instant) -> bool {
         let entry = message.entry;
         self.entries.insert(entry.clone(), now);
         if message.is_whole {
-            self.forget_entry(&entry);
+            self.remove_demands_of(&entry);
         }
         let known = self.engines.len();
-        for told in message.engines {
-            let engine = self.engines.entry(told.engine);
+        for update in message.engines {
+            let engine = self.engines.entry(update.engine);
             let engine = engine.or_insert_with(|| RelayedEngine::new(now));
-            match told.demand {
+            match update.demand {
                 Some(demand) => engine.demands.insert(demand, now),
                 None => engine.demands.remove(&entry),
             }
-            self.with_demand.insert(told.engine);
+            self.unsent_demands.insert(update.engine);
         }
-        let has_more = self.engines.len() != known;
-        self.forget_engines() || has_more
+        let has_added = self.engines.len() != known;
+        self.remove_engines_without_demand() || has_added
     }
 
-    /// forget entries that are silent; says whether the engines to follow changed
+    /// Removes entries that are unresponsive. Returns whether the set of watched engines
+    /// changed.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let is_silent = |at: &Instant| now.saturating_duration_since(*at) >= ENTRY_SILENCE;
-        let silent = self.entries.iter().filter(|(_, at)| is_silent(at));
-        let silent: Vec<BoxName> = silent.map(|(entry, _)| entry.clone()).collect();
-        for entry in &silent {
+        let is_expired = |at: &Instant| now.saturating_duration_since(*at) >= ENTRY_TIMEOUT;
+        let expired = self.entries.iter().filter(|(_, at)| is_expired(at));
+        let expired: Vec<BoxName> = expired.map(|(entry, _)| entry.clone()).collect();
+        for entry in &expired {
             self.entries.remove(entry);
-            self.forget_entry(entry);
+            self.remove_demands_of(entry);
         }
-        !silent.is_empty() && self.forget_engines()
+        !expired.is_empty() && self.remove_engines_without_demand()
     }
 
-    /// the sidecar of an engine has spoken; says whether entries should hear it
-    /// at once
+    /// Stores a view that an engine's sidecar reported. Returns whether to send it to
+    /// entries without delay.
     pub fn on_view(&mut self, engine: SocketAddr, view: EngineView, now: Instant) -> bool {
         let Some(known) = self.engines.get_mut(&engine) else {
             return false;
@@ -102,17 +102,17 @@
         let before = known.view.as_ref();
         let is_urgent = before.is_none_or(|before| view.is_urgent_by_relay_after(before));
         known.on_view(view, now);
-        self.with_news.insert(engine);
+        self.unsent_views.insert(engine);
         is_urgent
     }
 
-    /// nothing but the figures of an engine has changed; says whether entries
-    /// should hear it at once
+    /// Updates the stats of an engine whose view is otherwise unchanged. Returns whether to
+    /// send them to entries without delay.
     pub fn on_stats(
         &mut self,
         engine: SocketAddr,
         backend: &BackendId,
-        figures: EngineFigures,
+        stats: EngineFigures,
         now: Instant,
     ) -> bool {
         let Some(known) = self.engines.get_mut(&engine) else {
@@ -122,32 +122,32 @@
         let Some(view) = view.filter(|view| view.backend == *backend) else {
             return false;
         };
-        let had_spare = view.figures.spare_slots > 0;
+        let had_spare_slots = view.figures.spare_slots > 0;
         let before = view.figures;
-        view.figures = figures;
-        known.heard = now;
-        self.with_news.insert(engine);
-        had_spare != (figures.spare_slots > 0) || figures.binds_otherwise_than(&before)
+        view.figures = stats;
+        known.received_at = now;
+        self.unsent_views.insert(engine);
+        had_spare_slots != (stats.spare_slots > 0) || stats.binds_otherwise_than(&before)
     }
 
-    /// the sidecar of an engine is silent
+    /// Records that the sidecar of an engine is unresponsive.
     pub fn on_unresponsive(&mut self, engine: SocketAddr, now: Instant) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.view = None;
-            known.heard = now;
-            self.with_news.insert(engine);
+            known.received_at = now;
+            self.unsent_views.insert(engine);
         }
     }
 
-    /// what entries have not heard, for all of them
+    /// Returns the update to send to all entries and marks it as sent.
     pub fn take_update(&mut self, now: Instant) -> RelayUpdate {
-        let forgotten = std::mem::take(&mut self.forgotten);
-        let mut news: Vec<EngineNews> = forgotten.into_iter().map(silent).collect();
-        for addr in std::mem::take(&mut self.with_news) {
+        let removed = std::mem::take(&mut self.unsent_removals);
+        let mut news: Vec<EngineNews> = removed.into_iter().map(removal).collect();
+        for addr in std::mem::take(&mut self.unsent_views) {
             let Some(engine) = self.engines.get_mut(&addr) else {
                 continue;
             };
-            news.extend(engine.take_word().map(|word| EngineNews {
+            news.extend(engine.take_change().map(|word| EngineNews {
                 engine: addr,
                 age_ms: engine.age_ms(now),
                 word,
@@ -156,24 +156,25 @@
         RelayUpdate { news }
     }
 
-    /// what an entry that comes in now must hear, to follow the news from here on
+    /// Returns the views sent so far, for an entry that connects now and receives the
+    /// updates from here on.
     pub fn full_update(&self, now: Instant) -> RelayUpdate {
-        let told = self.engines.iter().filter_map(|(addr, engine)| {
-            let view = engine.told.as_ref()?;
+        let sent = self.engines.iter().filter_map(|(addr, engine)| {
+            let view = engine.sent_view.as_ref()?;
             Some(EngineNews {
                 engine: *addr,
                 age_ms: engine.age_ms(now),
-                word: EngineWord::View(ViewUpdate::Whole(engine.with_lately(view))),
+                word: EngineWord::View(ViewUpdate::Whole(engine.with_recent(view))),
             })
         });
         RelayUpdate {
-            news: told.collect(),
+            news: sent.collect(),
         }
     }
 
-    /// what sidecars must hear now
+    /// Returns the demands to send to sidecars and marks them as sent.
     pub fn take_due_demands(&mut self) -> Vec<(SocketAddr, AdapterDemand)> {
-        let due = std::mem::take(&mut self.with_demand);
+        let due = std::mem::take(&mut self.unsent_demands);
         let demands = due.into_iter().filter_map(|addr| {
             let engine = self.engines.get(&addr)?;
             Some((addr, engine.demands.merged_demand(&self.name)?))
@@ -181,7 +182,7 @@
         demands.collect()
     }
 
-    /// engines that entries follow
+    /// Returns the engines that entries watch.
     pub fn engines(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.engines.keys().copied()
     }
@@ -189,29 +190,29 @@
         self.entries.len()
     }
 
-    fn forget_entry(&mut self, entry: &BoxName) {
+    fn remove_demands_of(&mut self, entry: &BoxName) {
         for (addr, engine) in &mut self.engines {
             engine.demands.remove(entry);
-            self.with_demand.insert(*addr);
+            self.unsent_demands.insert(*addr);
         }
     }
 
-    /// says whether any was forgotten
-    fn forget_engines(&mut self) -> bool {
+    /// Returns whether any engine was removed.
+    fn remove_engines_without_demand(&mut self) -> bool {
         let known = self.engines.len();
-        let forgotten = &mut self.forgotten;
+        let unsent_removals = &mut self.unsent_removals;
         self.engines.retain(|addr, engine| {
-            let is_followed = !engine.demands.is_empty();
-            if !is_followed && engine.told.is_some() {
-                forgotten.insert(*addr);
+            let has_demand = !engine.demands.is_empty();
+            if !has_demand && engine.sent_view.is_some() {
+                unsent_removals.insert(*addr);
             }
-            is_followed
+            has_demand
         });
         self.engines.len() != known
     }
 }
 
-fn silent(engine: SocketAddr) -> EngineNews {
+fn removal(engine: SocketAddr) -> EngineNews {
     EngineNews {
         engine,
         age_ms: 0,
@@ -224,9 +225,9 @@
         Self {
             demands: DemandTable::default(),
             view: None,
-            told: None,
-            lately: RecentAdapters::default(),
-            heard: now,
+            sent_view: None,
+            recent: RecentAdapters::default(),
+            received_at: now,
         }
     }
 
@@ -234,47 +235,49 @@
         match &self.view {
             Some(before) if before.backend == view.backend => {
                 let is_held = |a: &AdapterRef| view.held.iter().any(|h| h.adapter == *a);
-                let left = before.held.iter().map(|h| &h.adapter);
-                let left = left.filter(|adapter| !is_held(adapter));
-                left.for_each(|adapter| self.lately.insert(adapter_hash(adapter)));
+                let held = before.held.iter().map(|h| &h.adapter);
+                let evicted = held.filter(|adapter| !is_held(adapter));
+                evicted.for_each(|adapter| self.recent.insert(adapter_hash(adapter)));
             }
-            _ => self.lately.clear(),
+            _ => self.recent.clear(),
         }
-        let marks = std::mem::take(&mut view.lately);
-        marks.into_iter().for_each(|mark| self.lately.insert(mark));
+        let hashes = std::mem::take(&mut view.lately);
+        hashes.into_iter().for_each(|hash| self.recent.insert(hash));
         self.view = Some(view);
-        self.heard = now;
+        self.received_at = now;
     }
 
-    /// the smallest message that tells entries the newest view
-    fn take_word(&mut self) -> Option<EngineWord> {
-        let word = match (&mut self.told, &self.view) {
+    /// Returns the smallest message that brings entries to the newest view, and marks that
+    /// view as sent.
+    fn take_change(&mut self) -> Option<EngineWord> {
+        let change = match (&mut self.sent_view, &self.view) {
             (None, None) => return None,
             (Some(_), None) => EngineWord::Silent,
-            (None, Some(view)) => EngineWord::View(ViewUpdate::Whole(self.with_lately(view))),
-            (Some(told), Some(view)) if !told.differs_in_holdings(view) => {
-                told.figures = view.figures;
+            (None, Some(view)) => EngineWord::View(ViewUpdate::Whole(self.with_recent(view))),
+            (Some(sent), Some(view)) if !sent.differs_in_holdings(view) => {
+                sent.figures = view.figures;
                 return Some(EngineWord::View(ViewUpdate::Figures(view.figures)));
             }
-            (Some(told), Some(view)) => match ViewUpdate::between(told, view) {
+            (Some(sent), Some(view)) => match ViewUpdate::between(sent, view) {
                 ViewUpdate::Whole(view) => {
-                    EngineWord::View(ViewUpdate::Whole(self.with_lately(&view)))
+                    EngineWord::View(ViewUpdate::Whole(self.with_recent(&view)))
                 }
-                change => EngineWord::View(change),
+                update => EngineWord::View(update),
             },
         };
-        self.told = self.view.clone();
-        Some(word)
+        self.sent_view = self.view.clone();
+        Some(change)
     }
 
-    fn with_lately(&self, view: &EngineView) -> EngineView {
+    /// Returns the view with the recently held adapters that this relay knows of.
+    fn with_recent(&self, view: &EngineView) -> EngineView {
         EngineView {
-            lately: self.lately.hashes().collect(),
+            lately: self.recent.hashes().collect(),
             ..view.clone()
         }
     }
 
     fn age_ms(&self, now: Instant) -> u32 {
-        now.saturating_duration_since(self.heard).as_millis() as u32
+        now.saturating_duration_since(self.received_at).as_millis() as u32
     }
 }
