--- a/coordination/src/sidecar/actions.rs
+++ b/coordination/src/sidecar/actions.rs
@@ -6,14 +6,14 @@
     std::{net::SocketAddr, time::Instant},
 };
 
-/// what each order to an engine carries
+/// The incarnation and the fence that each order to an engine carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderFence {
     pub incarnation: Incarnation,
     pub fence: Fence,
 }
 
-/// what a sidecar does next
+/// What the sidecar must do next.
 #[derive(Debug, Clone)]
 pub enum SidecarAction {
     ReadEngine,
@@ -28,18 +28,17 @@
     },
     Run {
         work: Box<WorkOrder>,
-        /// none for a plain service
+        /// `None` for a plain service.
         order: Option<OrderFence>,
-        /// aged priority, for the engine
+        /// The request's priority after aging, for the engine.
         priority: u8,
-        /// not sent after this
+        /// The work is not sent after this time.
         deadline: Instant,
-        /// when the request came in
         arrived: Instant,
-        /// it waited for a load
+        /// The request waited for the load of its adapter.
         has_stalled: bool,
     },
-    /// stop a run; its end is still awaited
+    /// Stop a run; `SidecarEvent::RunEnded` still follows.
     StopRun {
         request: RequestId,
     },
@@ -64,6 +63,6 @@
         reply: ReplyId,
         outcome: Outcome,
     },
-    /// nothing runs and nothing will
+    /// The drain is complete: nothing runs, and nothing more will start.
     Drained,
 }
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -8,36 +8,36 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// names an asker that waits for an answer
+/// Identifies a caller that waits for a response.
 pub type ReplyId = u64;
 
-/// how an order to an engine ended
+/// The result of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
     Done,
-    /// the engine says that it did not do it
+    /// The engine reported a failure.
     Failed,
-    /// the engine refused the fence or the incarnation
+    /// The engine refused the fence or the incarnation.
     Fenced,
-    /// no answer: it may be done now or later
+    /// No response: the order may be executed now or later.
     Unknown,
 }
 
-/// how a run ended
+/// The end of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
     pub outcome: Outcome,
-    /// none if the answer is whole
+    /// `None` if the response is complete.
     pub failure: Option<Reason>,
     pub detail: String,
-    /// tokens generated
+    /// Number of generated tokens.
     pub tokens: u64,
     pub duration: Duration,
-    /// the engine may still be running it
+    /// The engine may still execute the request.
     pub may_still_run: bool,
 }
 
-/// what happens to a sidecar
+/// An input of `SidecarControl`.
 #[derive(Debug, Clone)]
 pub enum SidecarEvent {
     Arrived(Box<WorkOrder>),
@@ -49,7 +49,7 @@
         reply: ReplyId,
         request: RequestId,
     },
-    /// the engine's answer; none if it can't be reached
+    /// The engine's status; `None` if the engine can't be reached.
     EngineRead(Option<EngineStatus>),
     FenceTakeEnded {
         incarnation: Incarnation,
@@ -71,7 +71,7 @@
         request: RequestId,
         end: RunEnd,
     },
-    /// the giver's answer; none if it can't be reached
+    /// The permit issuer's response; `None` if the issuer can't be reached.
     PermitRequestEnded {
         adapter: AdapterKey,
         response: Option<PermitAnswer>,
--- a/coordination/src/sidecar/load_table.rs
+++ b/coordination/src/sidecar/load_table.rs
@@ -8,107 +8,107 @@
     },
 };
 
-/// assumed until a load was measured
+/// Load time assumed before the first measurement.
 const DEFAULT_LOAD_TIME: Duration = Duration::from_millis(500);
-/// weight of the newest measurement
-const SMOOTHING: f64 = 0.2;
-/// how long a permit of a fixed rate may be used
-const STATIC_LEASE: Duration = Duration::from_secs(5);
+/// Weight of the latest measurement in the moving average.
+const LATEST_WEIGHT: f64 = 0.2;
+/// Validity of a permit under `PermitMode::StaticShare`.
+const STATIC_SHARE_LEASE: Duration = Duration::from_secs(5);
 
-/// how far the way to a load has come
+/// State of the permit for a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PermitState {
-    /// not asked, or told to ask again at this time
-    AskAt(Instant),
-    Asked,
-    /// may load until this time
-    Held(Instant),
+    /// No permit; to be requested at this time.
+    RequestAt(Instant),
+    Requested,
+    /// The load may start before this time.
+    GrantedUntil(Instant),
 }
 
-/// an adapter that waiting requests lack
+/// An adapter that is to be loaded for queued requests.
 #[derive(Debug)]
 pub(super) struct PendingLoad {
     pub(super) since: Instant,
     pub(super) permit: PermitState,
-    /// asks without an answer
-    pub(super) unanswered: u32,
-    /// loads that failed
-    pub(super) failed: u32,
+    pub(super) failed_permit_requests: u32,
+    pub(super) failed_loads: u32,
 }
 
 impl PendingLoad {
     pub(super) fn new(now: Instant) -> Self {
         Self {
             since: now,
-            permit: PermitState::AskAt(now),
-            unanswered: 0,
-            failed: 0,
+            permit: PermitState::RequestAt(now),
+            failed_permit_requests: 0,
+            failed_loads: 0,
         }
     }
 }
 
-/// the loads that are wished for
+/// The pending loads and unloads of an engine.
 #[derive(Debug)]
 pub(super) struct LoadTable {
     pub(super) issuer: Option<SocketAddr>,
-    /// wishes that are on their way, the most urgent ones
-    pub(super) wishes: HashMap<AdapterKey, PendingLoad>,
-    /// adapters that waiting requests lack, on their way or not
-    pub(super) wished_count: usize,
-    /// requests that waited for a load
+    /// The most urgent missing adapters, whose loads are being prepared or executed.
+    pub(super) pending: HashMap<AdapterKey, PendingLoad>,
+    /// Number of adapters that queued requests need and that are not loaded.
+    pub(super) missing_count: usize,
+    /// Queued requests that waited for a load.
     pub(super) stalled: HashSet<RequestId>,
-    /// adapters whose unload is under way
     pub(super) unloading: HashSet<AdapterKey>,
-    /// from the wish for an adapter until it is loaded, in seconds
-    wish_time: Option<f64>,
-    /// when a fixed rate allows the next load
-    static_next: Option<Instant>,
+    /// Mean time from the need for an adapter until it is loaded, in seconds.
+    mean_load_delay_s: Option<f64>,
+    /// Time of the next load under `PermitMode::StaticShare`.
+    next_static_permit: Option<Instant>,
 }
 
 impl LoadTable {
     pub(super) fn new() -> Self {
         Self {
             issuer: None,
-            wishes: HashMap::new(),
-            wished_count: 0,
+            pending: HashMap::new(),
+            missing_count: 0,
             stalled: HashSet::new(),
             unloading: HashSet::new(),
-            wish_time: None,
-            static_next: None,
+            mean_load_delay_s: None,
+            next_static_permit: None,
         }
     }
-    /// an entry said who gives permits
-    pub(super) fn on_issuer(&mut self, issuer: Option<SocketAddr>) {
+    /// Updates the address of the permit issuer, if the entry knows one.
+    pub(super) fn set_issuer(&mut self, issuer: Option<SocketAddr>) {
         if issuer.is_some() {
             self.issuer = issuer;
         }
     }
-    /// time from the wish for an adapter until it is loaded, smoothed
-    pub(super) fn expected_time(&self) -> Duration {
-        let seconds = self.wish_time.unwrap_or(DEFAULT_LOAD_TIME.as_secs_f64());
+    /// Returns the mean time from the need for an adapter until it is loaded.
+    pub(super) fn expected_load_delay(&self) -> Duration {
+        let seconds = self
+            .mean_load_delay_s
+            .unwrap_or(DEFAULT_LOAD_TIME.as_secs_f64());
         Duration::from_secs_f64(seconds)
     }
+    /// Returns whether the request waited for a load, and forgets it.
     pub(super) fn take_stalled(&mut self, request: &str) -> bool {
         self.stalled.remove(request)
     }
-    /// the slots were read anew, after every earlier order
-    pub(super) fn forget_orders(&mut self) {
+    /// Drops the unloads in progress, after the slots were read behind every earlier order.
+    pub(super) fn clear_unloading(&mut self) {
         self.unloading.clear();
     }
-    /// the next load of a fixed rate
-    pub(super) fn next_static(&mut self, rate: f64, now: Instant) -> PermitState {
-        match self.static_next {
-            Some(next) if now < next => PermitState::AskAt(next),
+    /// Returns the state of a permit at a fixed rate in loads per second.
+    pub(super) fn static_permit(&mut self, rate: f64, now: Instant) -> PermitState {
+        match self.next_static_permit {
+            Some(next) if now < next => PermitState::RequestAt(next),
             _ => {
-                self.static_next = Some(now + Duration::from_secs_f64(1.0 / rate));
-                PermitState::Held(now + STATIC_LEASE)
+                self.next_static_permit = Some(now + Duration::from_secs_f64(1.0 / rate));
+                PermitState::GrantedUntil(now + STATIC_SHARE_LEASE)
             }
         }
     }
-    /// an adapter was loaded this long after the wish for it
-    pub(super) fn measure(&mut self, since_wish: Duration) {
-        let newest = since_wish.as_secs_f64();
-        let before = self.wish_time.unwrap_or(newest);
-        self.wish_time = Some(before + SMOOTHING * (newest - before));
+    /// Adds a load delay to the moving average.
+    pub(super) fn record_load_delay(&mut self, delay: Duration) {
+        let latest = delay.as_secs_f64();
+        let mean = self.mean_load_delay_s.unwrap_or(latest);
+        self.mean_load_delay_s = Some(mean + LATEST_WEIGHT * (latest - mean));
     }
 }
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -1,4 +1,4 @@
-//! loads and unloads of adapters, and the permits for them
+//! Loads and unloads of adapters, and the permits for loads.
 
 use {
     super::{
@@ -11,71 +11,74 @@
     std::time::{Duration, Instant},
 };
 
-/// asks without an answer after which a load goes ahead without a permit
-const MAX_UNANSWERED: u32 = 2;
-/// pause after an ask without an answer
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
-/// how long a load may go ahead without a permit
-const UNGIVEN_LEASE: Duration = Duration::from_millis(500);
-/// failed loads after which the waiting requests are refused
+/// Failed permit requests after which a load starts without a permit.
+const MAX_FAILED_PERMIT_REQUESTS: u32 = 2;
+/// Delay before a failed permit request is retried.
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time within which a load without a permit may start.
+const NO_PERMIT_LEASE: Duration = Duration::from_millis(500);
+/// Failed loads after which the requests for the adapter are rejected.
 const MAX_FAILED_LOADS: u32 = 3;
-/// pause after the first failed load; doubles each time
-const FAILED_LOAD_PAUSE: Duration = Duration::from_millis(100);
+/// Base of the exponential back-off after failed loads.
+const FAILED_LOAD_BACKOFF: Duration = Duration::from_millis(100);
 
 impl SidecarControl {
-    /// move the most urgent wishes one step on; the others wait here, so that
-    /// the issuer hears only of what may be loaded next
-    pub(super) fn load_what_waits(&mut self, now: Instant) {
-        let wished = self.wished_adapters(now);
-        self.loads.wished_count = wished.len();
-        let under_way = self.slots.loading_count() + self.loads.unloading.len();
-        let places = self.settings.max_concurrent_loads.saturating_sub(under_way);
-        let mut next = wished;
-        // loading, unloading, or running empty for another
+    /// Advances the loads of the most urgent missing adapters, as many as may run at a
+    /// time; no permits are requested for the others yet.
+    pub(super) fn advance_loads(&mut self, now: Instant) {
+        let missing = self.missing_adapters(now);
+        self.loads.missing_count = missing.len();
+        let in_progress = self.slots.loading_count() + self.loads.unloading.len();
+        let free = self
+            .settings
+            .max_concurrent_loads
+            .saturating_sub(in_progress);
+        let mut next = missing;
+        // skip adapters that are loading, unloading or draining
         next.retain(|key| self.slots.phase(key).is_none());
         if next.is_empty() {
             self.slots.stop_draining();
         }
-        next.truncate(places);
-        self.drop_other_wishes(&next);
+        next.truncate(free);
+        self.drop_other_loads(&next);
         for key in &next {
-            self.advance_wish(key, now);
+            self.advance_load(key, now);
         }
     }
 
-    /// how long a request for an adapter that is not loaded would wait for
-    /// it; zero while no other load is waited for, so that a bad measurement
-    /// can't keep the next one from being made
+    /// Returns how long a request would wait for an adapter that is not loaded. Zero while
+    /// no other load is pending: otherwise one long measurement would reject all requests,
+    /// and no load would correct it.
     pub(super) fn expected_stall(&self, key: &AdapterKey) -> Duration {
-        let is_wished = self.slots.phase(key).is_some() || self.loads.wishes.contains_key(key);
-        let before = self
+        let is_pending = self.slots.phase(key).is_some() || self.loads.pending.contains_key(key);
+        let rounds = self
             .loads
-            .wished_count
+            .missing_count
             .div_ceil(self.settings.max_concurrent_loads.max(1));
-        match is_wished {
+        match is_pending {
             true => Duration::ZERO,
-            false => self.loads.expected_time() * before as u32,
+            false => self.loads.expected_load_delay() * rounds as u32,
         }
     }
 
     pub(super) fn on_permit(
         &mut self,
         key: &AdapterKey,
-        answer: Option<PermitAnswer>,
+        response: Option<PermitAnswer>,
         now: Instant,
     ) {
-        let Some(wish) = self.loads.wishes.get_mut(key) else {
-            if matches!(answer, Some(PermitAnswer::Granted { .. })) {
+        let Some(load) = self.loads.pending.get_mut(key) else {
+            if matches!(response, Some(PermitAnswer::Granted { .. })) {
                 self.return_permit(key);
             }
             return;
         };
-        wish.permit = match answer {
-            Some(PermitAnswer::Granted { lease }) => PermitState::Held(now + lease),
-            Some(PermitAnswer::Wait { retry_after }) => PermitState::AskAt(now + retry_after),
+        load.permit = match response {
+            Some(PermitAnswer::Granted { lease }) => PermitState::GrantedUntil(now + lease),
+            Some(PermitAnswer::Wait { retry_after }) => PermitState::RequestAt(now + retry_after),
             None => {
-                wish.unanswered += 1;
-                PermitState::AskAt(now + UNANSWERED_PAUSE)
+                load.failed_permit_requests += 1;
+                PermitState::RequestAt(now + PERMIT_RETRY_DELAY)
             }
         };
     }
@@ -85,19 +88,19 @@
         key: &AdapterKey,
         incarnation: Incarnation,
         result: OrderResult,
-        took: Duration,
+        duration: Duration,
         now: Instant,
     ) {
         self.return_permit(key);
         match result {
             OrderResult::Done => {
-                let wish = self.loads.wishes.remove(key);
-                // the way to the permit is a part of what requests wait for
-                let waited = wish.map(|w| now.saturating_duration_since(w.since));
-                self.loads.measure(waited.unwrap_or(took));
+                let load = self.loads.pending.remove(key);
+                // requests wait for the permit as well as for the load
+                let delay = load.map(|l| now.saturating_duration_since(l.since));
+                self.loads.record_load_delay(delay.unwrap_or(duration));
             }
             OrderResult::Failed => self.on_load_failed(key, now),
-            OrderResult::Fenced | OrderResult::Unknown => self.doubt(),
+            OrderResult::Fenced | OrderResult::Unknown => self.invalidate_engine_state(),
         }
         let is_current = self.order_fence().map(|o| o.incarnation) == Some(incarnation);
         if is_current {
@@ -119,105 +122,109 @@
                     self.slots.end_unload(key);
                 }
             }
-            OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => self.doubt(),
+            OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => {
+                self.invalidate_engine_state()
+            }
         }
     }
 
-    /// adapters that waiting requests lack, the most urgent first
-    fn wished_adapters(&mut self, now: Instant) -> Vec<AdapterKey> {
-        let mut wished = Vec::new();
+    /// Returns the adapters that queued requests need and that are not loaded, the most
+    /// urgent first.
+    fn missing_adapters(&mut self, now: Instant) -> Vec<AdapterKey> {
+        let mut missing = Vec::new();
         for request in self.queue.order(now) {
-            let Some(waiting) = self.queue.get(&request) else {
+            let Some(queued) = self.queue.get(&request) else {
                 continue;
             };
-            let Some(key) = waiting.adapter.clone() else {
+            let Some(key) = queued.adapter.clone() else {
                 continue;
             };
-            if !self.is_stalled(waiting) {
+            if !self.is_stalled(queued) {
                 continue;
             }
             self.loads.stalled.insert(request);
-            if !wished.contains(&key) {
-                wished.push(key);
+            if !missing.contains(&key) {
+                missing.push(key);
             }
         }
         let queue = &self.queue;
         self.loads.stalled.retain(|request| queue.contains(request));
-        wished
+        missing
     }
 
-    /// forget wishes that are gone or outranked; one whose load failed keeps
-    /// its count of failures
-    fn drop_other_wishes(&mut self, next: &[AdapterKey]) {
-        let is_kept = |key: &AdapterKey, wish: &PendingLoad| {
-            let is_waited_for = || self.queue.iter().any(|w| w.adapter.as_ref() == Some(key));
-            let is_under_way = next.contains(key) || self.slots.phase(key).is_some();
-            is_under_way || (wish.failed > 0 && is_waited_for())
+    /// Drops pending loads that are no longer needed or no longer among the next ones. A
+    /// load that failed is kept with its count of failures while requests wait for it.
+    fn drop_other_loads(&mut self, next: &[AdapterKey]) {
+        let is_kept = |key: &AdapterKey, load: &PendingLoad| {
+            let is_needed = || self.queue.iter().any(|w| w.adapter.as_ref() == Some(key));
+            let is_in_progress = next.contains(key) || self.slots.phase(key).is_some();
+            is_in_progress || (load.failed_loads > 0 && is_needed())
         };
-        let wishes = self.loads.wishes.iter();
-        let dropped: Vec<AdapterKey> = wishes
-            .filter(|(key, wish)| !is_kept(key, wish))
+        let pending = self.loads.pending.iter();
+        let dropped: Vec<AdapterKey> = pending
+            .filter(|(key, load)| !is_kept(key, load))
             .map(|(key, _)| key.clone())
             .collect();
         for key in dropped {
-            self.loads.wishes.remove(&key);
-            // a claim that nobody comes back for would hold up the others
+            self.loads.pending.remove(&key);
+            // an unused permit or a place in the issuer's queue would delay other sidecars
             self.return_permit(&key);
         }
     }
 
-    fn advance_wish(&mut self, key: &AdapterKey, now: Instant) {
-        let wish = self
+    fn advance_load(&mut self, key: &AdapterKey, now: Instant) {
+        let load = self
             .loads
-            .wishes
+            .pending
             .entry(key.clone())
             .or_insert_with(|| PendingLoad::new(now));
-        let room = self.slots.room(now);
-        if room == SlotAvailability::Full {
-            self.make_room(key, now);
+        let availability = self.slots.room(now);
+        if availability == SlotAvailability::Full {
+            self.drain_slot_if_overtaken(key, now);
             return;
         }
-        match wish.permit {
-            PermitState::AskAt(at) if now >= at => self.request_permit(key, now),
-            PermitState::Held(until) if now >= until => {
-                wish.permit = PermitState::AskAt(now);
+        match load.permit {
+            PermitState::RequestAt(at) if now >= at => self.request_permit(key, now),
+            PermitState::GrantedUntil(until) if now >= until => {
+                load.permit = PermitState::RequestAt(now);
             }
-            PermitState::Held(_) => self.use_permit(key, room),
-            PermitState::AskAt(_) | PermitState::Asked => {}
+            PermitState::GrantedUntil(_) => self.use_permit(key, availability),
+            PermitState::RequestAt(_) | PermitState::Requested => {}
         }
     }
 
-    /// no slot is free: once the oldest waiting request was overtaken by
-    /// enough, let one slot run empty
-    fn make_room(&mut self, key: &AdapterKey, now: Instant) {
-        let bound = self.policy.batch_ahead_tokens;
-        let waits = |w: &&crate::queue::Waiting| w.adapter.as_ref() == Some(key);
-        let overtaken = self.queue.iter().filter(waits).map(|w| w.overtaken).max();
-        if overtaken.is_some_and(|tokens| tokens > bound) {
+    /// Drains one slot if a request for the adapter was overtaken by more tokens than the
+    /// policy allows.
+    fn drain_slot_if_overtaken(&mut self, key: &AdapterKey, now: Instant) {
+        let limit = self.policy.batch_ahead_tokens;
+        let needs_adapter = |w: &&crate::queue::Waiting| w.adapter.as_ref() == Some(key);
+        let queued = self.queue.iter().filter(needs_adapter);
+        let overtaken = queued.map(|w| w.overtaken).max();
+        if overtaken.is_some_and(|tokens| tokens > limit) {
             self.slots.drain_one(now);
         }
     }
 
     fn request_permit(&mut self, key: &AdapterKey, now: Instant) {
-        let Some(wish) = self.loads.wishes.get_mut(key) else {
+        let Some(load) = self.loads.pending.get_mut(key) else {
             return;
         };
         if let PermitMode::StaticShare(rate) = self.settings.permits {
-            let permit = self.loads.next_static(rate, now);
-            if let Some(wish) = self.loads.wishes.get_mut(key) {
-                wish.permit = permit;
+            let permit = self.loads.static_permit(rate, now);
+            if let Some(load) = self.loads.pending.get_mut(key) {
+                load.permit = permit;
             }
             return;
         }
         let issuer = match self.loads.issuer {
-            Some(issuer) if wish.unanswered < MAX_UNANSWERED => issuer,
-            // the store keeps its own limit
+            Some(issuer) if load.failed_permit_requests < MAX_FAILED_PERMIT_REQUESTS => issuer,
+            // without permits, the store still enforces its own limit
             _ => {
-                wish.permit = PermitState::Held(now + UNGIVEN_LEASE);
+                load.permit = PermitState::GrantedUntil(now + NO_PERMIT_LEASE);
                 return;
             }
         };
-        wish.permit = PermitState::Asked;
+        load.permit = PermitState::Requested;
         let request = self.permit_request(key, PermitPurpose::Ask, now);
         self.actions.push(SidecarAction::RequestPermit {
             issuer,
@@ -227,11 +234,11 @@
     }
 
     fn permit_request(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitAsk {
-        let waiting = self
+        let queued = self
             .queue
             .iter()
             .filter(|w| w.adapter.as_ref() == Some(key));
-        let most_urgent = waiting.min_by_key(|w| (w.priority_at(now), w.arrived));
+        let most_urgent = queued.min_by_key(|w| (w.priority_at(now), w.arrived));
         PermitAsk {
             purpose,
             target: self.settings.name.clone(),
@@ -258,11 +265,11 @@
         });
     }
 
-    fn use_permit(&mut self, key: &AdapterKey, room: SlotAvailability) {
+    fn use_permit(&mut self, key: &AdapterKey, availability: SlotAvailability) {
         let Some(order) = self.order_fence() else {
             return;
         };
-        match room {
+        match availability {
             SlotAvailability::Free => self.order_load(key, order),
             SlotAvailability::Evict(victim) => self.order_unload(&victim, order),
             SlotAvailability::Full => {}
@@ -289,26 +296,26 @@
     }
 
     fn on_load_failed(&mut self, key: &AdapterKey, now: Instant) {
-        let Some(wish) = self.loads.wishes.get_mut(key) else {
+        let Some(load) = self.loads.pending.get_mut(key) else {
             return;
         };
-        wish.failed += 1;
-        if wish.failed < MAX_FAILED_LOADS {
-            let pause = FAILED_LOAD_PAUSE * (1 << wish.failed);
-            wish.permit = PermitState::AskAt(now + pause);
+        load.failed_loads += 1;
+        if load.failed_loads < MAX_FAILED_LOADS {
+            let backoff = FAILED_LOAD_BACKOFF * (1 << load.failed_loads);
+            load.permit = PermitState::RequestAt(now + backoff);
             return;
         }
-        self.loads.wishes.remove(key);
-        let waiting: Vec<RequestId> = self
+        self.loads.pending.remove(key);
+        let queued: Vec<RequestId> = self
             .queue
             .iter()
             .filter(|w| w.adapter.as_ref() == Some(key))
             .map(|w| w.request.clone())
             .collect();
-        for request in waiting {
+        for request in queued {
             self.queue.remove(&request);
             let refusal = self.refusal(Step::Load, Reason::LoadFailed);
-            self.refuse_waiting(&request, refusal);
+            self.reject_queued(&request, refusal);
         }
     }
 }
--- a/coordination/src/sidecar/mod.rs
+++ b/coordination/src/sidecar/mod.rs
@@ -1,4 +1,4 @@
-//! the decisions of the process beside one target
+//! Decisions of the sidecar of one target: admission, queueing, loads and runs.
 
 mod actions;
 mod events;
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -1,4 +1,4 @@
-//! requests on their way in, and out without a run
+//! Admission, queueing and rejection of requests.
 
 use {
     super::{PermitMode, ReplyId, SidecarAction, SidecarControl},
@@ -16,26 +16,24 @@
     std::time::{Duration, Instant},
 };
 
-/// what a class is taken for while the configuration that names it has not
-/// arrived
+// Used for a class that the current configuration does not contain.
 const UNKNOWN_CLASS_PRIORITY: u8 = 1;
 const UNKNOWN_CLASS_AGE_AFTER: Duration = Duration::from_secs(5);
-/// shortest time that a refused caller is told to stay away
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl SidecarControl {
     pub(super) fn on_arrived(&mut self, work: Box<WorkOrder>, now: Instant) {
         if work.reserved {
             if let Err(refusal) = self.admit_reserved(&work, now) {
-                self.push_refusal(&work.request, refusal);
+                self.reject(&work.request, refusal);
                 return;
             }
         } else if self.orders.contains_key(&work.request) || self.runs.contains(&work.request) {
             return;
         }
-        match self.judge(&work, now) {
+        match self.check_admission(&work, now) {
             Ok(()) => self.enqueue(work, now),
-            Err(refusal) => self.refuse_unstarted(&work.request, work.reserved, refusal),
+            Err(refusal) => self.reject_unstarted(&work.request, work.reserved, refusal),
         }
     }
 
@@ -56,51 +54,51 @@
     }
 
     pub(super) fn on_drain(&mut self) {
-        self.draining = true;
-        self.refuse_all_waiting(Reason::Leaving);
+        self.is_draining = true;
+        self.reject_all_queued(Reason::Leaving);
     }
 
-    pub(super) fn refuse_late(&mut self, now: Instant) {
-        for waiting in self.queue.remove_late(self.run_time_per_token(), now) {
+    pub(super) fn reject_late(&mut self, now: Instant) {
+        for late in self.queue.remove_late(self.run_time_per_token(), now) {
             let refusal = self.refusal(Step::Queue, Reason::DeadlinePassed);
-            self.refuse_waiting(&waiting.request, refusal);
+            self.reject_queued(&late.request, refusal);
         }
     }
 
-    pub(super) fn refuse_all_waiting(&mut self, reason: Reason) {
-        for waiting in self.queue.drain() {
+    pub(super) fn reject_all_queued(&mut self, reason: Reason) {
+        for queued in self.queue.drain() {
             let refusal = self.refusal(Step::Queue, reason);
-            self.refuse_waiting(&waiting.request, refusal);
+            self.reject_queued(&queued.request, refusal);
         }
     }
 
-    /// refuse a request that was taken out of the queue
-    pub(super) fn refuse_waiting(&mut self, request: &RequestId, refusal: Refusal) {
+    /// Rejects a request that was removed from the queue.
+    pub(super) fn reject_queued(&mut self, request: &RequestId, refusal: Refusal) {
         let reserved = self.orders.remove(request).is_some_and(|o| o.reserved);
-        self.refuse_unstarted(request, reserved, refusal);
+        self.reject_unstarted(request, reserved, refusal);
     }
 
     pub(super) fn refusal(&self, step: Step, reason: Reason) -> Refusal {
         Refusal::not_run(step, &self.settings.name, reason)
     }
 
-    pub(super) fn push_refusal(&mut self, request: &RequestId, refusal: Refusal) {
+    pub(super) fn reject(&mut self, request: &RequestId, refusal: Refusal) {
         self.actions.push(SidecarAction::Reject {
             request: request.clone(),
             refusal,
         });
     }
 
-    /// refuse a request that has not started; a reserved id is sealed first,
-    /// so that no later copy runs
-    fn refuse_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
+    /// Rejects a request that has not started. A reserved id is sealed first, so that no
+    /// later copy of the request runs.
+    fn reject_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
         if reserved {
             refusal.outcome = match request.parse::<ReservedId>() {
                 Ok(id) => self.once.seal(&id),
                 Err(_) => Outcome::NotRun,
             };
         }
-        self.push_refusal(request, refusal);
+        self.reject(request, refusal);
     }
 
     fn admit_reserved(&mut self, work: &WorkOrder, now: Instant) -> Result<(), Refusal> {
@@ -111,7 +109,7 @@
         })?;
         match self.once.admit(&id, now) {
             Ok(Admission::First) => Ok(()),
-            Ok(Admission::Repeat) => Err(self.refuse_repeat(&id, now)),
+            Ok(Admission::Repeat) => Err(self.repeat_refusal(&id, now)),
             Err(e) => {
                 let peer = &self.settings.name;
                 let refusal = Refusal::new(e.outcome(), Step::Admission, peer, e.reason());
@@ -120,8 +118,8 @@
         }
     }
 
-    /// a copy came after the first one's answer was dropped
-    fn refuse_repeat(&self, id: &ReservedId, now: Instant) -> Refusal {
+    /// Returns the refusal of a repeated request whose response is no longer buffered.
+    fn repeat_refusal(&self, id: &ReservedId, now: Instant) -> Refusal {
         let outcome = match self.once.phase(id, now) {
             Ok(Phase::Ended) => Outcome::Ran,
             _ => Outcome::MayHaveRun,
@@ -130,26 +128,26 @@
         Refusal::new(outcome, Step::Admission, peer, Reason::AnswerGone)
     }
 
-    /// refuse early what would not be served in time
-    fn judge(&self, work: &WorkOrder, now: Instant) -> Result<(), Refusal> {
+    /// Checks whether a request can be served before its deadline.
+    fn check_admission(&self, work: &WorkOrder, now: Instant) -> Result<(), Refusal> {
         if self.is_leaving() {
             return Err(self.refusal(Step::Admission, self.leaving_reason()));
         }
         if work.remaining.is_zero() {
             return Err(self.refusal(Step::Admission, Reason::DeadlinePassed));
         }
-        if self.is_over_bound(work) {
-            let after = self.time_to_drain();
+        if self.exceeds_queue_limit(work) {
+            let retry_after = self.queue_retry_after();
             let refusal = self.refusal(Step::Admission, Reason::Overloaded);
-            return Err(refusal.with_retry_after(after));
+            return Err(refusal.with_retry_after(retry_after));
         }
-        let run = self.run_time_per_token() * work.work.output_tokens();
-        let needed = self.expected_wait(work, now) + self.stall_of(work) + run;
+        let run_time = self.run_time_per_token() * work.work.output_tokens();
+        let needed = self.expected_wait(work, now) + self.expected_load_stall(work) + run_time;
         if needed > work.remaining {
-            let after = (needed - work.remaining).max(MIN_RETRY_AFTER);
+            let retry_after = (needed - work.remaining).max(MIN_RETRY_AFTER);
             let refusal = self.refusal(Step::Admission, Reason::Overloaded);
             let refusal = refusal.with_detail(format!("would take {} ms", needed.as_millis()));
-            return Err(refusal.with_retry_after(after));
+            return Err(refusal.with_retry_after(retry_after));
         }
         Ok(())
     }
@@ -161,53 +159,60 @@
         }
     }
 
-    /// over the bound, a group keeps what is its fair part of it
-    fn is_over_bound(&self, work: &WorkOrder) -> bool {
-        let bound = self.policy.max_queued_tokens;
+    /// Returns whether the request exceeds the limit of queued tokens. A full queue still
+    /// accepts requests of a group that uses less than its fair share of the limit.
+    fn exceeds_queue_limit(&self, work: &WorkOrder) -> bool {
+        let limit = self.policy.max_queued_tokens;
         let tokens = work.work.tokens();
-        if self.queue.tokens() + tokens <= bound {
+        if self.queue.tokens() + tokens <= limit {
             return false;
         }
-        let fair = self.queue.fair_part(&work.group) * bound as f64;
-        let of_group = self.queue.group_tokens(&work.group) + tokens;
-        of_group as f64 > fair
+        let fair_share = self.queue.fair_part(&work.group) * limit as f64;
+        let group_tokens = self.queue.group_tokens(&work.group) + tokens;
+        group_tokens as f64 > fair_share
     }
 
-    /// wait for those that go before, at the group's part of the throughput
+    /// Returns the time until the requests ahead are served: those of the group at its fair
+    /// share of the throughput, but no longer than for all requests at the full throughput.
     fn expected_wait(&self, work: &WorkOrder, now: Instant) -> Duration {
         let priority = self.class(work).priority;
-        let before = self.queue.iter().filter(|w| w.priority_at(now) <= priority);
-        let (all, own) = before.fold((0u64, 0u64), |(all, own), w| {
-            let is_own = w.group == work.group;
-            (all + w.tokens, own + if is_own { w.tokens } else { 0 })
+        let ahead = self.queue.iter().filter(|w| w.priority_at(now) <= priority);
+        let (all, group) = ahead.fold((0u64, 0u64), |(all, group), w| {
+            let is_same_group = w.group == work.group;
+            (
+                all + w.tokens,
+                group + if is_same_group { w.tokens } else { 0 },
+            )
         });
-        let own_pace = own as f64 / self.queue.fair_part(&work.group);
-        self.time_for(own_pace.min(all as f64))
+        let group_at_share = group as f64 / self.queue.fair_part(&work.group);
+        self.time_for_tokens(group_at_share.min(all as f64))
     }
 
-    fn stall_of(&self, work: &WorkOrder) -> Duration {
+    fn expected_load_stall(&self, work: &WorkOrder) -> Duration {
         match &work.work {
             Work::Generate(work) => self.expected_stall(&AdapterKey::from(work)),
             Work::Call(_) => Duration::ZERO,
         }
     }
 
-    /// zero until a run was measured, and while nothing runs: a bad
-    /// measurement must not keep the next one from being made
+    /// Returns the measured time per token. Zero before the first measurement and while
+    /// nothing runs: otherwise one slow run would reject all requests, and no later run
+    /// would correct the measurement.
     fn run_time_per_token(&self) -> Duration {
         let measured = self.runs.measured_token_time();
         let measured = measured.filter(|_| self.runs.len() > 0);
         measured.unwrap_or(Duration::ZERO)
     }
 
-    fn time_to_drain(&self) -> Duration {
-        let time = self.time_for(self.queue.tokens() as f64 / 2.0);
+    /// Returns the time until half of the queued tokens are served.
+    fn queue_retry_after(&self) -> Duration {
+        let time = self.time_for_tokens(self.queue.tokens() as f64 / 2.0);
         time.max(MIN_RETRY_AFTER)
     }
 
-    fn time_for(&self, tokens: f64) -> Duration {
-        let at_once = f64::from(self.max_running.max(1));
-        self.runs.token_time().mul_f64(tokens / at_once)
+    fn time_for_tokens(&self, tokens: f64) -> Duration {
+        let concurrency = f64::from(self.max_running.max(1));
+        self.runs.token_time().mul_f64(tokens / concurrency)
     }
 
     pub(super) fn class(&self, work: &WorkOrder) -> Class {
@@ -246,7 +251,7 @@
             head_since: None,
         });
         if self.settings.permits == PermitMode::Issued {
-            self.loads.on_issuer(work.permit_giver);
+            self.loads.set_issuer(work.permit_giver);
         }
         self.orders.insert(work.request.clone(), work);
     }
@@ -270,7 +275,7 @@
         let reserved = request.parse::<ReservedId>().ok();
         if self.queue.remove(request).is_some() {
             let refusal = self.refusal(Step::Queue, Reason::Cancelled);
-            self.refuse_waiting(request, refusal);
+            self.reject_queued(request, refusal);
         }
         if self.runs.contains(request) {
             self.actions.push(SidecarAction::StopRun {
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -1,4 +1,4 @@
-//! requests that run
+//! Requests that run on the target.
 
 use {
     super::{RunEnd, SidecarAction, SidecarControl},
@@ -11,30 +11,31 @@
     },
 };
 
-/// assumed until a run was measured
+/// Time per token assumed before the first measurement.
 const DEFAULT_TOKEN_TIME: Duration = Duration::from_millis(20);
-/// weight of the newest measurement
-const SMOOTHING: f64 = 0.1;
+/// Weight of the latest measurement in the moving average.
+const LATEST_WEIGHT: f64 = 0.1;
 
-/// one request that runs
+/// A request that runs.
 #[derive(Debug)]
 struct Run {
     group: GroupName,
-    reserved: bool,
-    /// tokens charged at its start
-    charged: u64,
+    is_reserved: bool,
+    /// Tokens charged to the group at the start.
+    charged_tokens: u64,
     adapter: Option<AdapterKey>,
-    /// the engine's incarnation
+    /// The incarnation of the engine that runs the request.
     incarnation: Option<Incarnation>,
 }
 
-/// the requests that run, and those that may still run unheard
+/// The requests that run, and those that the engine may still run.
 #[derive(Debug)]
 pub(super) struct RunTable {
     runs: HashMap<RequestId, Run>,
-    /// ended for us, but the engine did not confirm it: their pins stay
+    /// Runs that ended without the engine's confirmation; their adapters stay pinned.
     orphans: HashMap<RequestId, Run>,
-    token_time: Option<f64>,
+    /// Mean time per token, in seconds.
+    token_time_s: Option<f64>,
 }
 
 impl RunTable {
@@ -42,73 +43,75 @@
         Self {
             runs: HashMap::new(),
             orphans: HashMap::new(),
-            token_time: None,
+            token_time_s: None,
         }
     }
     pub(super) fn len(&self) -> usize {
         self.runs.len()
     }
-    fn of_group(&self, group: &str) -> usize {
+    fn count_of_group(&self, group: &str) -> usize {
         self.runs.values().filter(|run| run.group == group).count()
     }
     pub(super) fn contains(&self, request: &str) -> bool {
         self.runs.contains_key(request)
     }
-    /// adapters that an engine incarnation uses or may use
+    /// Returns the adapters that an engine incarnation uses or may use.
     pub(super) fn pinned(&self, incarnation: Incarnation) -> Vec<AdapterKey> {
         let all = self.runs.values().chain(self.orphans.values());
         all.filter(|run| run.incarnation == Some(incarnation))
             .filter_map(|run| run.adapter.clone())
             .collect()
     }
-    /// hold the adapters of what the engine runs for an earlier sidecar
-    pub(super) fn adopt(&mut self, status: &EngineStatus) {
+    /// Adds the requests that the engine runs for an earlier sidecar process, so that their
+    /// adapters stay pinned.
+    pub(super) fn adopt_orphans(&mut self, status: &EngineStatus) {
         for running in &status.running {
             if self.runs.contains_key(&running.request) {
                 continue;
             }
             let run = Run {
                 group: GroupName::new(),
-                reserved: false,
-                charged: 0,
+                is_reserved: false,
+                charged_tokens: 0,
                 adapter: Some(running.adapter.clone()),
                 incarnation: Some(status.incarnation),
             };
             self.orphans.insert(running.request.clone(), run);
         }
     }
-    /// time of one token of one request, smoothed
+    /// Returns the mean time per token of one request.
     pub(super) fn token_time(&self) -> Duration {
         self.measured_token_time().unwrap_or(DEFAULT_TOKEN_TIME)
     }
     pub(super) fn measured_token_time(&self) -> Option<Duration> {
-        self.token_time.map(Duration::from_secs_f64)
+        self.token_time_s.map(Duration::from_secs_f64)
     }
-    fn measure(&mut self, tokens: u64, took: Duration) {
-        let newest = took.as_secs_f64() / tokens.max(1) as f64;
-        let before = self.token_time.unwrap_or(newest);
-        self.token_time = Some(before + SMOOTHING * (newest - before));
+    /// Adds a run to the moving average of the time per token.
+    fn record_run(&mut self, tokens: u64, duration: Duration) {
+        let latest = duration.as_secs_f64() / tokens.max(1) as f64;
+        let mean = self.token_time_s.unwrap_or(latest);
+        self.token_time_s = Some(mean + LATEST_WEIGHT * (latest - mean));
     }
 }
 
 impl SidecarControl {
-    /// start what may start, and load what is waited for
+    /// Starts queued requests and advances the loads of missing adapters.
     pub(super) fn schedule(&mut self, now: Instant) {
         if self.is_leaving() || !self.is_ready() {
             return;
         }
-        // the order changes with each start, since starts are charged
+        // each start is charged to its group, which changes the order of the queue
         while self.runs.len() < self.max_running as usize {
             let order = self.queue.order(now);
             if !order.iter().any(|request| self.try_start(request, now)) {
                 break;
             }
         }
-        self.load_what_waits(now);
+        self.advance_loads(now);
     }
 
-    pub(super) fn is_stalled(&self, waiting: &Waiting) -> bool {
-        let adapter = waiting.adapter.as_ref();
+    pub(super) fn is_stalled(&self, queued: &Waiting) -> bool {
+        let adapter = queued.adapter.as_ref();
         adapter.is_some_and(|key| !self.slots.is_ready(key))
     }
 
@@ -117,26 +120,26 @@
             return;
         };
         if end.failure.is_none() {
-            self.runs.measure(end.tokens, end.duration);
+            self.runs.record_run(end.tokens, end.duration);
         }
-        let correction = end.tokens.max(1) as f64 - run.charged as f64;
+        let correction = end.tokens.max(1) as f64 - run.charged_tokens as f64;
         if run.adapter.is_some() {
             self.queue.charge(&run.group, correction);
         }
         self.end_reserved(request, &run, end.outcome);
-        self.refuse_failed(request, &end);
+        self.reject_failed(request, &end);
         if end.may_still_run {
             self.runs.orphans.insert(request.clone(), run);
-            self.doubt();
+            self.invalidate_engine_state();
         } else {
             self.release(&run);
         }
         if end.failure == Some(Reason::Superseded) {
-            self.doubt();
+            self.invalidate_engine_state();
         }
     }
 
-    /// let go the adapters of orphans that the engine no longer runs
+    /// Unpins the adapters of orphans that the engine no longer runs.
     pub(super) fn release_orphans(&mut self, status: &EngineStatus) {
         let orphans = std::mem::take(&mut self.runs.orphans);
         for (request, run) in orphans {
@@ -150,21 +153,21 @@
     }
 
     pub(super) fn finish_drain(&mut self) {
-        if self.draining && self.runs.len() == 0 && self.queue.is_empty() {
+        if self.is_draining && self.runs.len() == 0 && self.queue.is_empty() {
             self.actions.push(SidecarAction::Drained);
         }
     }
 
     /// start a request if its adapter is loaded; false if it still waits
     fn try_start(&mut self, request: &RequestId, now: Instant) -> bool {
-        let Some(waiting) = self.queue.get(request) else {
+        let Some(queued) = self.queue.get(request) else {
             return false;
         };
-        if self.is_stalled(waiting) || self.must_leave_headroom(&waiting.group, now) {
+        if self.is_stalled(queued) || self.must_leave_headroom(&queued.group, now) {
             return false;
         }
         let order = self.order_fence();
-        if let Some(key) = waiting.adapter.clone() {
+        if let Some(key) = queued.adapter.clone() {
             if order.is_none() || !self.slots.pin(&key) {
                 return false;
             }
@@ -173,44 +176,45 @@
         true
     }
 
-    /// the last places of the batch are for groups below their fair part
+    /// Returns whether the group must leave the last places of the batch to groups below
+    /// their fair share.
     fn must_leave_headroom(&self, group: &str, now: Instant) -> bool {
         let open_places = self.max_running.saturating_sub(self.policy.headroom_places);
         if self.runs.len() < open_places as usize {
             return false;
         }
-        let fair = self.queue.active_part(group, now) * f64::from(self.max_running);
-        self.runs.of_group(group) as f64 >= fair
+        let fair_share = self.queue.active_part(group, now) * f64::from(self.max_running);
+        self.runs.count_of_group(group) as f64 >= fair_share
     }
 
     fn start(&mut self, request: &RequestId, now: Instant) {
-        let (Some(waiting), Some(work)) = (self.queue.start(request), self.orders.remove(request))
+        let (Some(queued), Some(work)) = (self.queue.start(request), self.orders.remove(request))
         else {
             return;
         };
         let order = self.order_fence();
         let run = Run {
-            group: waiting.group.clone(),
-            reserved: work.reserved,
-            charged: waiting.tokens,
-            adapter: waiting.adapter.clone(),
+            group: queued.group.clone(),
+            is_reserved: work.reserved,
+            charged_tokens: queued.tokens,
+            adapter: queued.adapter.clone(),
             incarnation: order.map(|o| o.incarnation),
         };
         if work.reserved && !self.start_reserved(request) {
             self.release(&run);
             let refusal = self.refusal(Step::Queue, Reason::Cancelled);
-            self.push_refusal(request, refusal);
+            self.reject(request, refusal);
             return;
         }
-        self.note_overtaken(&waiting, now);
+        self.record_overtaken(&queued, now);
         let has_stalled = self.loads.take_stalled(request);
         self.runs.runs.insert(request.clone(), run);
         self.actions.push(SidecarAction::Run {
-            priority: waiting.priority_at(now),
-            deadline: waiting.deadline,
-            arrived: waiting.arrived,
+            priority: queued.priority_at(now),
+            deadline: queued.deadline,
+            arrived: queued.arrived,
             has_stalled,
-            order: waiting.adapter.and(order),
+            order: queued.adapter.and(order),
             work,
         });
     }
@@ -223,7 +227,7 @@
     }
 
     fn end_reserved(&mut self, request: &RequestId, run: &Run, outcome: Outcome) {
-        if !run.reserved {
+        if !run.is_reserved {
             return;
         }
         if let Ok(id) = request.parse::<ReservedId>() {
@@ -231,18 +235,18 @@
         }
     }
 
-    fn refuse_failed(&mut self, request: &RequestId, end: &RunEnd) {
+    fn reject_failed(&mut self, request: &RequestId, end: &RunEnd) {
         let Some(reason) = end.failure else {
             return;
         };
         let peer = &self.settings.name;
         let refusal = Refusal::new(end.outcome, Step::Run, peer, reason);
-        self.push_refusal(request, refusal.with_detail(&end.detail));
+        self.reject(request, refusal.with_detail(&end.detail));
     }
 
     fn release(&mut self, run: &Run) {
         let current = self.order_fence().map(|o| o.incarnation);
-        // after a restart or a doubt the slots are read again with their pins
+        // otherwise the pins are rebuilt when the slots are read again
         if run.incarnation.is_none() || run.incarnation != current {
             return;
         }
@@ -251,13 +255,14 @@
         }
     }
 
-    /// those that wait for a load and came first were overtaken
-    fn note_overtaken(&mut self, started: &Waiting, now: Instant) {
+    /// Charges the started request's tokens to the requests that wait for a load and rank
+    /// before it.
+    fn record_overtaken(&mut self, started: &Waiting, now: Instant) {
         let slots = &self.slots;
         let priority = started.priority_at(now);
         self.queue.note_overtaken(started.tokens, |w| {
-            let stalled = w.adapter.as_ref().is_some_and(|key| !slots.is_ready(key));
-            stalled && (w.priority_at(now), w.arrived) < (priority, started.arrived)
+            let is_stalled = w.adapter.as_ref().is_some_and(|key| !slots.is_ready(key));
+            is_stalled && (w.priority_at(now), w.arrived) < (priority, started.arrived)
         });
     }
 }
--- a/coordination/src/sidecar/settings.rs
+++ b/coordination/src/sidecar/settings.rs
@@ -3,47 +3,45 @@
     std::time::Duration,
 };
 
-/// what stands behind the sidecar
+/// The kind of target behind the sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetKind {
-    /// checks fences, loads adapters
+    /// An inference engine, which checks fences and loads adapters.
     Engine,
-    /// takes calls from anybody
+    /// A plain service, without fences and adapters.
     Service { max_running: u32 },
 }
 
-/// how loads keep to the weight store's limit
+/// How loads are limited to the weight store's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PermitMode {
-    /// an entry gives permits
+    /// An entry issues a permit for each load.
     Issued,
-    /// each sidecar for itself, with back-off; the store limits
+    /// No permits: the store enforces its own limit, and sidecars back off.
     Unlimited,
-    /// a fixed part of the store's rate, in loads a second
+    /// A fixed share of the store's rate, in loads per second.
     StaticShare(f64),
 }
 
-/// settings of a sidecar's decisions
+/// Settings of `SidecarControl`.
 #[derive(Debug, Clone)]
 pub struct SidecarSettings {
     pub name: BoxName,
     pub incarnation: Incarnation,
-    /// lower bound of this process's fence, in ms since the Unix epoch
+    /// Lower bound of this process's fence, in ms since the Unix epoch.
     pub epoch: Fence,
     pub kind: TargetKind,
-    /// a pause longer than this makes all beliefs doubtful
+    /// After a longer pause of this process, the engine must be read again before the next
+    /// order.
     pub lease: Duration,
-    /// reserved ids remembered at most
+    /// Maximum number of remembered reserved ids.
     pub id_capacity: usize,
-    /// how long a reserved id may wait for its use
+    /// Time within which a reserved id may be used.
     pub id_valid_for: Duration,
-    /// loads in flight at most
     pub max_concurrent_loads: usize,
-    /// how often the engine is read when nothing happens
     pub read_interval: Duration,
-    /// how loads keep to the weight store's limit
     pub permits: PermitMode,
-    /// seed of the random parts of reserved ids
+    /// Seed of the random parts of reserved ids.
     pub seed: u64,
 }
 
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -18,9 +18,8 @@
     std::{collections::HashMap, sync::Arc, time::Instant},
 };
 
-/// the state and the decisions of one sidecar.
-///
-/// `handle` is the only way in: an event and the time, and out come actions.
+/// The state machine of one sidecar. `handle` takes an event with the time and returns
+/// the actions to perform.
 pub struct SidecarControl {
     pub(super) settings: SidecarSettings,
     pub(super) root: Option<Arc<Root>>,
@@ -28,20 +27,20 @@
     pub(super) rng: SmallRng,
     pub(super) once: RunOnceTable,
     pub(super) queue: FairQueue,
-    /// orders of the waiting requests
+    /// Work orders of the queued requests.
     pub(super) orders: HashMap<RequestId, Box<WorkOrder>>,
     pub(super) slots: SlotTable,
     pub(super) loads: LoadTable,
     pub(super) runs: RunTable,
     pub(super) fence: FenceKeeper,
     pub(super) max_running: u32,
-    pub(super) draining: bool,
+    pub(super) is_draining: bool,
     pause: PauseDetector,
-    /// a read of the engine is under way
-    reading: bool,
-    /// the slots must be taken over from the next read
-    doubtful: bool,
-    last_read: Instant,
+    /// A read of the engine is in progress.
+    is_reading: bool,
+    /// The slots must be rebuilt from the next read before any order is sent.
+    is_resync_needed: bool,
+    last_read_at: Instant,
     pub(super) actions: Vec<SidecarAction>,
 }
 
@@ -70,30 +69,29 @@
             runs: RunTable::new(),
             fence: FenceKeeper::new(settings.epoch, settings.incarnation),
             max_running,
-            draining: false,
+            is_draining: false,
             pause: PauseDetector::new(settings.lease, now),
-            reading: false,
-            doubtful: true,
-            last_read: now.checked_sub(settings.read_interval).unwrap_or(now),
+            is_reading: false,
+            is_resync_needed: true,
+            last_read_at: now.checked_sub(settings.read_interval).unwrap_or(now),
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// decide on one event
     pub fn handle(&mut self, event: SidecarEvent, now: Instant) -> Vec<SidecarAction> {
         if self.pause.is_after_pause(now) {
-            self.doubt();
+            self.invalidate_engine_state();
         }
         self.apply(event, now);
-        self.refuse_late(now);
+        self.reject_late(now);
         self.read_engine_if_due(now);
         self.schedule(now);
         self.finish_drain();
         std::mem::take(&mut self.actions)
     }
 
-    /// what the target says of itself
+    /// Returns the report about the target for the entries.
     pub fn report(&self) -> TargetReport {
         TargetReport {
             name: self.settings.name.clone(),
@@ -103,23 +101,23 @@
             queued_tokens: self.queue.tokens(),
             running: self.runs.len() as u32,
             max_running: self.max_running,
-            wished: self.loads.wished_count as u32,
+            wished: self.loads.missing_count as u32,
             token_micros: self.runs.token_time().as_micros() as u64,
-            load_millis: self.loads.expected_time().as_millis() as u64,
+            load_millis: self.loads.expected_load_delay().as_millis() as u64,
             loaded: self.slots.loaded().iter().map(Into::into).collect(),
         }
     }
 
-    /// the request was handed to the target, and its end is not known
+    /// Returns whether the request was sent to the target and its end is not known.
     pub fn is_running(&self, request: &str) -> bool {
         self.runs.contains(request)
     }
 
-    /// takes nothing new
+    /// Returns whether the sidecar rejects new requests.
     pub fn is_leaving(&self) -> bool {
-        self.draining || self.fence.is_superseded()
+        self.is_draining || self.fence.is_superseded()
     }
-    /// the engine was read and obeys this process
+    /// Returns whether the engine was read and holds this process's fence.
     pub fn is_ready(&self) -> bool {
         match self.settings.kind {
             TargetKind::Engine => self.order_fence().is_some(),
@@ -137,7 +135,7 @@
                 incarnation,
                 fence,
                 result,
-            } => self.on_fence_answered(incarnation, fence, result),
+            } => self.on_fence_take_ended(incarnation, fence, result),
             SidecarEvent::LoadEnded {
                 adapter,
                 incarnation,
@@ -168,83 +166,89 @@
     }
 
     fn on_engine_read(&mut self, status: Option<EngineStatus>, now: Instant) {
-        self.reading = false;
+        self.is_reading = false;
         let Some(status) = status else {
-            self.doubt();
+            self.invalidate_engine_state();
             return;
         };
         match self.fence.on_read(&status) {
-            FenceStep::GiveUp => self.give_up(),
+            FenceStep::GiveUp => self.stop_superseded(),
             FenceStep::Take { incarnation, fence } => {
-                self.doubtful = true;
+                self.is_resync_needed = true;
                 let order = OrderFence { incarnation, fence };
                 self.actions.push(SidecarAction::TakeFence(order));
             }
             FenceStep::Keep => {
-                if self.doubtful {
-                    self.take_over(&status, now);
+                if self.is_resync_needed {
+                    self.resync(&status, now);
                 }
                 self.release_orphans(&status);
             }
         }
     }
 
-    fn on_fence_answered(&mut self, incarnation: Incarnation, fence: Fence, result: OrderResult) {
+    fn on_fence_take_ended(&mut self, incarnation: Incarnation, fence: Fence, result: OrderResult) {
         match result {
             OrderResult::Done => self.fence.on_taken(incarnation, fence),
-            OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => self.doubt(),
+            OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => {
+                self.invalidate_engine_state()
+            }
         }
-        // the slots are read after the fence, so that no earlier order can
-        // still change them
+        // the slots are read behind the fence, so that no earlier order can change them
         self.read_engine();
     }
 
-    /// nothing believed of the engine counts until it is read again, behind a
-    /// higher fence: an order that was sent before may still arrive
-    pub(super) fn doubt(&mut self) {
+    /// Requires a new fence and a new read of the engine before the next order, because an
+    /// earlier order may still reach it.
+    pub(super) fn invalidate_engine_state(&mut self) {
         if self.settings.kind != TargetKind::Engine {
             return;
         }
-        self.doubtful = true;
+        self.is_resync_needed = true;
         self.fence.on_doubt();
     }
 
-    fn take_over(&mut self, status: &EngineStatus, now: Instant) {
-        self.doubtful = false;
+    /// Rebuilds the slots and their pins from the engine's status.
+    fn resync(&mut self, status: &EngineStatus, now: Instant) {
+        self.is_resync_needed = false;
         self.max_running = status.max_batch;
         self.slots.reset(status.slots, status.loaded.clone(), now);
-        self.runs.adopt(status);
+        self.runs.adopt_orphans(status);
         for adapter in self.runs.pinned(status.incarnation) {
             self.slots.restore_pin(&adapter, now);
         }
-        self.loads.forget_orders();
+        self.loads.clear_unloading();
     }
 
-    fn give_up(&mut self) {
-        self.refuse_all_waiting(Reason::Superseded);
+    /// Rejects all queued requests after another sidecar process has taken the engine over.
+    fn stop_superseded(&mut self) {
+        self.reject_all_queued(Reason::Superseded);
     }
 
     fn read_engine_if_due(&mut self, now: Instant) {
-        let since = now.saturating_duration_since(self.last_read);
-        let is_due = since >= self.settings.read_interval;
-        if is_due || (self.doubtful && !self.reading && since >= self.settings.read_interval / 4) {
-            self.last_read = now;
+        let since_read = now.saturating_duration_since(self.last_read_at);
+        let is_due = since_read >= self.settings.read_interval;
+        let is_resync_due = self.is_resync_needed
+            && !self.is_reading
+            && since_read >= self.settings.read_interval / 4;
+        if is_due || is_resync_due {
+            self.last_read_at = now;
             self.read_engine();
         }
     }
 
     fn read_engine(&mut self) {
-        if self.settings.kind != TargetKind::Engine || self.reading {
+        if self.settings.kind != TargetKind::Engine || self.is_reading {
             return;
         }
-        self.reading = true;
+        self.is_reading = true;
         self.actions.push(SidecarAction::ReadEngine);
     }
 
-    /// what orders carry now; none while the engine must be read first
+    /// Returns what orders carry; `None` while the engine must be read first.
     pub(super) fn order_fence(&self) -> Option<OrderFence> {
         match self.fence.state() {
-            FenceState::Held { incarnation, fence } if !self.doubtful => {
+            FenceState::Held { incarnation, fence } if !self.is_resync_needed => {
                 Some(OrderFence { incarnation, fence })
             }
             _ => None,
