--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -178,7 +178,7 @@
             .pending
             .entry(key.clone())
             .or_insert_with(|| PendingLoad::new(now));
-        let availability = self.slots.room(now);
+        let availability = self.slots.availability(now);
         if availability == SlotAvailability::Full {
             self.drain_slot_if_overtaken(key, now);
             return;
@@ -201,7 +201,7 @@
         let queued = self.queue.iter().filter(needs_adapter);
         let overtaken = queued.map(|w| w.overtaken).max();
         if overtaken.is_some_and(|tokens| tokens > limit) {
-            self.slots.drain_one(now);
+            self.slots.drain_least_used(now);
         }
     }
 
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -235,7 +235,7 @@
         };
         if let Some(key) = &adapter {
             self.slots
-                .touch(key, f64::from(class.stall_cost.max(1)), now);
+                .record_use(key, f64::from(class.stall_cost.max(1)), now);
         }
         self.queue.push(Waiting {
             request: work.request.clone(),
--- a/coordination/src/slots/adapter_key.rs
+++ b/coordination/src/slots/adapter_key.rs
@@ -4,7 +4,7 @@
     std::fmt,
 };
 
-/// one version of one adapter, as a slot holds it
+/// One version of an adapter, as held by a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AdapterKey {
     pub adapter: AdapterName,
--- a/coordination/src/slots/mod.rs
+++ b/coordination/src/slots/mod.rs
@@ -1,4 +1,4 @@
-//! which adapters an engine's few slots hold
+//! The adapter slots of an engine.
 
 mod adapter_key;
 mod decaying_count;
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -6,10 +6,10 @@
     },
 };
 
-/// rows of heat remembered for adapters without a slot
-const MAX_HEATS: usize = 4_096;
+/// Maximum number of adapters whose uses are counted, with or without a slot.
+const MAX_USE_COUNTS: usize = 4_096;
 
-/// where a slot stands
+/// State of a slot that is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotPhase {
     Loading,
@@ -17,14 +17,14 @@
     Unloading,
 }
 
-/// whether an adapter could be loaded now
+/// Whether an adapter could be loaded now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotAvailability {
-    /// a slot is empty
+    /// A slot is empty.
     Free,
-    /// this adapter may go to make room
+    /// Evicting this adapter frees a slot.
     Evict(AdapterKey),
-    /// every slot is in use or too young
+    /// All slots are pinned, changing, or younger than the minimum residence.
     Full,
 }
 
@@ -32,20 +32,20 @@
 struct Slot {
     phase: SlotPhase,
     pins: u32,
-    /// takes no new request, so that its pins run out
-    draining: bool,
+    /// The slot accepts no new requests, so that it becomes unpinned.
+    is_draining: bool,
 }
 
-/// the slots of one engine incarnation.
+/// The slots of one engine incarnation.
 ///
-/// A pinned adapter is never offered for eviction; an adapter is pinned from
-/// before its request starts until after it ended.
+/// A request pins its adapter from before its start until after its end. A pinned adapter
+/// is never evicted.
 #[derive(Debug)]
 pub struct SlotTable {
     capacity: usize,
     min_residence: Duration,
     slots: HashMap<AdapterKey, Slot>,
-    heats: HashMap<AdapterKey, DecayingCount>,
+    use_counts: HashMap<AdapterKey, DecayingCount>,
 }
 
 impl SlotTable {
@@ -54,11 +54,11 @@
             capacity,
             min_residence,
             slots: HashMap::new(),
-            heats: HashMap::new(),
+            use_counts: HashMap::new(),
         }
     }
 
-    /// take over what a freshly read engine says it holds
+    /// Replaces the slots by those that the engine reported.
     pub fn reset(
         &mut self,
         capacity: usize,
@@ -73,18 +73,18 @@
                 Slot {
                     phase: SlotPhase::Loaded { since: now },
                     pins: 0,
-                    draining: false,
+                    is_draining: false,
                 },
             );
         }
     }
 
-    /// hold an adapter for a request that runs already
+    /// Pins an adapter for a request that already runs.
     pub fn restore_pin(&mut self, key: &AdapterKey, now: Instant) {
         let slot = self.slots.entry(key.clone()).or_insert(Slot {
             phase: SlotPhase::Loaded { since: now },
             pins: 0,
-            draining: false,
+            is_draining: false,
         });
         slot.pins += 1;
     }
@@ -93,25 +93,26 @@
         self.min_residence = min_residence;
     }
 
-    /// count a request for the adapter, weighed by the cost of its stall
-    pub fn touch(&mut self, key: &AdapterKey, weight: f64, now: Instant) {
-        if self.heats.len() >= MAX_HEATS && !self.heats.contains_key(key) {
-            self.forget_coldest(now);
+    /// Counts a request for the adapter, weighted by the cost of a stall.
+    pub fn record_use(&mut self, key: &AdapterKey, weight: f64, now: Instant) {
+        if self.use_counts.len() >= MAX_USE_COUNTS && !self.use_counts.contains_key(key) {
+            self.remove_lowest_count(now);
         }
-        let heat = self.heats.entry(key.clone());
-        heat.or_insert_with(|| DecayingCount::new(now))
+        let count = self.use_counts.entry(key.clone());
+        count
+            .or_insert_with(|| DecayingCount::new(now))
             .add(weight, now);
     }
 
-    pub fn heat(&self, key: &AdapterKey, now: Instant) -> f64 {
-        self.heats.get(key).map_or(0.0, |h| h.value_at(now))
+    pub fn use_count(&self, key: &AdapterKey, now: Instant) -> f64 {
+        self.use_counts.get(key).map_or(0.0, |c| c.value_at(now))
     }
 
-    /// whether a request for the adapter may start
+    /// Returns whether a request for the adapter may start.
     pub fn is_ready(&self, key: &AdapterKey) -> bool {
         self.slots
             .get(key)
-            .is_some_and(|s| matches!(s.phase, SlotPhase::Loaded { .. }) && !s.draining)
+            .is_some_and(|s| matches!(s.phase, SlotPhase::Loaded { .. }) && !s.is_draining)
     }
     pub fn phase(&self, key: &AdapterKey) -> Option<SlotPhase> {
         self.slots.get(key).map(|s| s.phase)
@@ -131,46 +132,43 @@
         loading.filter(|s| s.phase == SlotPhase::Loading).count()
     }
 
-    /// whether another adapter fits
-    pub fn room(&self, now: Instant) -> SlotAvailability {
+    pub fn availability(&self, now: Instant) -> SlotAvailability {
         if self.slots.len() < self.capacity {
             return SlotAvailability::Free;
         }
-        match self.coldest(now, |slot| self.may_evict(slot, now)) {
+        match self.least_used(now, |slot| self.may_evict(slot, now)) {
             Some(key) => SlotAvailability::Evict(key),
             None => SlotAvailability::Full,
         }
     }
 
-    /// stop new requests on the coldest adapter in use, so that its slot
-    /// falls free; at most one at a time
-    pub fn drain_one(&mut self, now: Instant) {
-        if self.slots.values().any(|s| s.draining) {
+    /// Drains the least used adapter, so that its slot can be freed; one slot at a time.
+    pub fn drain_least_used(&mut self, now: Instant) {
+        if self.slots.values().any(|s| s.is_draining) {
             return;
         }
-        let coldest = self.coldest(now, |s| matches!(s.phase, SlotPhase::Loaded { .. }));
-        if let Some(slot) = coldest.and_then(|key| self.slots.get_mut(&key)) {
-            slot.draining = true;
+        let least_used = self.least_used(now, |s| matches!(s.phase, SlotPhase::Loaded { .. }));
+        if let Some(slot) = least_used.and_then(|key| self.slots.get_mut(&key)) {
+            slot.is_draining = true;
         }
     }
-    /// let a draining adapter take requests again
+    /// Lets draining slots accept requests again.
     pub fn stop_draining(&mut self) {
-        self.slots.values_mut().for_each(|s| s.draining = false);
+        self.slots.values_mut().for_each(|s| s.is_draining = false);
     }
 
-    /// the adapter's load was ordered
     pub fn begin_load(&mut self, key: AdapterKey) {
         self.slots.insert(
             key,
             Slot {
                 phase: SlotPhase::Loading,
                 pins: 0,
-                draining: false,
+                is_draining: false,
             },
         );
     }
-    pub fn end_load(&mut self, key: &AdapterKey, loaded: bool, now: Instant) {
-        if !loaded {
+    pub fn end_load(&mut self, key: &AdapterKey, is_loaded: bool, now: Instant) {
+        if !is_loaded {
             self.slots.remove(key);
             return;
         }
@@ -179,7 +177,7 @@
         }
     }
 
-    /// the adapter's unload is to be ordered; false forbids it
+    /// Marks the adapter as unloading. Returns false if it must not be unloaded.
     pub fn begin_unload(&mut self, key: &AdapterKey) -> bool {
         let Some(slot) = self.slots.get_mut(key) else {
             return false;
@@ -194,7 +192,7 @@
         self.slots.remove(key);
     }
 
-    /// hold the adapter for a request; false if it is not ready
+    /// Pins the adapter for a request. Returns false if the adapter is not ready.
     pub fn pin(&mut self, key: &AdapterKey) -> bool {
         if !self.is_ready(key) {
             return false;
@@ -213,32 +211,32 @@
     fn may_evict(&self, slot: &Slot, now: Instant) -> bool {
         match slot.phase {
             SlotPhase::Loaded { since } => {
-                let old_enough = now.saturating_duration_since(since) >= self.min_residence;
-                slot.pins == 0 && (old_enough || slot.draining)
+                let is_old_enough = now.saturating_duration_since(since) >= self.min_residence;
+                slot.pins == 0 && (is_old_enough || slot.is_draining)
             }
             SlotPhase::Loading | SlotPhase::Unloading => false,
         }
     }
 
-    fn coldest(&self, now: Instant, wanted: impl Fn(&Slot) -> bool) -> Option<AdapterKey> {
-        let candidates = self.slots.iter().filter(|(_, slot)| wanted(slot));
-        let coldest = candidates.min_by(|(a, x), (b, y)| {
-            // a draining slot was chosen before, and goes first
-            let order = y.draining.cmp(&x.draining);
+    /// Returns the least used of the adapters whose slots match, draining ones first.
+    fn least_used(&self, now: Instant, matches: impl Fn(&Slot) -> bool) -> Option<AdapterKey> {
+        let candidates = self.slots.iter().filter(|(_, slot)| matches(slot));
+        let least_used = candidates.min_by(|(a, x), (b, y)| {
+            let order = y.is_draining.cmp(&x.is_draining);
             order
-                .then(self.heat(a, now).total_cmp(&self.heat(b, now)))
+                .then(self.use_count(a, now).total_cmp(&self.use_count(b, now)))
                 .then(a.cmp(b))
         });
-        coldest.map(|(key, _)| key.clone())
+        least_used.map(|(key, _)| key.clone())
     }
 
-    fn forget_coldest(&mut self, now: Instant) {
-        let coldest = self
-            .heats
+    fn remove_lowest_count(&mut self, now: Instant) {
+        let lowest = self
+            .use_counts
             .iter()
             .min_by(|a, b| a.1.value_at(now).total_cmp(&b.1.value_at(now)));
-        if let Some(key) = coldest.map(|(key, _)| key.clone()) {
-            self.heats.remove(&key);
+        if let Some(key) = lowest.map(|(key, _)| key.clone()) {
+            self.use_counts.remove(&key);
         }
     }
 }
