--- a/coordination/src/placement/demand_table.rs
+++ b/coordination/src/placement/demand_table.rs
@@ -15,7 +15,7 @@
 const NORMAL_WEIGHT: u32 = 2;
 const MOST_URGENT_PRIORITY: u8 = 0;
 
-/// The latest demand of demands_by_entry entry for one engine.
+/// The latest demand of each entry for one engine.
 #[derive(Debug, Default)]
 pub struct DemandTable {
     demands: HashMap<BoxName, (Instant, AdapterDemand)>,
@@ -113,7 +113,7 @@
         uses.collect()
     }
 
-    /// Returns the newest version that any entry knows, for demands_by_entry outdated adapter.
+    /// Returns the newest version that any entry knows, for each outdated adapter.
     fn merged_outdated(&self) -> Vec<HeldAdapter> {
         let mut newest: BTreeMap<&AdapterRef, u64> = BTreeMap::new();
         for outdated in self.all().flat_map(|d| &d.outdated) {
