--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -5,7 +5,7 @@
             AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
         },
         membership::{rendezvous_weight, stable_hash},
-        placement::{adapter_mark, AdapterMark, LatelyHeld},
+        placement::{adapter_hash, AdapterHash, RecentAdapters},
     },
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
@@ -97,7 +97,7 @@
     /// Versions of the adapters in the view.
     held_versions: HashMap<AdapterRef, u64>,
     /// Adapters that were in earlier views.
-    recently_held: LatelyHeld,
+    recently_held: RecentAdapters,
     /// Hash of the address, for the rendezvous order of homes.
     home_hash: u64,
     pub running_by_adapter: HashMap<AdapterRef, u32>,
@@ -116,7 +116,7 @@
         Self {
             home_hash: stable_hash(&listed.addr.to_string()),
             held_versions: HashMap::new(),
-            recently_held: LatelyHeld::default(),
+            recently_held: RecentAdapters::default(),
             listed,
             has_announced_leaving: false,
             backoff: AskedRest::default(),
@@ -193,11 +193,11 @@
             let unloaded = before
                 .keys()
                 .filter(|a| !self.held_versions.contains_key(a));
-            unloaded.for_each(|a| self.recently_held.put(adapter_mark(a)));
+            unloaded.for_each(|a| self.recently_held.insert(adapter_hash(a)));
         }
         view.lately
             .iter()
-            .for_each(|adapter_hash| self.recently_held.put(*adapter_hash));
+            .for_each(|adapter_hash| self.recently_held.insert(*adapter_hash));
         self.viewed_at = reported_at(&view.figures, now);
         self.view = Some(view);
         self.observations.on_report();
@@ -331,8 +331,8 @@
         view.is_some_and(|v| v.loading.contains(adapter))
     }
     /// Returns whether the engine can reload the adapter from its host cache.
-    pub fn has_recently_held(&self, adapter_hash: AdapterMark) -> bool {
-        self.recently_held.has(adapter_hash)
+    pub fn has_recently_held(&self, adapter_hash: AdapterHash) -> bool {
+        self.recently_held.contains(adapter_hash)
     }
     pub fn home_hash(&self) -> u64 {
         self.home_hash
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{dispatcher::Dispatcher, homes::loadable, selection::Choice, BackendState},
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::time::Instant,
 };
@@ -71,7 +71,7 @@
         now: Instant,
     ) -> bool {
         let is_load_time_weighed = self.settings.features.copies_weighed;
-        if !is_load_time_weighed || target.has_recently_held(adapter_mark(adapter)) {
+        if !is_load_time_weighed || target.has_recently_held(adapter_hash(adapter)) {
             return true;
         }
         let queues = holders.iter().map(|b| self.queue_ms(b, now));
--- a/coordination/src/dispatch/expected_returns.rs
+++ b/coordination/src/dispatch/expected_returns.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{dispatcher::Dispatcher, DispatchRequest},
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -57,7 +57,7 @@
         }
         let view = state.view.as_ref()?;
         let waited = now.saturating_duration_since(request.arrived_at);
-        let is_reload = state.has_recently_held(adapter_mark(adapter));
+        let is_reload = state.has_recently_held(adapter_hash(adapter));
         let load_ms = match is_reload && self.settings.features.return_home {
             true => view.figures.next_return_ms,
             false => view.figures.next_load_ms,
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -8,7 +8,7 @@
         dispatcher::Dispatcher, pending_loads::PENDING_LOAD_TIMEOUT, selection::with_model,
         BackendState, DispatchRequest,
     },
-    crate::{membership::rendezvous_weight, placement::adapter_mark},
+    crate::{membership::rendezvous_weight, placement::adapter_hash},
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::{
         cmp::Reverse,
@@ -132,7 +132,7 @@
             false => b.observations.may_load(now),
         };
         let eligible = candidates.iter().filter(is_eligible);
-        let hash = adapter_mark(adapter);
+        let hash = adapter_hash(adapter);
         let prefers_recent = self.settings.features.return_home;
         let mut ranked: Vec<(HomeRank, &BackendState)> = eligible
             .map(|b| {
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -7,7 +7,7 @@
         Assignment, BackendState, DecisionInputs, DispatchRequest, LoadCause, RejectionCause,
         RequestedLoad,
     },
-    crate::placement::adapter_mark,
+    crate::placement::adapter_hash,
     chalkcart_state::{
         backends::{AdapterRef, BackendId},
         ids::ServiceName,
@@ -204,7 +204,7 @@
         if !self.settings.features.return_home || waited > MAX_RELOAD_WAIT {
             return None;
         }
-        let hash = adapter_mark(adapter);
+        let hash = adapter_hash(adapter);
         let accepting = holders.iter().filter(|b| b.can_accept(now));
         let holder_costs = accepting.map(|b| self.cost(b, now));
         let lowest_cost = holder_costs.min_by(f64::total_cmp).unwrap_or(f64::INFINITY);
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -1,23 +1,23 @@
-//! which adapters an engine holds: decided by the sidecar beside it, from what
-//! the entries need
+//! Placement of adapters on an engine, decided by the engine's sidecar from the demands of
+//! the entries.
 
-mod demand_book;
+mod demand_table;
 mod engine_order;
 mod engine_report;
 mod fence_token;
-mod lately_held;
-mod load_speed;
+mod load_time_estimator;
 mod next_order;
 mod placement_control;
+mod recent_adapters;
 mod settings;
 
 pub use {
-    demand_book::DemandBook,
+    demand_table::DemandTable,
     engine_order::{EngineOrder, OrderAnswer, OrderKind},
     engine_report::EngineReport,
     fence_token::FenceToken,
-    lately_held::{adapter_mark, AdapterMark, LatelyHeld},
-    load_speed::LoadSpeed,
-    placement_control::{PlacementControl, PlacementEvent, PlacementStep},
+    load_time_estimator::LoadTimeEstimator,
+    placement_control::{PlacementAction, PlacementControl, PlacementEvent},
+    recent_adapters::{adapter_hash, AdapterHash, RecentAdapters},
     settings::PlacementSettings,
 };
--- a/coordination/src/placement/settings.rs
+++ b/coordination/src/placement/settings.rs
@@ -1,35 +1,35 @@
 use {crate::mechanisms::Mechanisms, std::time::Duration};
 
-/// bounds of what a sidecar orders
+/// Limits and delays of the orders that a sidecar gives to its engine.
 #[derive(Debug, Clone)]
 pub struct PlacementSettings {
-    /// adapters on their way to the engine at once, while loads are fast
-    pub max_loading: usize,
-    /// an adapter that was used more lately than this is not evicted
+    /// Maximum number of concurrent loads; fewer run while loads are slow.
+    pub max_concurrent_loads: usize,
+    /// Minimum time since the last use before an adapter is evicted.
     pub min_idle: Duration,
-    /// an entry that was silent for this long needs nothing
-    pub entry_silence: Duration,
-    /// an adapter in use is replaced by its newer version after this time
+    /// Time without a message after which the demand of an entry expires.
+    pub entry_timeout: Duration,
+    /// Time after which an outdated adapter is replaced although requests use it.
     pub replace_after: Duration,
-    /// pause before an order that failed is given again
-    pub order_pause: Duration,
-    /// pause between two questions for the engine's identity
-    pub identity_pause: Duration,
-    /// pause between two loads of a base model
-    pub model_pause: Duration,
+    /// Delay before a failed order is retried.
+    pub order_retry_delay: Duration,
+    /// Minimum interval between requests for the engine's identity.
+    pub identify_interval: Duration,
+    /// Minimum interval between loads of a base model.
+    pub model_load_interval: Duration,
     pub mechanisms: Mechanisms,
 }
 
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            max_loading: 3,
+            max_concurrent_loads: 3,
             min_idle: Duration::from_millis(100),
-            entry_silence: Duration::from_secs(3),
+            entry_timeout: Duration::from_secs(3),
             replace_after: Duration::from_millis(1_000),
-            order_pause: Duration::from_millis(300),
-            identity_pause: Duration::from_millis(200),
-            model_pause: Duration::from_secs(5),
+            order_retry_delay: Duration::from_millis(300),
+            identify_interval: Duration::from_millis(200),
+            model_load_interval: Duration::from_secs(5),
             mechanisms: Mechanisms::default(),
         }
     }
--- a/coordination/src/relay/mod.rs
+++ b/coordination/src/relay/mod.rs
@@ -1,16 +1,16 @@
-//! who hears whom in a large fleet: some sidecars of each availability zone
-//! pass on what all engines say, and gather what the entries of the zone need
+//! Relays of a large fleet: some sidecars of each availability zone fan out the views of
+//! all engines to the zone's entries and merge the entries' demands.
 
-mod own_calls;
-mod published_book;
-mod relay_book;
-mod relay_choice;
+mod direct_call_pacing;
+mod published_cache;
 mod relay_pacing;
+mod relay_selector;
+mod relay_state;
 
 pub use {
-    own_calls::OwnCalls,
-    published_book::PublishedBook,
-    relay_book::RelayBook,
-    relay_choice::{RelayCandidate, RelayChoice, RELAYS_FROM_ENGINES, RELAYS_PER_ZONE},
+    direct_call_pacing::DirectCallPacing,
+    published_cache::PublishedCache,
     relay_pacing::RelayPacing,
+    relay_selector::{RelayCandidate, RelaySelector, MIN_ENGINES_FOR_RELAYS, RELAYS_PER_ZONE},
+    relay_state::RelayState,
 };
--- /dev/null
+++ b/coordination/src/relay/published_cache.rs
@@ -0,0 +1,193 @@
+use {
+    chalkcart_protocol::peer::PublishedAnswer,
+    chalkcart_state::{
+        backends::{AdapterRef, BackendName},
+        ids::ZoneName,
+        published::{Record, RecordSubject, Snapshot},
+    },
+    std::{
+        collections::BTreeMap,
+        time::{Duration, Instant},
+    },
+};
+
+/// Removed back ends that are remembered, so that entries receive the removal.
+const MAX_REMOVED_BACKENDS: usize = 2_000;
+
+/// The key of a record; a later record with the same key replaces it.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+enum RecordKey {
+    Table,
+    Version(AdapterRef),
+    Backend(BackendName),
+    Zone(ZoneName),
+    Other(String),
+}
+
+/// A relay's copy of one topic of the platform's store. Revisions are those of the store,
+/// so that an entry may switch to another relay or to the store itself.
+#[derive(Debug)]
+pub struct PublishedCache {
+    /// Time without data from the store after which the copy is stale.
+    stale_after: Duration,
+    /// Records with the revisions at which they changed.
+    records: BTreeMap<RecordKey, (u64, Record)>,
+    /// Revision up to which the copy is complete.
+    revision: u64,
+    received_at: Option<Instant>,
+    /// Last time at which the store had nothing newer.
+    current_at: Option<Instant>,
+    /// Changes up to this revision may be missing from the copy.
+    history_lost_to: u64,
+}
+
+impl PublishedCache {
+    pub fn new(stale_after: Duration) -> Self {
+        Self {
+            stale_after,
+            records: BTreeMap::new(),
+            revision: 0,
+            received_at: None,
+            current_at: None,
+            history_lost_to: 0,
+        }
+    }
+
+    /// Applies a listing of the topic (`is_full`) or a set of changes; the store had
+    /// nothing newer at `current_at`.
+    pub fn apply(&mut self, update: Snapshot, is_full: bool, current_at: Instant, now: Instant) {
+        if update.at < self.revision {
+            // an earlier state does not show that the store can still be reached
+            return;
+        }
+        self.received_at = Some(now);
+        self.current_at = self.current_at.max(Some(current_at));
+        if is_full {
+            self.record_removals(&update);
+            // Changes before the listing are unknown, so that an entry at an earlier
+            // revision must read the topic in full.
+            self.history_lost_to = update.at;
+        }
+        self.revision = update.at;
+        for record in update.records {
+            let key = record_key(&record);
+            // A change gets its revision even if the listing contained it already. The
+            // pages of a listing are no snapshot: a later page may include changes after
+            // the listing's revision, which is that of its first page.
+            let known = self.records.get(&key);
+            if !is_full || known.is_none_or(|(_, known)| *known != record) {
+                self.records.insert(key, (update.at, record));
+            }
+        }
+        self.drop_old_removals();
+    }
+
+    /// Returns whether any data was received from the store.
+    pub fn has_received(&self) -> bool {
+        self.received_at.is_some()
+    }
+
+    /// Returns the response to an entry that knows the topic up to revision `after` and
+    /// sent its request at `requested_at`; `None` if there is nothing newer.
+    pub fn response(
+        &self,
+        after: Option<u64>,
+        requested_at: Instant,
+        now: Instant,
+    ) -> Option<PublishedAnswer> {
+        let age = self.received_at.map(|at| now.saturating_duration_since(at));
+        if age.is_none_or(|age| age > self.stale_after) {
+            return Some(PublishedAnswer::Stale);
+        }
+        let Some(after) = after else {
+            let is_present = |record: &&Record| !matches!(record, Record::BackendGone(_));
+            let records = self.records.values().map(|(_, record)| record);
+            let present = records.filter(is_present).cloned().collect();
+            return Some(self.records_response(present, requested_at));
+        };
+        if after < self.history_lost_to {
+            return Some(PublishedAnswer::HistoryLost);
+        }
+        let newer = self.records.values().filter(|(at, _)| *at > after);
+        let newer: Vec<Record> = newer.map(|(_, record)| record.clone()).collect();
+        (!newer.is_empty()).then(|| self.records_response(newer, requested_at))
+    }
+
+    /// Returns the response to an entry whose wait for a change has timed out.
+    pub fn empty_response(&self, after: Option<u64>, requested_at: Instant) -> PublishedAnswer {
+        let at = self.revision.max(after.unwrap_or(0));
+        let records = Vec::new();
+        self.snapshot_response(Snapshot { records, at }, requested_at)
+    }
+
+    fn records_response(&self, records: Vec<Record>, requested_at: Instant) -> PublishedAnswer {
+        let at = self.revision;
+        self.snapshot_response(Snapshot { records, at }, requested_at)
+    }
+
+    fn snapshot_response(&self, snapshot: Snapshot, requested_at: Instant) -> PublishedAnswer {
+        let current_ms = match self.current_at {
+            Some(at) if at >= requested_at => at.duration_since(requested_at).as_millis() as i64,
+            Some(at) => -(requested_at.duration_since(at).as_millis() as i64) - 1,
+            None => return PublishedAnswer::Stale,
+        };
+        PublishedAnswer::Records {
+            snapshot,
+            current_ms,
+        }
+    }
+
+    /// Records which known back ends and evacuations of zones a listing no longer contains.
+    fn record_removals(&mut self, listing: &Snapshot) {
+        let listed: Vec<RecordKey> = listing.records.iter().map(record_key).collect();
+        for (key, (at, record)) in &mut self.records {
+            if listed.contains(key) {
+                continue;
+            }
+            match record {
+                Record::Backend(backend) => {
+                    *record = Record::BackendGone(backend.id.name.clone());
+                    *at = listing.at;
+                }
+                Record::Zone { is_evacuated, .. } if *is_evacuated => {
+                    *is_evacuated = false;
+                    *at = listing.at;
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Drops the older half of the remembered removals once there are too many.
+    fn drop_old_removals(&mut self) {
+        let records = self.records.values();
+        let removed = records.filter(|(_, record)| matches!(record, Record::BackendGone(_)));
+        let mut removed_at: Vec<u64> = removed.map(|(at, _)| *at).collect();
+        if removed_at.len() <= MAX_REMOVED_BACKENDS {
+            return;
+        }
+        removed_at.sort_unstable();
+        let median = removed_at[removed_at.len() / 2];
+        self.history_lost_to = median;
+        let is_kept = |(at, record): &(u64, Record)| {
+            !matches!(record, Record::BackendGone(_)) || *at > median
+        };
+        self.records.retain(|_, entry| is_kept(entry));
+    }
+}
+
+fn record_key(record: &Record) -> RecordKey {
+    match record {
+        Record::Table(_) => RecordKey::Table,
+        Record::AdapterVersion { adapter, .. } => RecordKey::Version(adapter.clone()),
+        Record::Backend(backend) => RecordKey::Backend(backend.id.name.clone()),
+        Record::BackendGone(id) => RecordKey::Backend(id.clone()),
+        Record::Zone { zone, .. } => RecordKey::Zone(zone.clone()),
+        // has the key of the readable record, so that it replaces that one at entries
+        Record::Unreadable { subject, key, .. } => match subject {
+            RecordSubject::Table => RecordKey::Table,
+            RecordSubject::Backend(name) => RecordKey::Backend(name.clone()),
+            RecordSubject::Other => RecordKey::Other(key.clone()),
+        },
+    }
+}
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -8,50 +8,50 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// names an asker that waits for an answer
-pub type Ticket = u64;
+/// Identifies a caller that waits for a response.
+pub type ReplyId = u64;
 
-/// how an order to an engine ended
+/// The result of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
     Done,
-    /// the engine says that it did not do it
+    /// The engine reported a failure.
     Failed,
-    /// the engine refused the fence or the incarnation
+    /// The engine refused the fence or the incarnation.
     Fenced,
-    /// no answer: it may be done now or later
+    /// No response: the order may be executed now or later.
     Unknown,
 }
 
-/// how a run ended
+/// The end of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
     pub outcome: Outcome,
-    /// none if the answer is whole
+    /// `None` if the response is complete.
     pub failure: Option<Reason>,
     pub detail: String,
-    /// tokens generated
+    /// Number of generated tokens.
     pub tokens: u64,
-    pub took: Duration,
-    /// the engine may still be running it
-    pub may_run_on: bool,
+    pub duration: Duration,
+    /// The engine may still execute the request.
+    pub may_still_run: bool,
 }
 
-/// what happens to a sidecar
+/// An input of `SidecarControl`.
 #[derive(Debug, Clone)]
 pub enum SidecarEvent {
     Arrived(Box<WorkOrder>),
-    ReserveAsked {
-        ticket: Ticket,
+    ReserveRequested {
+        reply: ReplyId,
         count: u32,
     },
-    CancelAsked {
-        ticket: Ticket,
+    CancelRequested {
+        reply: ReplyId,
         request: RequestId,
     },
-    /// the engine's answer; none if it can't be reached
+    /// The engine's status; `None` if the engine can't be reached.
     EngineRead(Option<EngineStatus>),
-    FenceAnswered {
+    FenceTakeEnded {
         incarnation: Incarnation,
         fence: Fence,
         result: OrderResult,
@@ -60,7 +60,7 @@
         adapter: AdapterKey,
         incarnation: Incarnation,
         result: OrderResult,
-        took: Duration,
+        duration: Duration,
     },
     UnloadEnded {
         adapter: AdapterKey,
@@ -71,12 +71,12 @@
         request: RequestId,
         end: RunEnd,
     },
-    /// the giver's answer; none if it can't be reached
-    PermitAnswered {
+    /// The permit issuer's response; `None` if the issuer can't be reached.
+    PermitRequestEnded {
         adapter: AdapterKey,
-        answer: Option<PermitAnswer>,
+        response: Option<PermitAnswer>,
     },
     Configured(Arc<Root>),
-    DrainAsked,
+    DrainRequested,
     Tick,
 }
--- a/coordination/src/sidecar/mod.rs
+++ b/coordination/src/sidecar/mod.rs
@@ -1,8 +1,8 @@
-//! the decisions of the process beside one target
+//! Decisions of the sidecar of one target: admission, queueing, loads and runs.
 
 mod actions;
 mod events;
-mod load_book;
+mod load_table;
 mod loading;
 mod queueing;
 mod running;
@@ -11,7 +11,7 @@
 
 pub use {
     actions::{OrderFence, SidecarAction},
-    events::{OrderResult, RunEnd, SidecarEvent, Ticket},
+    events::{OrderResult, ReplyId, RunEnd, SidecarEvent},
     settings::{PermitMode, SidecarSettings, TargetKind},
     sidecar_control::SidecarControl,
 };
--- a/coordination/src/slots/mod.rs
+++ b/coordination/src/slots/mod.rs
@@ -1,11 +1,11 @@
-//! which adapters an engine's few slots hold
+//! The adapter slots of an engine.
 
 mod adapter_key;
-mod heat;
+mod decaying_count;
 mod slot_table;
 
 pub use {
     adapter_key::AdapterKey,
-    heat::Heat,
-    slot_table::{Room, SlotPhase, SlotTable},
+    decaying_count::DecayingCount,
+    slot_table::{SlotAvailability, SlotPhase, SlotTable},
 };
--- a/coordination/tests/keeper_fixture/mod.rs
+++ b/coordination/tests/keeper_fixture/mod.rs
@@ -6,8 +6,8 @@
 use {
     crate::dispatch_fixture::adapter,
     chalkcart_coordination::placement::{
-        EngineOrder, EngineReport, OrderAnswer, PlacementControl, PlacementEvent,
-        PlacementSettings, PlacementStep,
+        EngineOrder, EngineReport, OrderAnswer, PlacementAction, PlacementControl, PlacementEvent,
+        PlacementSettings,
     },
     chalkcart_protocol::peer::{AdapterDemand, EngineRoom, EngineView, ModelSize, WantedAdapter},
     chalkcart_state::backends::HeldAdapter,
@@ -75,17 +75,17 @@
     pub fn identify_as(&mut self, name: &str) {
         self.handle(PlacementEvent::Identified(Some(name.to_string())));
     }
-    pub fn step(&mut self) -> PlacementStep {
-        self.control.next_step(self.now)
+    pub fn step(&mut self) -> PlacementAction {
+        self.control.next_action(self.now)
     }
     pub fn order(&mut self) -> Option<EngineOrder> {
         match self.step() {
-            PlacementStep::Order(order) => Some(order),
+            PlacementAction::Order(order) => Some(order),
             _ => None,
         }
     }
     pub fn answer(&mut self, order: EngineOrder, answer: OrderAnswer) {
-        self.handle(PlacementEvent::Answered { order, answer });
+        self.handle(PlacementEvent::OrderAnswered { order, answer });
     }
     pub fn view(&self) -> EngineView {
         self.control.view(self.now)
@@ -99,7 +99,7 @@
         version: *version,
     });
     EngineReport {
-        born,
+        start_time_ms: born,
         models: models.iter().map(|m| m.to_string()).collect(),
         held: held.collect(),
         ..EngineReport::default()
--- a/coordination/tests/relay_fleet.rs
+++ b/coordination/tests/relay_fleet.rs
@@ -3,7 +3,7 @@
 use {
     chalkcart_coordination::{
         membership::rendezvous_weight,
-        relay::{RelayCandidate, RelayChoice, RELAYS_PER_ZONE},
+        relay::{RelayCandidate, RelaySelector, RELAYS_PER_ZONE},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -29,7 +29,7 @@
 
 struct Entry {
     zone: usize,
-    choice: RelayChoice,
+    choice: RelaySelector,
     relay: SocketAddr,
     silent: Duration,
     longest_silence: Duration,
@@ -53,8 +53,8 @@
         let candidates: Vec<RelayCandidate> = (0..ENGINES).map(engine).collect();
         let entries = (0..ENTRIES).map(|n| {
             let zone = n % ZONES;
-            let mut choice = RelayChoice::new(&format!("e{n}"), &format!("z{zone}"));
-            let relay = choice.choose(&candidates, None, now).expect("a relay");
+            let mut choice = RelaySelector::new(&format!("e{n}"), &format!("z{zone}"));
+            let relay = choice.select(&candidates, None, now).expect("a relay");
             Entry {
                 zone,
                 choice,
@@ -91,7 +91,7 @@
                 entry.silent = Duration::ZERO;
                 if step.is_multiple_of(REVIEW_STEPS) {
                     let present = Some(entry.relay);
-                    let chosen = entry.choice.choose(&self.candidates, present, self.now);
+                    let chosen = entry.choice.select(&self.candidates, present, self.now);
                     entry.relay = chosen.expect("a relay");
                 }
                 continue;
@@ -100,8 +100,8 @@
             entry.longest_silence = entry.longest_silence.max(entry.silent);
             let here = entry.silent.as_millis() % SILENCE.as_millis();
             if here == 0 {
-                entry.choice.on_failed(entry.relay, self.now);
-                let chosen = entry.choice.choose(&self.candidates, None, self.now);
+                entry.choice.on_failure(entry.relay, self.now);
+                let chosen = entry.choice.select(&self.candidates, None, self.now);
                 entry.relay = chosen.expect("a relay");
             }
         }
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -2,7 +2,7 @@
     super::shared::Shared,
     chalkcart_coordination::{
         own_word::{OwnWord, RequestRate},
-        placement::{EngineOrder, OrderAnswer, PlacementEvent, PlacementStep},
+        placement::{EngineOrder, OrderAnswer, PlacementAction, PlacementEvent},
     },
     chalkcart_protocol::peer::EngineView,
     chalkcart_transport::{
@@ -51,15 +51,15 @@
     pub async fn run(mut self) {
         loop {
             let now = clock::now();
-            let step = self.shared.control().next_step(now);
+            let step = self.shared.control().next_action(now);
             match step {
-                PlacementStep::Identify { health_path } => self.identify(&health_path).await,
-                PlacementStep::Order(order) => {
+                PlacementAction::Identify { health_path } => self.identify(&health_path).await,
+                PlacementAction::Order(order) => {
                     self.order(order).await;
                     self.read().await;
                 }
-                PlacementStep::Read { after } => self.wait_or_read(after, now).await,
-                PlacementStep::Rest { left } => self.rest(left).await,
+                PlacementAction::Read { after } => self.wait_or_read(after, now).await,
+                PlacementAction::BackOff { remaining } => self.rest(remaining).await,
             }
         }
     }
@@ -106,7 +106,7 @@
             self.said = lasting;
         }
         if is_news || !word.is_empty() {
-            self.shared.handle(PlacementEvent::Said(word));
+            self.shared.handle(PlacementEvent::Signals(word));
         }
         value
     }
@@ -165,7 +165,7 @@
             "engine: ordered"
         );
         self.shared
-            .handle(PlacementEvent::Answered { order, answer });
+            .handle(PlacementEvent::OrderAnswered { order, answer });
     }
 
     fn publish(&mut self) {
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::relay::{PublishedBook, RelayPacing},
+    chalkcart_coordination::relay::{PublishedCache, RelayPacing},
     chalkcart_protocol::peer::{PublishedAnswer, PublishedAsk},
     chalkcart_state::published::Topic,
     chalkcart_transport::{
@@ -37,7 +37,7 @@
 
 /// one topic
 struct Heard {
-    book: Mutex<PublishedBook>,
+    book: Mutex<PublishedCache>,
     /// counts what was heard
     changed: watch::Sender<u64>,
 }
@@ -45,11 +45,11 @@
 impl Heard {
     fn new(stale_after: Duration) -> Self {
         Self {
-            book: Mutex::new(PublishedBook::new(stale_after)),
+            book: Mutex::new(PublishedCache::new(stale_after)),
             changed: watch::Sender::new(0),
         }
     }
-    fn book(&self) -> MutexGuard<'_, PublishedBook> {
+    fn book(&self) -> MutexGuard<'_, PublishedCache> {
         // no holder panics halfway through a change
         self.book.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -76,7 +76,7 @@
             return;
         };
         followers.extend([Topic::Configuration, Topic::Backends].map(|topic| {
-            let pacing = self.pacing.follow();
+            let pacing = self.pacing.watch_pacing();
             let follower = Follower::new(store.clone(), self.clone(), topic, pacing);
             tokio::spawn(follower.run())
         }));
@@ -99,19 +99,19 @@
         let asked = clock::now();
         let heard = self.heard(ask.topic);
         let mut changes = heard.changed.subscribe();
-        if !heard.book().has_heard() {
+        if !heard.book().has_received() {
             // the relay has just begun; without an answer it is stale
             let _ = timeout(FIRST_ANSWER, changes.changed()).await;
         }
         let until = Deadline::now() + Duration::from_millis(ask.wait_ms);
         loop {
             changes.mark_unchanged();
-            if let Some(answer) = heard.book().answer(ask.after, asked, clock::now()) {
+            if let Some(answer) = heard.book().response(ask.after, asked, clock::now()) {
                 return answer;
             }
             let left = until.saturating_duration_since(Deadline::now());
             if left.is_zero() {
-                return heard.book().nothing_newer(ask.after, asked);
+                return heard.book().empty_response(ask.after, asked);
             }
             // a time without a change is looked at above
             let _ = timeout(left.min(LOOK_EVERY), changes.changed()).await;
@@ -135,7 +135,7 @@
         let has_news = is_whole || !snapshot.records.is_empty();
         let to = self.heard(topic);
         to.book()
-            .take_in(snapshot, is_whole, current_at, clock::now());
+            .apply(snapshot, is_whole, current_at, clock::now());
         if has_news {
             to.changed.send_modify(|count| *count += 1);
         }
