--- a/coordination/src/own_word/limit.rs
+++ b/coordination/src/backend_signals/limit_signal.rs
@@ -30,7 +30,7 @@
 
 /// what the head of an answer says of the requests that its back end takes
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// nothing: it takes what comes
     #[default]
     Unsaid,
@@ -40,7 +40,7 @@
     Unreadable,
 }
 
-impl LimitWord {
+impl LimitSignal {
     pub fn named(self) -> Option<RequestRate> {
         match self {
             Self::Named(rate) => Some(rate),
--- a/coordination/src/own_word/word.rs
+++ b/coordination/src/backend_signals/signals.rs
@@ -1,31 +1,31 @@
-use {super::LimitWord, std::time::Duration};
+use {super::LimitSignal, std::time::Duration};
 
 /// no rest, and no cold time, is longer; it keeps sums of times in range, and is beyond any use of a back end
 const LONGEST_REST: Duration = Duration::from_secs(24 * 3_600);
 
 /// what a back end says of itself in the head of an answer
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct OwnWord {
+pub struct BackendSignals {
     /// it leaves: it wants no more requests
     pub is_leaving: bool,
     /// it turned a request away, and wants nothing of this entry for so long
     pub rest: Option<Duration>,
     /// how many requests it takes
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
     /// how much longer it is cold; none if it does not say, which proves neither
     pub cold: Option<Duration>,
 }
 
-impl OwnWord {
+impl BackendSignals {
     pub fn new(is_leaving: bool, rest: Option<Duration>) -> Self {
         Self {
             is_leaving,
             rest: rest.map(|rest| rest.min(LONGEST_REST)),
-            limit: LimitWord::Unsaid,
+            limit: LimitSignal::Unsaid,
             cold: None,
         }
     }
-    pub fn with_limit(self, limit: LimitWord) -> Self {
+    pub fn with_limit(self, limit: LimitSignal) -> Self {
         Self { limit, ..self }
     }
     pub fn with_cold(self, cold: Option<Duration>) -> Self {
@@ -38,7 +38,7 @@
             (self.is_leaving, "leaving"),
             (self.rest.is_some(), "rest"),
             (self.limit.named().is_some(), "limit"),
-            (self.limit == LimitWord::Unreadable, "limit_unreadable"),
+            (self.limit == LimitSignal::Unreadable, "limit_unreadable"),
             (self.is_cold(), "cold"),
         ];
         said.into_iter()
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -7,8 +7,8 @@
         SharedBudget, Ticket, Wished,
     },
     crate::{
+        backend_signals::BackendSignals,
         crashes::{Crash, CrashEvidence},
-        own_word::OwnWord,
     },
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId},
@@ -256,7 +256,12 @@
     /// The back end itself knows that it leaves before its record does: where the store is
     /// silent, its answers are all that says so. It alone knows how long it needs, too: tried
     /// each 60 ms, the repeats of a service were used up within 2 s.
-    pub(super) fn note_own_word(&mut self, backend: &BackendId, word: OwnWord, now: Instant) {
+    pub(super) fn note_own_word(
+        &mut self,
+        backend: &BackendId,
+        word: BackendSignals,
+        now: Instant,
+    ) {
         self.own_words.on_word(backend, word, now);
         let rests_until = self.own_words.rests_until(backend, now);
         if let Some(state) = self.backends.get_mut(backend) {
@@ -266,7 +271,13 @@
     }
 
     /// an answer to a request that was sent then says this of its back end
-    fn on_own_word(&mut self, backend: &BackendId, word: OwnWord, sent: Instant, now: Instant) {
+    fn on_own_word(
+        &mut self,
+        backend: &BackendId,
+        word: BackendSignals,
+        sent: Instant,
+        now: Instant,
+    ) {
         self.note_own_word(backend, word, now);
         self.on_limit_word(backend, (word.limit, sent), now);
         if let Some(left) = word.cold {
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -1,6 +1,6 @@
 use {
     super::{Ask, DispatchSettings, NoDeal, Ticket},
-    crate::own_word::OwnWord,
+    crate::backend_signals::BackendSignals,
     chalkcart_protocol::peer::{EngineFigures, EngineView, IntakeAnswer},
     chalkcart_state::{
         backends::{AdapterRef, BackendId, BackendList},
@@ -66,7 +66,7 @@
     /// a back end said this of itself in the head of an answer
     Said {
         backend: BackendId,
-        word: OwnWord,
+        word: BackendSignals,
         /// when the request was sent that it answered
         sent: Instant,
     },
--- a/coordination/src/dispatch/limited.rs
+++ b/coordination/src/dispatch/limited.rs
@@ -3,8 +3,8 @@
 use {
     super::dispatcher::Dispatcher,
     crate::{
+        backend_signals::{LimitSignal, RequestRate},
         intake::{NamedLimit, Sharers},
-        own_word::{LimitWord, RequestRate},
     },
     chalkcart_protocol::peer::{EngineFigures, IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -40,7 +40,7 @@
     pub(super) fn on_limit_word(
         &mut self,
         backend: &BackendId,
-        (word, sent): (LimitWord, Instant),
+        (word, sent): (LimitSignal, Instant),
         now: Instant,
     ) {
         self.change_limit(backend, now, |limit, sharers| {
--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/listing.rs
@@ -6,7 +6,7 @@
         dispatcher::Dispatcher,
         BackendState,
     },
-    crate::own_word::OwnWord,
+    crate::backend_signals::BackendSignals,
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId, BackendList, BackendName},
@@ -200,7 +200,7 @@
             self.on_cold_told(backend, left.saturating_sub(said), now);
         }
         if figures.is_leaving {
-            self.note_own_word(backend, OwnWord::new(true, None), now);
+            self.note_own_word(backend, BackendSignals::new(true, None), now);
         }
     }
 
--- a/coordination/src/dispatch/own_words.rs
+++ b/coordination/src/dispatch/own_words.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{intake::NamedLimit, own_word::OwnWord},
+    crate::{backend_signals::BackendSignals, intake::NamedLimit},
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -26,7 +26,7 @@
 }
 
 impl OwnWords {
-    pub fn on_word(&mut self, backend: &BackendId, word: OwnWord, now: Instant) {
+    pub fn on_word(&mut self, backend: &BackendId, word: BackendSignals, now: Instant) {
         if word.is_leaving {
             self.leaving.insert(backend.clone(), now);
         }
--- a/coordination/src/intake/engine_limit.rs
+++ b/coordination/src/intake/engine_limit.rs
@@ -1,6 +1,6 @@
 use {
     super::PermitDealer,
-    crate::own_word::{LimitWord, RequestRate},
+    crate::backend_signals::{LimitSignal, RequestRate},
     chalkcart_protocol::peer::{HeardLimit, IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
@@ -25,15 +25,15 @@
 impl EngineLimit {
     /// An answer to this sidecar says this, or nothing. Whether engines name limits in
     /// answers to sidecars is not known: silence is news only after a word.
-    pub fn on_engine_word(&mut self, word: LimitWord, now: Instant) {
+    pub fn on_engine_word(&mut self, word: LimitSignal, now: Instant) {
         match word {
-            LimitWord::Named(rate) => self.by_engine = Some(rate),
-            LimitWord::Unsaid if self.by_engine.is_some() => {
+            LimitSignal::Named(rate) => self.by_engine = Some(rate),
+            LimitSignal::Unsaid if self.by_engine.is_some() => {
                 self.by_engine = None;
                 self.by_entries = None;
                 self.freed = Some(now);
             }
-            LimitWord::Unsaid | LimitWord::Unreadable => {}
+            LimitSignal::Unsaid | LimitSignal::Unreadable => {}
         }
     }
 
--- a/coordination/src/intake/named_limit.rs
+++ b/coordination/src/intake/named_limit.rs
@@ -1,6 +1,6 @@
 use {
     super::{EqualShare, HeldPermits, IntakeReason, ShareBasis, LEAST_PER_S},
-    crate::own_word::{LimitWord, RequestRate},
+    crate::backend_signals::{LimitSignal, RequestRate},
     chalkcart_protocol::peer::{HeardLimit, IntakeAnswer},
     std::time::{Duration, Instant},
 };
@@ -62,17 +62,17 @@
     ///
     /// Answers overtake each other. One to a request that was sent after another answer had
     /// come was surely written later; of two whose order is not known the lower limit holds.
-    pub fn on_word(&mut self, word: LimitWord, sent: Instant, sharers: Sharers, now: Instant) {
+    pub fn on_word(&mut self, word: LimitSignal, sent: Instant, sharers: Sharers, now: Instant) {
         let overtaken = self.said.filter(|said| sent < said.at);
         match (word, overtaken) {
-            (LimitWord::Unreadable, _) | (LimitWord::Unsaid, Some(_)) => return,
-            (LimitWord::Unsaid, None) => {
+            (LimitSignal::Unreadable, _) | (LimitSignal::Unsaid, Some(_)) => return,
+            (LimitSignal::Unsaid, None) => {
                 self.has_news |= self.named().is_some();
                 self.said = None;
                 self.told = None;
                 self.freed = Some(now);
             }
-            (LimitWord::Named(rate), other) => {
+            (LimitSignal::Named(rate), other) => {
                 let rate = other.map_or(rate, |other| other.rate.min(rate));
                 self.has_news |= self.said.is_none_or(|said| said.rate != rate);
                 self.said = Some(Said { rate, at: now });
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -3,6 +3,7 @@
 //! Nothing here does I/O or reads a clock: an event and the time go in,
 //! actions come out. So each decision is tested without a socket.
 
+pub mod backend_signals;
 pub mod config;
 pub mod crashes;
 pub mod dispatch;
@@ -14,7 +15,6 @@
 pub mod mechanisms;
 pub mod membership;
 pub mod once;
-pub mod own_word;
 pub mod permits;
 pub mod placement;
 pub mod queue;
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -4,8 +4,8 @@
         OrderAnswer, OrderKind, PlacementSettings,
     },
     crate::{
+        backend_signals::{BackendSignals, RequestRate},
         intake::EngineLimit,
-        own_word::{OwnWord, RequestRate},
     },
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineView, IntakeAnswer, IntakeReport,
@@ -45,7 +45,7 @@
         answer: OrderAnswer,
     },
     /// the engine said this of itself, whatever it was asked
-    Said(OwnWord),
+    Said(BackendSignals),
 }
 
 /// what the process does next
@@ -213,7 +213,7 @@
     }
 
     /// Orders, reports and questions for its identity share a machine's rest with requests.
-    fn on_own_word(&mut self, word: OwnWord, now: Instant) {
+    fn on_own_word(&mut self, word: BackendSignals, now: Instant) {
         self.says_leaving |= word.is_leaving;
         self.limit.on_engine_word(word.limit, now);
         if let Some(left) = word.cold {
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -10,9 +10,9 @@
 
 use {
     chalkcart_coordination::{
+        backend_signals::BackendSignals,
         dispatch::{DispatchEvent, SendOutcome},
         intake::{ColdBound, ColdPace},
-        own_word::OwnWord,
     },
     chalkcart_state::backends::Backend,
     dispatch_fixture::*,
@@ -190,7 +190,7 @@
     let sent = fixture.now;
     fixture.tell(DispatchEvent::Said {
         backend: "engines-1".into(),
-        word: OwnWord::default().with_cold(Some(ms(2_000))),
+        word: BackendSignals::default().with_cold(Some(ms(2_000))),
         sent,
     });
     let sent = sent_in(&mut fixture, ms(2_000), 0);
--- a/coordination/tests/intake_sim/mod.rs
+++ b/coordination/tests/intake_sim/mod.rs
@@ -6,8 +6,8 @@
 
 use {
     chalkcart_coordination::{
+        backend_signals::{LimitSignal, RequestRate},
         intake::{EngineLimit, NamedLimit, Sharers},
-        own_word::{LimitWord, RequestRate},
     },
     chalkcart_protocol::peer::{IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -194,7 +194,7 @@
                 entry.told.get_or_insert(now);
                 entry
                     .limit
-                    .on_word(LimitWord::Named(rate(named)), at, sharers, now);
+                    .on_word(LimitSignal::Named(rate(named)), at, sharers, now);
             }
             entry.limit.share_among(sharers, now);
             if let Some((asked, at, answer)) = entry.dealt.take() {
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -7,9 +7,9 @@
 
 use {
     chalkcart_coordination::{
+        backend_signals::{BackendSignals, LimitSignal, RequestRate},
         dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
         intake::{NamedLimit, Sharers},
-        own_word::{LimitWord, OwnWord, RequestRate},
     },
     chalkcart_state::backends::{Backend, BackendId},
     dispatch_fixture::*,
@@ -25,18 +25,18 @@
 fn rate(per_s: f64) -> RequestRate {
     RequestRate::of_per_s(per_s).expect("a rate")
 }
-fn named(per_s: f64) -> LimitWord {
-    LimitWord::Named(rate(per_s))
+fn named(per_s: f64) -> LimitSignal {
+    LimitSignal::Named(rate(per_s))
 }
-fn limited(per_s: f64) -> OwnWord {
-    OwnWord::default().with_limit(named(per_s))
+fn limited(per_s: f64) -> BackendSignals {
+    BackendSignals::default().with_limit(named(per_s))
 }
 fn allowed(per_s: f64) -> usize {
     (1.5 * per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 /// an answer to a request that was sent at this moment, and came now
-fn say(fixture: &mut Fixture, backend: &str, word: OwnWord, sent: Instant) {
+fn say(fixture: &mut Fixture, backend: &str, word: BackendSignals, sent: Instant) {
     let backend = BackendId::from(backend);
     fixture.tell(DispatchEvent::Said {
         backend,
@@ -44,7 +44,7 @@
         sent,
     });
 }
-fn say_now(fixture: &mut Fixture, backend: &str, word: OwnWord) {
+fn say_now(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
     let sent = fixture.now;
     say(fixture, backend, word, sent);
 }
@@ -107,10 +107,10 @@
     let before = fixture.now;
     fixture.pass(ms(10));
     say_now(&mut fixture, "plain-1", limited(2.0));
-    say(&mut fixture, "plain-1", OwnWord::default(), before);
+    say(&mut fixture, "plain-1", BackendSignals::default(), before);
     let sent = sent_within(&mut fixture, WINDOW, "plain-1", 0);
     assert!(sent <= allowed(2.0), "{sent}");
-    say_now(&mut fixture, "plain-1", OwnWord::default());
+    say_now(&mut fixture, "plain-1", BackendSignals::default());
     let sent = sent_within(&mut fixture, ms(1_000), "plain-1", 1_000);
     assert_eq!(sent, 100);
 }
@@ -328,16 +328,16 @@
             now += ms(50);
             let sent = now.checked_sub(ms(u64::from(back_ms % 200))).unwrap_or(now);
             let word = match kind % 3 {
-                0 => LimitWord::Unsaid,
-                1 => LimitWord::Unreadable,
+                0 => LimitSignal::Unsaid,
+                1 => LimitSignal::Unreadable,
                 _ => named(f64::from(kind)),
             };
             let before = limit.named();
             limit.on_word(word, sent, sharers, now);
             let is_sound = match word {
-                LimitWord::Unreadable => limit.named() == before,
-                LimitWord::Unsaid => limit.named().is_none() || limit.named() == before,
-                LimitWord::Named(rate) => limit.named().is_some_and(|known| known <= rate),
+                LimitSignal::Unreadable => limit.named() == before,
+                LimitSignal::Unsaid => limit.named().is_none() || limit.named() == before,
+                LimitSignal::Named(rate) => limit.named().is_some_and(|known| known <= rate),
             };
             if !is_sound {
                 return TestResult::failed();
@@ -345,7 +345,7 @@
         }
         // a later answer settles it
         now += ms(1);
-        limit.on_word(LimitWord::Unsaid, now, sharers, now);
+        limit.on_word(LimitSignal::Unsaid, now, sharers, now);
         TestResult::from_bool(limit.named().is_none() && limit.allows_one(now))
     }
 }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -5,8 +5,8 @@
 
 use {
     chalkcart_coordination::{
+        backend_signals::{BackendSignals, LimitSignal, RequestRate},
         dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
-        own_word::{LimitWord, OwnWord, RequestRate},
         placement::{OrderAnswer, PlacementEvent, PlacementStep},
     },
     chalkcart_state::backends::Backend,
@@ -15,10 +15,10 @@
     std::time::Duration,
 };
 
-const LEAVES: OwnWord = OwnWord {
+const LEAVES: BackendSignals = BackendSignals {
     is_leaving: true,
     rest: None,
-    limit: LimitWord::Unsaid,
+    limit: LimitSignal::Unsaid,
     cold: None,
 };
 
@@ -28,14 +28,14 @@
 
 /// s of rest that back ends ask for here
 const REST_S: u64 = 3;
-const RESTS: OwnWord = OwnWord {
+const RESTS: BackendSignals = BackendSignals {
     is_leaving: false,
     rest: Some(Duration::from_secs(REST_S)),
-    limit: LimitWord::Unsaid,
+    limit: LimitSignal::Unsaid,
     cold: None,
 };
 
-fn say(fixture: &mut Fixture, backend: &str, word: OwnWord) {
+fn say(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
     let backend = backend.into();
     let sent = fixture.now;
     fixture.tell(DispatchEvent::Said {
@@ -150,9 +150,9 @@
 fn the_longest_rest_holds() {
     let mut fixture = Fixture::new(two_plain());
     say(&mut fixture, "plain-1", RESTS);
-    let shorter = OwnWord {
+    let shorter = BackendSignals {
         rest: Some(ms(10)),
-        ..OwnWord::default()
+        ..BackendSignals::default()
     };
     say(&mut fixture, "plain-1", shorter);
     fixture.pass(ms(100));
@@ -184,9 +184,9 @@
 #[test]
 fn a_rest_that_ends_within_the_wait_is_waited_for() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    let short = OwnWord {
+    let short = BackendSignals {
         rest: Some(ms(100)),
-        ..OwnWord::default()
+        ..BackendSignals::default()
     };
     say(&mut fixture, "plain-1", short);
     let ask = fixture.new_ask(PLAIN, None);
@@ -320,8 +320,8 @@
     let mut keeper = Keeper::new();
     keeper.demand(&[], &[]);
     keeper.identify();
-    let word = OwnWord::default()
-        .with_limit(RequestRate::of_per_s(2.0).map_or(LimitWord::Unsaid, LimitWord::Named))
+    let word = BackendSignals::default()
+        .with_limit(RequestRate::of_per_s(2.0).map_or(LimitSignal::Unsaid, LimitSignal::Named))
         .with_cold(Some(Duration::from_secs(2)));
     keeper
         .control
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -8,9 +8,9 @@
     },
     bytes::Bytes,
     chalkcart_coordination::{
+        backend_signals::RequestRate,
         crashes::Standing,
         dispatch::{Ask, Assignment, Basis, Decision, DispatchEvent, SendOutcome, Ticket},
-        own_word::RequestRate,
     },
     chalkcart_state::{backends::BackendId, ids::Generation, regions::AllowedRegions},
     chalkcart_transport::{
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::{
-        own_word::{OwnWord, RequestRate},
+        backend_signals::{BackendSignals, RequestRate},
         placement::{EngineOrder, OrderAnswer, PlacementEvent, PlacementStep},
     },
     chalkcart_protocol::peer::EngineView,
@@ -32,7 +32,7 @@
     is_reachable: bool,
     read_at: Option<Instant>,
     /// what the engine said of itself last, but for rests
-    said: OwnWord,
+    said: BackendSignals,
 }
 
 impl Keeper {
@@ -43,7 +43,7 @@
             published: None,
             is_reachable: true,
             read_at: None,
-            said: OwnWord::default(),
+            said: BackendSignals::default(),
         }
     }
 
@@ -88,7 +88,7 @@
         let Some(word) = word else {
             return value;
         };
-        let lasting = OwnWord {
+        let lasting = BackendSignals {
             rest: None,
             cold: None,
             ..word
@@ -113,7 +113,7 @@
 
     async fn identify(&mut self, health_path: &str) {
         // another engine may answer, whose own word is news
-        self.said = OwnWord::default();
+        self.said = BackendSignals::default();
         let told = self.engine.identity(health_path).await;
         let Told { value, word } = told;
         log::info!("engine: it is {value:?}");
--- a/transport/src/ingress/dialect.rs
+++ b/transport/src/ingress/dialect.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::own_word::{LimitWord, OwnWord},
+    chalkcart_coordination::backend_signals::{BackendSignals, LimitSignal},
     chalkcart_state::{
         accounts::{ApiKeyDigest, ApiKeyError},
         backends::{AdapterRef, BackendName},
@@ -57,20 +57,20 @@
     /// time after which the request may come again, if it was turned away
     pub rest: Option<Duration>,
     /// how many requests the back end takes
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
     /// how much longer the back end is cold, if it says so
     pub cold: Option<Duration>,
 }
 
 impl AnswerHead {
     /// what the back end says of itself in an answer of this status
-    pub fn own_word(&self, status: StatusCode) -> OwnWord {
+    pub fn own_word(&self, status: StatusCode) -> BackendSignals {
         let turned_away = matches!(
             status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
         );
         let rest = self.rest.filter(|_| turned_away);
-        OwnWord::new(self.leaving, rest)
+        BackendSignals::new(self.leaving, rest)
             .with_limit(self.limit)
             .with_cold(self.cold)
     }
--- a/transport/src/orders/ordered_engine.rs
+++ b/transport/src/orders/ordered_engine.rs
@@ -2,7 +2,7 @@
     crate::client::ClientError,
     async_trait::async_trait,
     chalkcart_coordination::{
-        own_word::OwnWord,
+        backend_signals::BackendSignals,
         placement::{EngineOrder, EngineReport, OrderAnswer},
     },
     chalkcart_state::backends::BackendName,
@@ -13,7 +13,7 @@
 pub struct Told<T> {
     pub value: T,
     /// none if no answer came
-    pub word: Option<OwnWord>,
+    pub word: Option<BackendSignals>,
 }
 
 /// an engine that a sidecar gives orders to
