--- a/coordination/src/intake/named_limit.rs
+++ b/coordination/src/backend_admission/advertised_limit.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EqualShare, HeldPermits, IntakeReason, ShareBasis, LEAST_PER_S},
+    super::{AdmissionGate, EqualShare, PermitPool, ShareBasis, LEAST_PER_S},
     crate::backend_signals::{LimitSignal, RequestRate},
     chalkcart_protocol::peer::{HeardLimit, IntakeAnswer},
     std::time::{Duration, Instant},
@@ -19,7 +19,7 @@
 
 /// who shares a limit
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sharers {
+pub struct LimitSharing {
     pub entries: u32,
     /// of this entry for this back end: between 0 and 1, evenly over entries
     pub phase: f64,
@@ -31,14 +31,14 @@
 
 /// what the dealer of a back end's permits has not heard of this entry
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     pub named: Option<HeardLimit>,
     pub freed_ago_ms: Option<u32>,
 }
 
 /// The requests a second that a back end names, and what of them this entry may send.
 #[derive(Debug, Clone, Default)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// in answers to this entry
     said: Option<Said>,
     /// by the word of its sidecar
@@ -48,7 +48,7 @@
     /// the dealer must hear what an answer said
     has_news: bool,
     share: Option<EqualShare>,
-    permits: HeldPermits,
+    permits: PermitPool,
     has_dealer: bool,
     /// requests that wait for it, and the priority of the most urgent
     wanted: u32,
@@ -57,12 +57,18 @@
     returns_at: Option<Instant>,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// An answer says this, or nothing, to a request that was sent then.
     ///
     /// Answers overtake each other. One to a request that was sent after another answer had
     /// come was surely written later; of two whose order is not known the lower limit holds.
-    pub fn on_word(&mut self, word: LimitSignal, sent: Instant, sharers: Sharers, now: Instant) {
+    pub fn on_word(
+        &mut self,
+        word: LimitSignal,
+        sent: Instant,
+        sharers: LimitSharing,
+        now: Instant,
+    ) {
         let overtaken = self.said.filter(|said| sent < said.at);
         match (word, overtaken) {
             (LimitSignal::Unreadable, _) | (LimitSignal::Unsaid, Some(_)) => return,
@@ -82,7 +88,7 @@
     }
 
     /// its sidecar says that it names this limit, or none
-    pub fn on_told(&mut self, told: Option<RequestRate>, sharers: Sharers, now: Instant) {
+    pub fn on_told(&mut self, told: Option<RequestRate>, sharers: LimitSharing, now: Instant) {
         if self.told != told {
             self.told = told;
             self.share_among(sharers, now);
@@ -95,7 +101,7 @@
         &mut self,
         answer: &IntakeAnswer,
         asked: Instant,
-        sharers: Sharers,
+        sharers: LimitSharing,
         now: Instant,
     ) {
         self.permits.on_answer(answer, asked, now);
@@ -114,7 +120,7 @@
     }
 
     /// the number of entries, or who stands beside the back end, may be another
-    pub fn share_among(&mut self, sharers: Sharers, now: Instant) {
+    pub fn share_among(&mut self, sharers: LimitSharing, now: Instant) {
         self.has_dealer = sharers.has_dealer;
         let Some(rate) = self.named() else {
             self.share = None;
@@ -192,13 +198,13 @@
         self.has_dealer && wants && self.permits.is_due(now)
     }
     /// the dealer is asked; gives what it has to hear, and the permits that are of no use
-    pub fn on_asked(&mut self, now: Instant) -> (LimitNews, u32) {
+    pub fn on_asked(&mut self, now: Instant) -> (LimitUpdate, u32) {
         self.has_news = false;
         let ms_since = |at: Instant| {
             let passed = now.saturating_duration_since(at).as_millis();
             u32::try_from(passed).unwrap_or(u32::MAX)
         };
-        let news = LimitNews {
+        let news = LimitUpdate {
             named: self.said.map(|said| HeardLimit {
                 milli_per_s: said.rate.milli(),
                 ago_ms: ms_since(said.at),
@@ -224,7 +230,7 @@
     }
 }
 
-impl IntakeReason for NamedLimit {
+impl AdmissionGate for AdvertisedLimit {
     fn code(&self) -> &'static str {
         "limited"
     }
--- a/coordination/src/intake/engine_limit.rs
+++ b/coordination/src/backend_admission/engine_limit.rs
@@ -1,5 +1,5 @@
 use {
-    super::PermitDealer,
+    super::PermitIssuer,
     crate::backend_signals::{LimitSignal, RequestRate},
     chalkcart_protocol::peer::{HeardLimit, IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -19,7 +19,7 @@
     by_entries: Option<(RequestRate, Instant)>,
     /// when the engine was last heard to name none any more
     freed: Option<Instant>,
-    dealer: PermitDealer,
+    dealer: PermitIssuer,
 }
 
 impl EngineLimit {
--- a/coordination/src/intake/mod.rs
+++ b/coordination/src/backend_admission/mod.rs
@@ -1,27 +1,27 @@
 //! what keeps requests from a back end for a while, and how many it gets of those that it takes
 
-mod asked_rest;
-mod cold_bound;
+mod admission_gate;
+mod advertised_limit;
 mod engine_limit;
 mod equal_share;
-mod full_pause;
 mod health;
-mod held_permits;
-mod intake_reason;
-mod named_limit;
-mod permit_dealer;
+mod permit_issuer;
+mod permit_pool;
+mod requested_backoff;
+mod saturation_pause;
+mod slow_start;
 
 pub use {
-    asked_rest::AskedRest,
-    cold_bound::{ColdBound, ColdPace},
+    admission_gate::AdmissionGate,
+    advertised_limit::{AdvertisedLimit, LimitSharing, LimitUpdate},
     engine_limit::EngineLimit,
     equal_share::{EqualShare, ShareBasis},
-    full_pause::FullPause,
     health::Health,
-    held_permits::HeldPermits,
-    intake_reason::IntakeReason,
-    named_limit::{LimitNews, NamedLimit, Sharers},
-    permit_dealer::PermitDealer,
+    permit_issuer::PermitIssuer,
+    permit_pool::PermitPool,
+    requested_backoff::RequestedBackoff,
+    saturation_pause::SaturationPause,
+    slow_start::{SlowStart, SlowStartSettings},
 };
 
 /// A back end that takes next to nothing gets this many requests a second all the same, from
--- a/coordination/src/intake/permit_dealer.rs
+++ b/coordination/src/backend_admission/permit_issuer.rs
@@ -30,13 +30,13 @@
 /// In any time, at most what has become due in it is given out, and what was saved before. A
 /// dealer that begins has saved nothing: it does not know what an earlier one gave out.
 #[derive(Debug, Default)]
-pub struct PermitDealer {
+pub struct PermitIssuer {
     level: f64,
     counted: Option<Instant>,
     entries: HashMap<BoxName, Contender>,
 }
 
-impl PermitDealer {
+impl PermitIssuer {
     /// what an entry is given now, and the time until its next turn
     pub fn deal(&mut self, per_s: f64, report: &IntakeReport, now: Instant) -> (u32, Duration) {
         let per_s = per_s.max(LEAST_PER_S);
--- a/coordination/src/intake/held_permits.rs
+++ b/coordination/src/backend_admission/permit_pool.rs
@@ -20,7 +20,7 @@
 
 /// Permits to send to a limited engine, as its sidecar has dealt them to this entry.
 #[derive(Debug, Clone, Default)]
-pub struct HeldPermits {
+pub struct PermitPool {
     count: u32,
     valid_until: Option<Instant>,
     /// the last answer came then, and the next turn is then
@@ -32,7 +32,7 @@
     is_silent_until: Option<Instant>,
 }
 
-impl HeldPermits {
+impl PermitPool {
     pub fn count(&self, now: Instant) -> u32 {
         let is_valid = self.valid_until.is_some_and(|until| now < until);
         if is_valid {
--- a/coordination/src/intake/asked_rest.rs
+++ b/coordination/src/backend_admission/requested_backoff.rs
@@ -1,5 +1,5 @@
 use {
-    super::IntakeReason,
+    super::AdmissionGate,
     crate::dispatch::SendOutcome,
     std::time::{Duration, Instant},
 };
@@ -9,13 +9,13 @@
 /// All that waits for the end of a rest would come at once, and be turned away at once
 /// where the back end is still full: each of them costs a repeat of the service's budget.
 #[derive(Debug, Clone, Default)]
-pub struct AskedRest {
+pub struct RequestedBackoff {
     until: Option<Instant>,
     /// the first request after the rest is on its way
     is_tried: bool,
 }
 
-impl AskedRest {
+impl RequestedBackoff {
     /// it wants nothing before this moment; none if it asked for no rest
     pub fn set_until(&mut self, until: Option<Instant>) {
         if until.is_some() {
@@ -56,7 +56,7 @@
     }
 }
 
-impl IntakeReason for AskedRest {
+impl AdmissionGate for RequestedBackoff {
     fn code(&self) -> &'static str {
         "resting"
     }
--- a/coordination/src/intake/full_pause.rs
+++ b/coordination/src/backend_admission/saturation_pause.rs
@@ -1,5 +1,5 @@
 use {
-    super::IntakeReason,
+    super::AdmissionGate,
     std::time::{Duration, Instant},
 };
 
@@ -8,17 +8,17 @@
 
 /// The pause after a back end has turned a request away, as it was full.
 #[derive(Debug, Clone, Default)]
-pub struct FullPause {
+pub struct SaturationPause {
     until: Option<Instant>,
 }
 
-impl FullPause {
+impl SaturationPause {
     pub fn on_full(&mut self, now: Instant) {
         self.until = Some(now + FULL_PAUSE);
     }
 }
 
-impl IntakeReason for FullPause {
+impl AdmissionGate for SaturationPause {
     fn code(&self) -> &'static str {
         "full"
     }
--- a/coordination/src/intake/cold_bound.rs
+++ b/coordination/src/backend_admission/slow_start.rs
@@ -1,5 +1,5 @@
 use {
-    super::IntakeReason,
+    super::AdmissionGate,
     crate::membership::stable_hash,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
@@ -12,14 +12,14 @@
 
 /// how much an engine takes while it is cold
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ColdPace {
+pub struct SlowStartSettings {
     /// requests a second, from all entries together
     pub per_s: f64,
 }
 
 /// One entry's share of what an engine takes that has just started, or has become cold.
 #[derive(Debug, Clone)]
-pub struct ColdBound {
+pub struct SlowStart {
     until: Instant,
     /// requests that may be sent now, with its part of the next one
     allowed: f64,
@@ -28,7 +28,7 @@
     share: f64,
 }
 
-impl ColdBound {
+impl SlowStart {
     /// the engine stays cold for this long
     pub fn new(entry: &str, engine: &BackendId, left: Duration, now: Instant) -> Self {
         // entries begin at different parts of their share, so that they do not all send at once
@@ -50,7 +50,7 @@
     }
 
     /// count time that has passed, as one of so many entries
-    pub fn pass(&mut self, pace: ColdPace, entries: u32, now: Instant) {
+    pub fn pass(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
         let passed = now.saturating_duration_since(self.counted).as_secs_f64();
         self.share = pace.per_s * USED_PART / f64::from(entries.max(1));
         self.allowed = (self.allowed + passed * self.share).min(1.0);
@@ -64,7 +64,7 @@
     }
 }
 
-impl IntakeReason for ColdBound {
+impl AdmissionGate for SlowStart {
     fn code(&self) -> &'static str {
         "cold"
     }
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -1,8 +1,9 @@
 use {
     super::{own_words::OwnWords, Ask, OwnSight},
     crate::{
-        intake::{
-            AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
+        backend_admission::{
+            AdmissionGate, AdvertisedLimit, Health, LimitSharing, RequestedBackoff,
+            SaturationPause, SlowStart, SlowStartSettings,
         },
         membership::{rendezvous_weight, stable_hash},
         placement::{adapter_mark, AdapterMark, LatelyHeld},
@@ -66,9 +67,9 @@
     /// it has said itself that it leaves
     pub says_leaving: bool,
     /// the rest that it has asked for
-    pub rest: AskedRest,
+    pub rest: RequestedBackoff,
     /// the requests that it takes, by its own word
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// what was seen of it while its sidecar is not heard
     pub sight: OwnSight,
     /// no longer in the list; used only where nothing else is
@@ -103,9 +104,9 @@
     pub is_quiet: bool,
     /// adapters that the engine has refused since the last view
     refused: HashSet<AdapterRef>,
-    full: FullPause,
+    full: SaturationPause,
     /// while it is cold, or was when this was looked at last
-    pub cold: Option<ColdBound>,
+    pub cold: Option<SlowStart>,
 }
 
 impl BackendState {
@@ -116,8 +117,8 @@
             lately: LatelyHeld::default(),
             listed,
             says_leaving: false,
-            rest: AskedRest::default(),
-            limit: NamedLimit::default(),
+            rest: RequestedBackoff::default(),
+            limit: AdvertisedLimit::default(),
             sight: OwnSight::default(),
             is_gone: false,
             is_ahead: false,
@@ -136,7 +137,7 @@
             used: HashSet::new(),
             is_quiet: false,
             refused: HashSet::new(),
-            full: FullPause::default(),
+            full: SaturationPause::default(),
             cold: None,
         }
     }
@@ -148,9 +149,9 @@
         self.limit = words.take_limit(&self.listed.id);
     }
     /// who shares what it takes: so many entries, of which `entry` is one
-    pub fn sharers(&self, entry: &str, entries: u32, is_engine: bool) -> Sharers {
+    pub fn sharers(&self, entry: &str, entries: u32, is_engine: bool) -> LimitSharing {
         let weight = rendezvous_weight(stable_hash(entry), self.home_hash);
-        Sharers {
+        LimitSharing {
             entries,
             phase: weight as f64 / u64::MAX as f64,
             has_dealer: self.view.is_some(),
@@ -163,10 +164,10 @@
         match &mut self.cold {
             Some(cold) => cold.set_left(left, now),
             None if left.is_zero() => {}
-            None => self.cold = Some(ColdBound::new(entry, &self.listed.id, left, now)),
+            None => self.cold = Some(SlowStart::new(entry, &self.listed.id, left, now)),
         }
     }
-    pub fn pass_cold(&mut self, pace: ColdPace, entries: u32, now: Instant) {
+    pub fn pass_cold(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
         self.cold = self.cold.take().filter(|cold| cold.is_cold(now));
         // a service without a pace does not bound its cold ones
         self.cold = self.cold.take().filter(|_| pace.per_s > 0.0);
@@ -370,9 +371,9 @@
     /// The code of what keeps one more request from it now. That it takes no more by its own
     /// word comes last, so that it is named only where nothing else does.
     pub fn closed_by(&self, now: Instant) -> Option<&'static str> {
-        let cold = self.cold.as_ref().map(|cold| cold as &dyn IntakeReason);
+        let cold = self.cold.as_ref().map(|cold| cold as &dyn AdmissionGate);
         let before = [
-            Some(&self.rest as &dyn IntakeReason),
+            Some(&self.rest as &dyn AdmissionGate),
             cold,
             Some(&self.full),
         ];
--- a/coordination/src/dispatch/cold_engines.rs
+++ b/coordination/src/dispatch/cold_engines.rs
@@ -2,7 +2,7 @@
 
 use {
     super::dispatcher::Dispatcher,
-    crate::intake::ColdPace,
+    crate::backend_admission::SlowStartSettings,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -29,7 +29,7 @@
         let entries = self.sharing_entries(now);
         for state in self.backends.values_mut().filter(|b| b.cold.is_some()) {
             let service = self.table.services.get(&state.listed.service);
-            let pace = service.map_or(ColdPace::default(), |s| ColdPace {
+            let pace = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
                 per_s: s.cold_per_s,
             });
             state.pass_cold(pace, entries, now);
--- a/coordination/src/dispatch/limited.rs
+++ b/coordination/src/dispatch/limited.rs
@@ -3,8 +3,8 @@
 use {
     super::dispatcher::Dispatcher,
     crate::{
+        backend_admission::{AdvertisedLimit, LimitSharing},
         backend_signals::{LimitSignal, RequestRate},
-        intake::{NamedLimit, Sharers},
     },
     chalkcart_protocol::peer::{EngineFigures, IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -86,7 +86,7 @@
         &mut self,
         backend: &BackendId,
         now: Instant,
-        change: impl FnOnce(&mut NamedLimit, Sharers),
+        change: impl FnOnce(&mut AdvertisedLimit, LimitSharing),
     ) {
         let sharers = self.sharers_of(backend, now);
         let (Some(sharers), Some(state)) = (sharers, self.backends.get_mut(backend)) else {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn sharers_of(&self, backend: &BackendId, now: Instant) -> Option<Sharers> {
+    fn sharers_of(&self, backend: &BackendId, now: Instant) -> Option<LimitSharing> {
         let state = self.backends.get(backend)?;
         let service = self.table.services.get(&state.listed.service);
         let is_engine = service.is_some_and(|service| service.engine.is_some());
--- a/coordination/src/dispatch/own_words.rs
+++ b/coordination/src/dispatch/own_words.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{backend_signals::BackendSignals, intake::NamedLimit},
+    crate::{backend_admission::AdvertisedLimit, backend_signals::BackendSignals},
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -22,7 +22,7 @@
     /// until when they want rest
     rests: HashMap<BackendId, Instant>,
     /// of those whose record is gone
-    limits: HashMap<BackendId, (NamedLimit, Instant)>,
+    limits: HashMap<BackendId, (AdvertisedLimit, Instant)>,
 }
 
 impl OwnWords {
@@ -46,12 +46,12 @@
         until.filter(|until| *until > now)
     }
     /// the record of a back end is gone; its limit holds if it comes back
-    pub fn keep_limit(&mut self, backend: &BackendId, limit: &NamedLimit, now: Instant) {
+    pub fn keep_limit(&mut self, backend: &BackendId, limit: &AdvertisedLimit, now: Instant) {
         if limit.named().is_some() {
             self.limits.insert(backend.clone(), (limit.clone(), now));
         }
     }
-    pub fn take_limit(&mut self, backend: &BackendId) -> NamedLimit {
+    pub fn take_limit(&mut self, backend: &BackendId) -> AdvertisedLimit {
         let kept = self.limits.remove(backend);
         kept.map(|(limit, _)| limit).unwrap_or_default()
     }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -3,6 +3,7 @@
 //! Nothing here does I/O or reads a clock: an event and the time go in,
 //! actions come out. So each decision is tested without a socket.
 
+pub mod backend_admission;
 pub mod backend_signals;
 pub mod config;
 pub mod crashes;
@@ -10,7 +11,6 @@
 pub mod drain;
 pub mod fence;
 pub mod following;
-pub mod intake;
 pub mod limits;
 pub mod mechanisms;
 pub mod membership;
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -4,8 +4,8 @@
         OrderAnswer, OrderKind, PlacementSettings,
     },
     crate::{
+        backend_admission::EngineLimit,
         backend_signals::{BackendSignals, RequestRate},
-        intake::EngineLimit,
     },
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineView, IntakeAnswer, IntakeReport,
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -10,9 +10,9 @@
 
 use {
     chalkcart_coordination::{
+        backend_admission::{SlowStart, SlowStartSettings},
         backend_signals::BackendSignals,
         dispatch::{DispatchEvent, SendOutcome},
-        intake::{ColdBound, ColdPace},
     },
     chalkcart_state::backends::Backend,
     dispatch_fixture::*,
@@ -135,13 +135,13 @@
             let id = format!("engine-{engine}").into();
             let left = Duration::from_secs(4);
             let bounds =
-                (0..entries).map(|n| ColdBound::new(&format!("front-{n}"), &id, left, start));
-            let mut bounds: Vec<ColdBound> = bounds.collect();
+                (0..entries).map(|n| SlowStart::new(&format!("front-{n}"), &id, left, start));
+            let mut bounds: Vec<SlowStart> = bounds.collect();
             let mut sent_at = Vec::new();
             for step in 0..400u64 {
                 let now = start + ms(step * 10);
                 for bound in &mut bounds {
-                    bound.pass(ColdPace { per_s: CARRIED }, entries, now);
+                    bound.pass(SlowStartSettings { per_s: CARRIED }, entries, now);
                     if bound.allows_one(now) {
                         bound.on_sent();
                         sent_at.push(step * 10);
--- a/coordination/tests/intake_fleet.rs
+++ b/coordination/tests/intake_fleet.rs
@@ -62,10 +62,10 @@
 /// Guards against: a dealer that serves one entry and lets others wait for ever.
 #[test]
 fn the_dealer_serves_all_in_turn() {
-    use chalkcart_coordination::intake::PermitDealer;
+    use chalkcart_coordination::backend_admission::PermitIssuer;
     use chalkcart_protocol::peer::IntakeReport;
     use std::time::{Duration, Instant};
-    let mut dealer = PermitDealer::default();
+    let mut dealer = PermitIssuer::default();
     let mut granted = [0u32; 5];
     let begun = Instant::now();
     for step in 0..6_000u32 {
--- a/coordination/tests/intake_sim/mod.rs
+++ b/coordination/tests/intake_sim/mod.rs
@@ -6,8 +6,8 @@
 
 use {
     chalkcart_coordination::{
+        backend_admission::{AdvertisedLimit, EngineLimit, LimitSharing},
         backend_signals::{LimitSignal, RequestRate},
-        intake::{EngineLimit, NamedLimit, Sharers},
     },
     chalkcart_protocol::peer::{IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -86,7 +86,7 @@
 }
 
 struct Entry {
-    limit: NamedLimit,
+    limit: AdvertisedLimit,
     is_active: bool,
     waiting: Vec<Instant>,
     frozen_until: Option<Instant>,
@@ -118,7 +118,7 @@
     let mut dealer_down_until = begun;
     let mut entries: Vec<Entry> = (0..setting.entries)
         .map(|number| Entry {
-            limit: NamedLimit::default(),
+            limit: AdvertisedLimit::default(),
             is_active: setting.way != Way::FewEntries || number < few,
             waiting: Vec::new(),
             frozen_until: None,
@@ -170,7 +170,7 @@
             }
             let is_cut = setting.trouble == Trouble::HalfCut && is_second_half && number % 2 == 0;
             let hears = setting.way == Way::Permits && is_dealer_up && !is_cut;
-            let sharers = Sharers {
+            let sharers = LimitSharing {
                 entries: if setting.way == Way::FewEntries {
                     few
                 } else {
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -7,9 +7,9 @@
 
 use {
     chalkcart_coordination::{
+        backend_admission::{AdvertisedLimit, LimitSharing},
         backend_signals::{BackendSignals, LimitSignal, RequestRate},
         dispatch::{Decision, DispatchEvent, RefusalCause, SendOutcome, Ticket},
-        intake::{NamedLimit, Sharers},
     },
     chalkcart_state::backends::{Backend, BackendId},
     dispatch_fixture::*,
@@ -247,15 +247,15 @@
 fn simulate(per_s: f64, entries: u32, seconds: u64, seed: u64) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let begun = Instant::now();
-    let mut limits: Vec<NamedLimit> = Vec::new();
+    let mut limits: Vec<AdvertisedLimit> = Vec::new();
     for _ in 0..entries {
-        let sharers = Sharers {
+        let sharers = LimitSharing {
             entries,
             phase: rng.random(),
             has_dealer: false,
             is_engine: false,
         };
-        let mut limit = NamedLimit::default();
+        let mut limit = AdvertisedLimit::default();
         // each hears of it with an answer of its own
         let told = begun + Duration::from_millis(rng.random_range(0..500));
         limit.on_word(named(per_s), told, sharers, told);
@@ -316,13 +316,13 @@
     /// whatever an engine says, in whatever order, a limit is as it said last or lower
     fn words_in_any_order(words: Vec<(u8, u16)>) -> TestResult {
         let begun = Instant::now();
-        let sharers = Sharers {
+        let sharers = LimitSharing {
             entries: 3,
             phase: 0.5,
             has_dealer: false,
             is_engine: false,
         };
-        let mut limit = NamedLimit::default();
+        let mut limit = AdvertisedLimit::default();
         let mut now = begun;
         for (kind, back_ms) in words {
             now += ms(50);
