--- a/coordination/src/relay/relay_pacing.rs
+++ b/coordination/src/relay/relay_pacing.rs
@@ -1,4 +1,4 @@
-use {crate::following::FollowPacing, std::time::Duration};
+use {crate::watch::WatchPacing, std::time::Duration};
 
 /// parts of the time within which all must know a change: the wait of one watch
 /// of the store, the pause after a change of the list, and the time without an
@@ -24,8 +24,8 @@
         self.known_within.mul_f64(WAIT_PART)
     }
     /// how a relay follows the store
-    pub fn follow(&self) -> FollowPacing {
-        FollowPacing::holding(self.watch_wait())
+    pub fn follow(&self) -> WatchPacing {
+        WatchPacing::holding(self.watch_wait())
     }
     pub fn pause_after_change(&self) -> Duration {
         self.known_within.mul_f64(PAUSE_PART)
--- a/coordination/src/following/follow_pacing.rs
+++ b/coordination/src/watch/watch_pacing.rs
@@ -1,4 +1,4 @@
-use {super::CallTimes, crate::retry::Backoff, std::time::Duration};
+use {super::WatchTimes, crate::retry::Backoff, std::time::Duration};
 
 /// time for the store's answer: three times the slowest that the platform's pages
 /// describe (60 times 4 ms), so that a slow store is still heard
@@ -17,18 +17,18 @@
 /// change must be known. While calls fail, the next is a question alone, which the store
 /// does not hold: it costs the time of an answer, not that of a wait.
 #[derive(Debug, Clone)]
-pub struct FollowPacing {
+pub struct WatchPacing {
     hold: Duration,
     backoff: Backoff,
 }
 
-impl Default for FollowPacing {
+impl Default for WatchPacing {
     fn default() -> Self {
         Self::within(KNOWN_WITHIN)
     }
 }
 
-impl FollowPacing {
+impl WatchPacing {
     /// a change is known after this time, or so long after the store's return
     pub fn within(known: Duration) -> Self {
         Self::holding(known.mul_f64(HOLD_PART))
@@ -41,12 +41,12 @@
         }
     }
     /// the next watch, after so many calls that failed in a row
-    pub fn watch(&self, failures: u32) -> CallTimes {
+    pub fn watch(&self, failures: u32) -> WatchTimes {
         let hold = match failures {
             0 => self.hold,
             _ => Duration::ZERO,
         };
-        CallTimes {
+        WatchTimes {
             hold,
             answer: ANSWER,
         }
--- a/coordination/src/following/call_times.rs
+++ b/coordination/src/watch/watch_times.rs
@@ -2,14 +2,14 @@
 
 /// how long a call that waits for changes may last
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallTimes {
+pub struct WatchTimes {
     /// the store holds the call for this long if there is nothing to tell
     pub hold: Duration,
     /// time for its answer beyond that
     pub answer: Duration,
 }
 
-impl CallTimes {
+impl WatchTimes {
     /// a call without an answer costs this time
     pub fn limit(&self) -> Duration {
         self.hold + self.answer
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -18,8 +18,8 @@
     chalkcart_coordination::{
         dispatch::{BudgetBounds, DispatchEvent, DispatchSettings, Dispatcher},
         drain::IngressDrain,
-        following::FollowPacing,
         relay::RelayPacing,
+        watch::WatchPacing,
     },
     chalkcart_node::{
         runtime::run_on_one_thread, settings::SettingsFollower, signals::stop_signal,
@@ -156,7 +156,7 @@
         (Topic::Backends, settings.drain_ms),
     ];
     for (topic, bound_ms) in known_within {
-        let pacing = FollowPacing::within(Duration::from_millis(bound_ms));
+        let pacing = WatchPacing::within(Duration::from_millis(bound_ms));
         let follower = Follower::new(source.clone(), records.clone(), topic, pacing);
         tokio::spawn(follower.run());
     }
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -2,8 +2,8 @@
     super::store_relays::StoreRelays,
     async_trait::async_trait,
     chalkcart_coordination::{
-        following::CallTimes,
         relay::{OwnCalls, RelayPacing},
+        watch::WatchTimes,
     },
     chalkcart_protocol::{
         peer::{path, PublishedAnswer, PublishedAsk},
@@ -219,7 +219,7 @@
         &self,
         topic: Topic,
         after: u64,
-        times: CallTimes,
+        times: WatchTimes,
     ) -> Result<Watched, SourceError> {
         let relayed = times.held_at_most(RELAYED_WAIT);
         match self.ask_relays(topic, Some(after), relayed.hold).await {
--- a/testkit/tests/ingress_configuration.rs
+++ b/testkit/tests/ingress_configuration.rs
@@ -2,7 +2,7 @@
 
 use {
     anyhow::Result,
-    chalkcart_coordination::following::FollowPacing,
+    chalkcart_coordination::watch::WatchPacing,
     chalkcart_platform::names,
     chalkcart_testkit::{
         users_platform::{request, Answer, ClientRequest, Fleet, FleetSettings, StoreFault},
@@ -169,7 +169,7 @@
 #[tokio::test]
 async fn calls_to_the_store_are_few_while_nothing_changes() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    let hold = FollowPacing::default().watch(0).hold;
+    let hold = WatchPacing::default().watch(0).hold;
     let watches = |prefix: &str| {
         let query = format!("PathPrefix={prefix}&");
         let wait = format!("&WaitMs={}", hold.as_millis());
--- a/transport/src/metadata/follower.rs
+++ b/transport/src/metadata/follower.rs
@@ -1,7 +1,7 @@
 use {
     super::{Heard, MetadataSource, SourceError, Watched},
     crate::clock,
-    chalkcart_coordination::following::FollowPacing,
+    chalkcart_coordination::watch::WatchPacing,
     chalkcart_state::published::Topic,
     std::{
         sync::Arc,
@@ -24,7 +24,7 @@
     source: Arc<dyn MetadataSource>,
     sink: Arc<dyn RecordSink>,
     topic: Topic,
-    pacing: FollowPacing,
+    pacing: WatchPacing,
     /// revision up to which changes are known, none if a snapshot is needed
     known: Option<u64>,
     /// calls that failed in a row
@@ -38,7 +38,7 @@
         source: Arc<dyn MetadataSource>,
         sink: Arc<dyn RecordSink>,
         topic: Topic,
-        pacing: FollowPacing,
+        pacing: WatchPacing,
     ) -> Self {
         Self {
             source,
--- a/transport/src/metadata/source.rs
+++ b/transport/src/metadata/source.rs
@@ -1,7 +1,7 @@
 use {
     crate::client::ClientError,
     async_trait::async_trait,
-    chalkcart_coordination::following::CallTimes,
+    chalkcart_coordination::watch::WatchTimes,
     chalkcart_state::published::{Snapshot, Topic},
     std::{net::SocketAddr, time::Instant},
     thiserror::Error,
@@ -49,6 +49,6 @@
         &self,
         topic: Topic,
         after: u64,
-        times: CallTimes,
+        times: WatchTimes,
     ) -> Result<Watched, SourceError>;
 }
--- a/transport/tests/store_outages.rs
+++ b/transport/tests/store_outages.rs
@@ -9,7 +9,7 @@
 
 use {
     async_trait::async_trait,
-    chalkcart_coordination::following::{CallTimes, FollowPacing},
+    chalkcart_coordination::watch::{WatchPacing, WatchTimes},
     chalkcart_state::published::{Snapshot, Topic},
     chalkcart_transport::{
         client::{ClientError, ClientStep},
@@ -93,7 +93,7 @@
         &self,
         _topic: Topic,
         after: u64,
-        times: CallTimes,
+        times: WatchTimes,
     ) -> Result<Watched, SourceError> {
         let began = Instant::now();
         self.calls.fetch_add(1, Ordering::Relaxed);
@@ -143,7 +143,7 @@
         calls: AtomicU64::new(0),
     });
     let sink = Arc::new(HeardAt::default());
-    let pacing = FollowPacing::default();
+    let pacing = WatchPacing::default();
     let follower = Follower::new(store.clone(), sink.clone(), Topic::Configuration, pacing);
     let task = tokio::spawn(follower.run());
     let back = store.silent_to;
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -13,7 +13,7 @@
     chalkcart_coordination::{
         config::ConfigLease,
         crashes::{CrashBook, Standing},
-        following::{CallTimes, FollowPacing},
+        watch::{WatchPacing, WatchTimes},
     },
     chalkcart_state::{
         ingress::RequestDigest,
@@ -105,7 +105,7 @@
     }
 
     /// the answer comes before the machine is suspended, and is read after
-    async fn watch(&self, _: Topic, _: u64, times: CallTimes) -> Result<Watched, SourceError> {
+    async fn watch(&self, _: Topic, _: u64, times: WatchTimes) -> Result<Watched, SourceError> {
         let asked = clock::now();
         sleep(times.hold).await;
         suspend(SUSPENDED);
@@ -141,7 +141,7 @@
     set_up();
     let lease = ConfigLease::new(Some(REVOKED_WITHIN));
     let entry = Arc::new(Entry(Mutex::new((lease, 0))));
-    let pacing = FollowPacing::within(ms(2_000));
+    let pacing = WatchPacing::within(ms(2_000));
     let follower = Follower::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
     let following = tokio::spawn(follower.run());
     let holds = || {
