--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -1,6 +1,6 @@
 use {
     super::BudgetBounds,
-    crate::mechanisms::Mechanisms,
+    crate::features::FeatureSwitches,
     chalkcart_state::ids::{BoxName, RegionName, ZoneName},
     std::{
         collections::HashMap,
@@ -35,7 +35,7 @@
     pub unheard_after: Duration,
     /// the former version of an adapter is used no longer than this
     pub version_grace: Duration,
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureSwitches,
 }
 
 impl Default for DispatchSettings {
@@ -58,7 +58,7 @@
             copy_from_load: 0.5,
             unheard_after: Duration::from_millis(1_200),
             version_grace: Duration::from_millis(2_500),
-            mechanisms: Mechanisms::default(),
+            mechanisms: FeatureSwitches::default(),
         }
     }
 }
--- a/coordination/src/mechanisms/mod.rs
+++ b/coordination/src/features/mod.rs
@@ -2,4 +2,4 @@
 
 mod switches;
 
-pub use switches::Mechanisms;
+pub use switches::FeatureSwitches;
--- a/coordination/src/mechanisms/switches.rs
+++ b/coordination/src/features/switches.rs
@@ -8,7 +8,7 @@
 /// can be measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Mechanisms {
+pub struct FeatureSwitches {
     /// the rate at which engines read prompts is observed; else a constant
     pub observed_rate: bool,
     /// prompts that other entries have sent to an engine count in its queue
@@ -40,7 +40,7 @@
     pub sidecar_views: bool,
 }
 
-impl Default for Mechanisms {
+impl Default for FeatureSwitches {
     fn default() -> Self {
         Self {
             observed_rate: true,
@@ -60,7 +60,7 @@
     }
 }
 
-impl Mechanisms {
+impl FeatureSwitches {
     fn rows(&self) -> [(&'static str, bool); 13] {
         [
             ("observed_rate", self.observed_rate),
@@ -81,7 +81,7 @@
 }
 
 /// the names of those that are off
-impl Display for Mechanisms {
+impl Display for FeatureSwitches {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let off = self.rows().into_iter().filter(|(_, is_on)| !is_on);
         let off: Vec<&str> = off.map(|(name, _)| name).collect();
--- a/coordination/src/placement/settings.rs
+++ b/coordination/src/placement/settings.rs
@@ -1,4 +1,4 @@
-use {crate::mechanisms::Mechanisms, std::time::Duration};
+use {crate::features::FeatureSwitches, std::time::Duration};
 
 /// bounds of what a sidecar orders
 #[derive(Debug, Clone)]
@@ -17,7 +17,7 @@
     pub identity_pause: Duration,
     /// pause between two loads of a base model
     pub model_pause: Duration,
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureSwitches,
 }
 
 impl Default for PlacementSettings {
@@ -30,7 +30,7 @@
             order_pause: Duration::from_millis(300),
             identity_pause: Duration::from_millis(200),
             model_pause: Duration::from_secs(5),
-            mechanisms: Mechanisms::default(),
+            mechanisms: FeatureSwitches::default(),
         }
     }
 }
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -5,7 +5,7 @@
 use {
     chalkcart_coordination::{
         dispatch::{urgency, Decision, DispatchEvent, ReadingRate, WishCause},
-        mechanisms::Mechanisms,
+        features::FeatureSwitches,
     },
     dispatch_fixture::*,
     quickcheck::{Gen, QuickCheck},
@@ -118,9 +118,9 @@
 #[test]
 fn without_the_mechanism_the_holder_gets_it() {
     let mut fixture = fixture_with_return(12);
-    let mechanisms = Mechanisms {
+    let mechanisms = FeatureSwitches {
         return_home: false,
-        ..Mechanisms::default()
+        ..FeatureSwitches::default()
     };
     fixture.tune(|settings| settings.mechanisms = mechanisms);
     let ask = fixture.new_ask(ENGINES, Some("a"));
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -5,7 +5,7 @@
 use {
     chalkcart_coordination::{
         dispatch::{Decision, DemandsDue, DispatchEvent, SendOutcome, Ticket},
-        mechanisms::Mechanisms,
+        features::FeatureSwitches,
     },
     dispatch_fixture::*,
     quickcheck::{Gen, QuickCheck},
@@ -20,9 +20,9 @@
 const SLOTS: usize = 4;
 
 /// each switch off, and all on
-fn variants() -> Vec<Mechanisms> {
-    let on = Mechanisms::default();
-    let off: [fn(&mut Mechanisms); 10] = [
+fn variants() -> Vec<FeatureSwitches> {
+    let on = FeatureSwitches::default();
+    let off: [fn(&mut FeatureSwitches); 10] = [
         |_| {},
         |m| m.observed_rate = false,
         |m| m.prompts_of_all = false,
@@ -54,7 +54,7 @@
 }
 
 impl World {
-    fn new(mechanisms: Mechanisms) -> Self {
+    fn new(mechanisms: FeatureSwitches) -> Self {
         let mut fixture = fixture_with_views();
         fixture.tune(|settings| settings.mechanisms = mechanisms);
         Self {
@@ -184,7 +184,7 @@
 
 #[test]
 fn those_that_are_off_are_named() {
-    let mut mechanisms = Mechanisms::default();
+    let mut mechanisms = FeatureSwitches::default();
     assert_eq!(mechanisms.to_string(), "all on");
     mechanisms.copies = false;
     assert_eq!(mechanisms.to_string(), "off: copies");
--- a/entry/src/conf/ingress_settings.rs
+++ b/entry/src/conf/ingress_settings.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::{
-        limits::LimitSettings, mechanisms::Mechanisms, relay::RELAYS_FROM_ENGINES,
+        features::FeatureSwitches, limits::LimitSettings, relay::RELAYS_FROM_ENGINES,
     },
     chalkcart_node::settings::{
         check_filled, check_log, check_positive, defaults, Checked, SettingsError,
@@ -74,7 +74,7 @@
     pub defaulted: Vec<String>,
     /// which mechanisms of decision are at work
     #[serde(default)]
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureSwitches,
     #[serde(default = "defaults::log")]
     pub log: String,
 }
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::{mechanisms::Mechanisms, relay::RelayPacing},
+    chalkcart_coordination::{features::FeatureSwitches, relay::RelayPacing},
     chalkcart_node::settings::{
         check_filled, check_log, check_positive, defaults, Checked, SettingsError,
     },
@@ -33,7 +33,7 @@
     pub defaulted: Vec<String>,
     /// which mechanisms of decision are at work
     #[serde(default)]
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureSwitches,
     #[serde(default = "defaults::log")]
     pub log: String,
 }
