--- a/coordination/src/queue/fair_queue.rs
+++ b/coordination/src/queue/fair_queue.rs
@@ -1,5 +1,5 @@
 use {
-    super::Waiting,
+    super::QueuedRequest,
     chalkcart_state::ids::{GroupName, RequestId},
     std::{
         collections::{HashMap, HashSet},
@@ -19,7 +19,7 @@
 /// over tokens); then arrival.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
     shares: HashMap<GroupName, u32>,
     /// service that each group got, in tokens over its share
     service: HashMap<GroupName, f64>,
@@ -46,7 +46,7 @@
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.iter()
     }
     pub fn contains(&self, request: &str) -> bool {
@@ -78,7 +78,7 @@
         f64::from(own) / f64::from(own + sum)
     }
 
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedRequest) {
         self.last_seen
             .insert(waiting.group.clone(), waiting.arrived);
         // a group that was idle does not get its idle time back
@@ -94,7 +94,7 @@
     /// the requests in the order in which they should start
     pub fn order(&mut self, now: Instant) -> Vec<RequestId> {
         self.mark_heads(now);
-        let mut rows: Vec<&Waiting> = self.waiting.iter().collect();
+        let mut rows: Vec<&QueuedRequest> = self.waiting.iter().collect();
         rows.sort_by(|a, b| {
             let by_priority = a.priority_at(now).cmp(&b.priority_at(now));
             by_priority
@@ -107,18 +107,18 @@
         rows.into_iter().map(|w| w.request.clone()).collect()
     }
 
-    pub fn get(&self, request: &str) -> Option<&Waiting> {
+    pub fn get(&self, request: &str) -> Option<&QueuedRequest> {
         self.waiting.iter().find(|w| w.request == request)
     }
 
     /// take a request out without service
-    pub fn remove(&mut self, request: &str) -> Option<Waiting> {
+    pub fn remove(&mut self, request: &str) -> Option<QueuedRequest> {
         let index = self.waiting.iter().position(|w| w.request == request)?;
         Some(self.waiting.remove(index))
     }
 
     /// take a request out to start it, and charge its group
-    pub fn start(&mut self, request: &str) -> Option<Waiting> {
+    pub fn start(&mut self, request: &str) -> Option<QueuedRequest> {
         let started = self.remove(request)?;
         self.floor = self.floor.max(self.service_of(&started.group));
         self.charge(&started.group, started.tokens as f64);
@@ -134,15 +134,15 @@
     }
 
     /// note that a started request overtook those that wait for a load
-    pub fn note_overtaken(&mut self, tokens: u64, is_overtaken: impl Fn(&Waiting) -> bool) {
+    pub fn note_overtaken(&mut self, tokens: u64, is_overtaken: impl Fn(&QueuedRequest) -> bool) {
         for waiting in self.waiting.iter_mut().filter(|w| is_overtaken(w)) {
             waiting.overtaken += tokens;
         }
     }
 
     /// take out all that would not end by their deadline, at a time per token
-    pub fn remove_late(&mut self, token_time: Duration, now: Instant) -> Vec<Waiting> {
-        let run_time = |w: &Waiting| token_time.saturating_mul(w.output_tokens);
+    pub fn remove_late(&mut self, token_time: Duration, now: Instant) -> Vec<QueuedRequest> {
+        let run_time = |w: &QueuedRequest| token_time.saturating_mul(w.output_tokens);
         let (late, rest) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|w| now + run_time(w) >= w.deadline);
@@ -151,7 +151,7 @@
     }
 
     /// take out everything
-    pub fn drain(&mut self) -> Vec<Waiting> {
+    pub fn drain(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.waiting)
     }
 
--- a/coordination/src/queue/mod.rs
+++ b/coordination/src/queue/mod.rs
@@ -1,6 +1,6 @@
 //! which waiting request runs next
 
 mod fair_queue;
-mod waiting;
+mod queued_request;
 
-pub use {fair_queue::FairQueue, waiting::Waiting};
+pub use {fair_queue::FairQueue, queued_request::QueuedRequest};
--- a/coordination/src/queue/waiting.rs
+++ b/coordination/src/queue/queued_request.rs
@@ -6,7 +6,7 @@
 
 /// a request that waits in a target's queue
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct QueuedRequest {
     pub request: RequestId,
     pub group: GroupName,
     /// 0 is the most urgent
@@ -28,7 +28,7 @@
     pub head_since: Option<Instant>,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// priority after ageing; only the first of a group and class ages, so
     /// that a long queue of one group does not overtake the others
     pub fn priority_at(&self, now: Instant) -> u8 {
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -191,7 +191,7 @@
     /// enough, let one slot run empty
     fn make_room(&mut self, key: &AdapterKey, now: Instant) {
         let bound = self.policy.batch_ahead_tokens;
-        let waits = |w: &&crate::queue::Waiting| w.adapter.as_ref() == Some(key);
+        let waits = |w: &&crate::queue::QueuedRequest| w.adapter.as_ref() == Some(key);
         let overtaken = self.queue.iter().filter(waits).map(|w| w.overtaken).max();
         if overtaken.is_some_and(|tokens| tokens > bound) {
             self.slots.drain_one(now);
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -4,7 +4,7 @@
     super::{PermitMode, SidecarAction, SidecarControl, Ticket},
     crate::{
         once::{Admission, Phase},
-        queue::Waiting,
+        queue::QueuedRequest,
         slots::AdapterKey,
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, ReserveAnswer, Step, Work, WorkOrder},
@@ -232,7 +232,7 @@
             self.slots
                 .touch(key, f64::from(class.stall_cost.max(1)), now);
         }
-        self.queue.push(Waiting {
+        self.queue.push(QueuedRequest {
             request: work.request.clone(),
             group: work.group.clone(),
             priority: class.priority,
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{RunEnd, SidecarAction, SidecarControl},
-    crate::{fence::EngineStatus, queue::Waiting, slots::AdapterKey},
+    crate::{fence::EngineStatus, queue::QueuedRequest, slots::AdapterKey},
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, Step},
     chalkcart_state::ids::{GroupName, Incarnation, RequestId, ReservedId},
     std::{
@@ -107,7 +107,7 @@
         self.load_what_waits(now);
     }
 
-    pub(super) fn is_stalled(&self, waiting: &Waiting) -> bool {
+    pub(super) fn is_stalled(&self, waiting: &QueuedRequest) -> bool {
         let adapter = waiting.adapter.as_ref();
         adapter.is_some_and(|key| !self.slots.is_ready(key))
     }
@@ -252,7 +252,7 @@
     }
 
     /// those that wait for a load and came first were overtaken
-    fn note_overtaken(&mut self, started: &Waiting, now: Instant) {
+    fn note_overtaken(&mut self, started: &QueuedRequest, now: Instant) {
         let slots = &self.slots;
         let priority = started.priority_at(now);
         self.queue.note_overtaken(started.tokens, |w| {
--- a/coordination/tests/fair_queue.rs
+++ b/coordination/tests/fair_queue.rs
@@ -1,7 +1,7 @@
 //! the order of a target's queue
 
 use {
-    chalkcart_coordination::queue::{FairQueue, Waiting},
+    chalkcart_coordination::queue::{FairQueue, QueuedRequest},
     std::{
         collections::HashMap,
         time::{Duration, Instant},
@@ -12,8 +12,8 @@
 const STEPS: u32 = 160;
 const STEP: Duration = Duration::from_millis(100);
 
-fn waiting(request: String, group: &str, priority: u8, now: Instant) -> Waiting {
-    Waiting {
+fn waiting(request: String, group: &str, priority: u8, now: Instant) -> QueuedRequest {
+    QueuedRequest {
         request,
         group: group.to_string(),
         priority,
