--- a/coordination/src/routing/baselines.rs
+++ b/coordination/src/routing/baselines.rs
@@ -1,7 +1,7 @@
 //! simple policies that the chosen one is measured against
 
 use {
-    super::{Candidate, Need, RouteAsk, RoutingPolicy},
+    super::{Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
     crate::membership::{rendezvous_weight, stable_hash},
     rand::{rngs::SmallRng, RngExt, SeedableRng},
     std::time::Instant,
@@ -22,7 +22,7 @@
 }
 
 impl RoutingPolicy for RandomChoice {
-    fn choose(&mut self, _: &RouteAsk, candidates: &[Candidate], _: Instant) -> Option<usize> {
+    fn choose(&mut self, _: &RouteRequest, candidates: &[Candidate], _: Instant) -> Option<usize> {
         match candidates.len() {
             0 => None,
             count => Some(self.rng.random_range(0..count)),
@@ -35,7 +35,12 @@
 pub struct LeastLoaded;
 
 impl RoutingPolicy for LeastLoaded {
-    fn choose(&mut self, _: &RouteAsk, candidates: &[Candidate], now: Instant) -> Option<usize> {
+    fn choose(
+        &mut self,
+        _: &RouteRequest,
+        candidates: &[Candidate],
+        now: Instant,
+    ) -> Option<usize> {
         let load = |c: &Candidate| c.target.queued_tokens(now) + f64::from(c.target.running());
         let numbered = candidates.iter().enumerate();
         let least = numbered.min_by(|a, b| load(a.1).total_cmp(&load(b.1)));
@@ -48,10 +53,15 @@
 pub struct PlainHash;
 
 impl RoutingPolicy for PlainHash {
-    fn choose(&mut self, ask: &RouteAsk, candidates: &[Candidate], _: Instant) -> Option<usize> {
+    fn choose(
+        &mut self,
+        ask: &RouteRequest,
+        candidates: &[Candidate],
+        _: Instant,
+    ) -> Option<usize> {
         let key = match &ask.need {
-            Need::Adapter { adapter, .. } => stable_hash(adapter),
-            Need::Service(service) => stable_hash(service),
+            TargetRequirement::Adapter { adapter, .. } => stable_hash(adapter),
+            TargetRequirement::Service(service) => stable_hash(service),
         };
         let numbered = candidates.iter().enumerate();
         let highest = numbered.max_by_key(|(_, c)| rendezvous_weight(key, c.target.hash));
--- a/coordination/src/routing/least_expected_wait.rs
+++ b/coordination/src/routing/least_expected_wait.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Candidate, Need, RouteAsk, RoutingPolicy},
+    super::{Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
     crate::{
         membership::{rendezvous_weight, stable_hash},
         slots::Heat,
@@ -63,11 +63,16 @@
 }
 
 impl RoutingPolicy for LeastExpectedWait {
-    fn choose(&mut self, ask: &RouteAsk, candidates: &[Candidate], now: Instant) -> Option<usize> {
+    fn choose(
+        &mut self,
+        ask: &RouteRequest,
+        candidates: &[Candidate],
+        now: Instant,
+    ) -> Option<usize> {
         let all = 0..candidates.len();
         let chosen: Vec<usize> = match &ask.need {
-            Need::Service(_) => all.collect(),
-            Need::Adapter { adapter, .. } => {
+            TargetRequirement::Service(_) => all.collect(),
+            TargetRequirement::Adapter { adapter, .. } => {
                 let homes = self.homes(adapter, now);
                 home_indexes(adapter, homes, candidates)
             }
@@ -80,7 +85,7 @@
 }
 
 /// how long a request would wait at a candidate before its first token
-pub(super) fn expected_wait(ask: &RouteAsk, candidate: &Candidate, now: Instant) -> Duration {
+pub(super) fn expected_wait(ask: &RouteRequest, candidate: &Candidate, now: Instant) -> Duration {
     let target = candidate.target;
     let per_token = target.token_time().as_secs_f64() / f64::from(target.max_running());
     let queue = Duration::from_secs_f64(target.queued_tokens(now) * per_token);
@@ -91,7 +96,7 @@
         Duration::ZERO
     };
     let stall = match ask.need {
-        Need::Adapter { .. } if !candidate.loaded => target.load_wait(),
+        TargetRequirement::Adapter { .. } if !candidate.loaded => target.load_wait(),
         _ => Duration::ZERO,
     };
     queue + busy + stall + candidate.distance
--- a/coordination/src/routing/mod.rs
+++ b/coordination/src/routing/mod.rs
@@ -9,7 +9,7 @@
 pub use {
     baselines::{LeastLoaded, PlainHash, RandomChoice},
     least_expected_wait::{LeastExpectedWait, WaitSettings},
-    policy::{serves, Candidate, Need, RouteAsk, RoutingPolicy},
+    policy::{serves, Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
     target::Target,
     target_table::{PolicyName, Route, TargetTable},
 };
--- a/coordination/src/routing/policy.rs
+++ b/coordination/src/routing/policy.rs
@@ -9,7 +9,7 @@
 
 /// what a target must offer
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Need {
+pub enum TargetRequirement {
     Adapter {
         adapter: AdapterName,
         version: VersionNumber,
@@ -19,23 +19,23 @@
 }
 
 /// whether a box in this role can do what is needed
-pub fn serves(role: &Role, need: &Need) -> bool {
+pub fn serves(role: &Role, need: &TargetRequirement) -> bool {
     match (role, need) {
         (
             Role::Engine { base_model },
-            Need::Adapter {
+            TargetRequirement::Adapter {
                 base_model: wanted, ..
             },
         ) => base_model == wanted,
-        (Role::Service { service }, Need::Service(wanted)) => service == wanted,
+        (Role::Service { service }, TargetRequirement::Service(wanted)) => service == wanted,
         _ => false,
     }
 }
 
 /// a request that looks for a target
 #[derive(Debug, Clone)]
-pub struct RouteAsk {
-    pub need: Need,
+pub struct RouteRequest {
+    pub need: TargetRequirement,
     pub tokens: u64,
     /// targets that failed this request before
     pub excluded: Vec<BoxName>,
@@ -54,5 +54,10 @@
 /// chooses among the targets that could serve a request
 pub trait RoutingPolicy: Send {
     /// index of the chosen candidate; none only if there are no candidates
-    fn choose(&mut self, ask: &RouteAsk, candidates: &[Candidate], now: Instant) -> Option<usize>;
+    fn choose(
+        &mut self,
+        ask: &RouteRequest,
+        candidates: &[Candidate],
+        now: Instant,
+    ) -> Option<usize>;
 }
--- a/coordination/src/routing/target_table.rs
+++ b/coordination/src/routing/target_table.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         least_expected_wait::expected_wait, policy::serves, target::loaded_hash, Candidate,
-        LeastExpectedWait, LeastLoaded, Need, PlainHash, RandomChoice, RouteAsk, RoutingPolicy,
-        Target, WaitSettings,
+        LeastExpectedWait, LeastLoaded, PlainHash, RandomChoice, RouteRequest, RoutingPolicy,
+        Target, TargetRequirement, WaitSettings,
     },
     chalkcart_protocol::peer::TargetReport,
     chalkcart_state::{
@@ -92,7 +92,7 @@
     }
 
     /// choose a target and count the request there
-    pub fn route(&mut self, ask: &RouteAsk, now: Instant) -> Option<Route> {
+    pub fn route(&mut self, ask: &RouteRequest, now: Instant) -> Option<Route> {
         let candidates = candidates(&self.targets, &self.zone, ask, now);
         let index = self.policy.choose(ask, &candidates, now)?;
         let route = new_route(ask, &candidates[index], now);
@@ -103,7 +103,7 @@
     }
 
     /// where requests would go, the best first
-    pub fn plan(&self, ask: &RouteAsk, now: Instant) -> Vec<Route> {
+    pub fn plan(&self, ask: &RouteRequest, now: Instant) -> Vec<Route> {
         let candidates = candidates(&self.targets, &self.zone, ask, now);
         let mut routes: Vec<Route> = candidates
             .iter()
@@ -123,7 +123,7 @@
     }
 }
 
-fn new_route(ask: &RouteAsk, candidate: &Candidate, now: Instant) -> Route {
+fn new_route(ask: &RouteRequest, candidate: &Candidate, now: Instant) -> Route {
     Route {
         target: candidate.target.listed.name.clone(),
         addr: candidate.target.listed.addr,
@@ -137,7 +137,7 @@
 fn candidates<'t>(
     targets: &'t BTreeMap<BoxName, Target>,
     zone: &str,
-    ask: &RouteAsk,
+    ask: &RouteRequest,
     now: Instant,
 ) -> Vec<Candidate<'t>> {
     let able: Vec<&Target> = targets
@@ -152,10 +152,10 @@
         .collect();
     let chosen = if well.is_empty() { able } else { well };
     let wanted = match &ask.need {
-        Need::Adapter {
+        TargetRequirement::Adapter {
             adapter, version, ..
         } => Some(loaded_hash(adapter, *version)),
-        Need::Service(_) => None,
+        TargetRequirement::Service(_) => None,
     };
     chosen
         .into_iter()
--- a/entry/src/control/events.rs
+++ b/entry/src/control/events.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::routing::{Route, RouteAsk},
+    chalkcart_coordination::routing::{Route, RouteRequest},
     chalkcart_protocol::peer::{PermitAnswer, PermitAsk, TargetReport},
     chalkcart_state::{
         fleet::{FleetBox, FleetList},
@@ -24,7 +24,7 @@
     /// a request came in
     Requested,
     Route {
-        ask: RouteAsk,
+        ask: RouteRequest,
         answer: oneshot::Sender<Option<Route>>,
     },
     /// where a target with a reserved id listens
@@ -50,7 +50,7 @@
         answer: oneshot::Sender<PermitAnswer>,
     },
     Plan {
-        ask: RouteAsk,
+        ask: RouteRequest,
         answer: oneshot::Sender<Vec<Route>>,
     },
     Status {
--- a/entry/src/control/handle.rs
+++ b/entry/src/control/handle.rs
@@ -1,6 +1,6 @@
 use {
     super::{EntryEvent, TargetRow},
-    chalkcart_coordination::routing::{Route, RouteAsk},
+    chalkcart_coordination::routing::{Route, RouteRequest},
     chalkcart_protocol::peer::{PermitAnswer, PermitAsk},
     chalkcart_state::{fleet::FleetBox, ids::BoxName},
     std::{sync::mpsc, time::Duration},
@@ -24,7 +24,7 @@
         // the control thread ends only with the process
         let _ = self.events.send(event);
     }
-    pub async fn route(&self, ask: RouteAsk) -> Option<Route> {
+    pub async fn route(&self, ask: RouteRequest) -> Option<Route> {
         let asked = self.ask(|answer| EntryEvent::Route { ask, answer }).await;
         asked.flatten()
     }
@@ -42,7 +42,7 @@
             retry_after: PERMIT_RETRY,
         })
     }
-    pub async fn plan(&self, ask: RouteAsk) -> Vec<Route> {
+    pub async fn plan(&self, ask: RouteRequest) -> Vec<Route> {
         let asked = self.ask(|answer| EntryEvent::Plan { ask, answer }).await;
         asked.unwrap_or_default()
     }
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -1,7 +1,7 @@
 use {
     super::{admission::Admission, force::wait_in_force},
     crate::{app::Shared, control::TargetRow},
-    chalkcart_coordination::routing::{Need, RouteAsk},
+    chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::v1::{
         admin_server::Admin, AddVersionRequest, CreateGroupRequest, Document, GetStatusRequest,
         GetStatusResponse, NextConfiguration, PlanRequest, PlanResponse, PlannedTarget,
@@ -161,8 +161,8 @@
         let Some(adapter) = configuration.adapter(&req.adapter) else {
             return Err(admission.bad("adapter", "not a known adapter"));
         };
-        let ask = RouteAsk {
-            need: Need::Adapter {
+        let ask = RouteRequest {
+            need: TargetRequirement::Adapter {
                 adapter: adapter.name.to_string(),
                 version: req.version,
                 base_model: adapter.base_model.to_string(),
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{app::Shared, traffic::Job},
-    chalkcart_coordination::routing::{serves, Need},
+    chalkcart_coordination::routing::{serves, TargetRequirement},
     chalkcart_protocol::{
         peer::{CallWork, GenerateWork, Outcome, Reason, Refusal, Step, Work},
         status::{bad_field, to_status},
@@ -109,7 +109,7 @@
             not_repeatable: req.not_repeatable,
             reserved_id: req.reserved_id,
         };
-        let need = Need::Adapter {
+        let need = TargetRequirement::Adapter {
             adapter: resolved.name.clone(),
             version: resolved.version,
             base_model: resolved.base_model.clone(),
@@ -146,7 +146,7 @@
             not_repeatable: req.not_repeatable,
             reserved_id: req.reserved_id,
         };
-        let need = Need::Service(req.service.clone());
+        let need = TargetRequirement::Service(req.service.clone());
         let work = Work::Call(CallWork {
             service: req.service,
             body: req.body,
@@ -158,7 +158,7 @@
         &self,
         configuration: &Configuration,
         terms: Terms,
-        need: Need,
+        need: TargetRequirement,
         work: Work,
     ) -> Result<Job, Status> {
         let timeout = self.timeout(configuration, &terms.class, terms.timeout_ms)?;
@@ -191,7 +191,11 @@
 
     /// a request that must not be repeated needs an id that binds it to one
     /// target; without one nothing could stop a copy through another entry
-    async fn reserved(&self, terms: &Terms, need: &Need) -> Result<Option<ReservedId>, Status> {
+    async fn reserved(
+        &self,
+        terms: &Terms,
+        need: &TargetRequirement,
+    ) -> Result<Option<ReservedId>, Status> {
         let reserved_id = terms.reserved_id.as_str();
         match (terms.not_repeatable, reserved_id.is_empty()) {
             (false, true) => Ok(None),
@@ -207,7 +211,7 @@
     }
 
     /// the id must be of a target that can do the work
-    async fn check_target(&self, id: &ReservedId, need: &Need) -> Result<(), Status> {
+    async fn check_target(&self, id: &ReservedId, need: &TargetRequirement) -> Result<(), Status> {
         let Some(listed) = self.shared.control.find(id.target.clone()).await else {
             return Ok(());
         };
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -5,7 +5,7 @@
         control::EntryEvent,
         traffic::{Delivered, Dispatcher, Job},
     },
-    chalkcart_coordination::routing::{Need, RouteAsk},
+    chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::{
         peer::{
             path, CancelAnswer, CancelOrder, Outcome as PeerOutcome, Reason, Refusal,
@@ -52,12 +52,12 @@
 
     async fn reserve_at_target(
         &self,
-        need: &Need,
+        need: &TargetRequirement,
         count: u32,
         failed: &mut Vec<String>,
     ) -> Result<ReserveResponse, Refusal> {
         let name = &self.shared.settings.name;
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             need: need.clone(),
             tokens: u64::from(count),
             excluded: failed.clone(),
@@ -95,7 +95,7 @@
         }
     }
 
-    fn need_of(&self, req: &ReserveRequest) -> Result<Need, Status> {
+    fn need_of(&self, req: &ReserveRequest) -> Result<TargetRequirement, Status> {
         let admission = Admission::new(&self.shared, "");
         let configuration = admission.configuration()?;
         admission.check_group(&configuration, &req.group)?;
@@ -105,14 +105,14 @@
                 let Some(adapter) = found else {
                     return Err(admission.bad("adapter", "not an adapter of the group"));
                 };
-                Ok(Need::Adapter {
+                Ok(TargetRequirement::Adapter {
                     adapter: adapter.name.to_string(),
                     version: adapter.versions.last().map_or(1, |v| v.version),
                     base_model: adapter.base_model.to_string(),
                 })
             }
             Some(Work::Service(name)) => match configuration.service(name) {
-                Some(_) => Ok(Need::Service(name.clone())),
+                Some(_) => Ok(TargetRequirement::Service(name.clone())),
                 None => Err(admission.bad("service", "not a known service")),
             },
             None => Err(admission.bad("work", "expected an adapter or a service")),
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -6,7 +6,7 @@
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::{
         retry::{may_retry, Attempt as FailedAttempt, Backoff},
-        routing::{Route, RouteAsk},
+        routing::{Route, RouteRequest},
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, Step},
     chalkcart_state::ids::{BoxName, RequestId, ReservedId},
@@ -126,7 +126,7 @@
         // each try has its own id, so that a target never takes a new try
         // for a copy of an earlier one
         self.job.request = format!("{}-{}", self.request, self.failed.len());
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             need: self.job.need.clone(),
             tokens: self.job.work.tokens(),
             excluded: self.failed.clone(),
--- a/entry/src/traffic/job.rs
+++ b/entry/src/traffic/job.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::routing::Need,
+    chalkcart_coordination::routing::TargetRequirement,
     chalkcart_protocol::peer::{Work, WorkOrder},
     chalkcart_state::ids::{
         AdapterName, ClassName, GroupName, RequestId, ReservedId, VersionNumber,
@@ -20,7 +20,7 @@
     pub group: GroupName,
     pub class: ClassName,
     pub deadline: Instant,
-    pub need: Need,
+    pub need: TargetRequirement,
     pub work: Work,
 }
 
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -9,7 +9,7 @@
     chalkcart_coordination::{
         membership::{permit_giver, watchers},
         permits::{PermitGiver, PermitSettings},
-        routing::{Need, PolicyName, RouteAsk},
+        routing::{PolicyName, RouteRequest, TargetRequirement},
     },
     chalkcart_protocol::peer::{PermitAsk, PermitPurpose},
     chalkcart_state::{
@@ -66,8 +66,8 @@
     let now = Instant::now();
     let started = Instant::now();
     for number in 0..ROUTES {
-        let ask = RouteAsk {
-            need: Need::Adapter {
+        let ask = RouteRequest {
+            need: TargetRequirement::Adapter {
                 adapter: format!("adapter-{number}"),
                 version: 1,
                 base_model: format!("model-{}", number % 5),
