--- a/coordination/src/config/generation_rule.rs
+++ b/coordination/src/config/generation_rule.rs
@@ -8,7 +8,7 @@
 
 /// what to do with a root document that was offered
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OfferDecision {
     /// higher than what is in force
     Take,
     /// what is in force already
@@ -23,16 +23,16 @@
 ///
 /// Only a higher generation is ever taken, so that nothing that was accepted
 /// is taken back by a source that lags.
-pub fn judge_root(in_force: Option<&Root>, offered: &Root) -> Verdict {
+pub fn judge_root(in_force: Option<&Root>, offered: &Root) -> OfferDecision {
     let Some(current) = in_force else {
-        return Verdict::Take;
+        return OfferDecision::Take;
     };
     match offered.generation.cmp(&current.generation) {
-        Ordering::Greater => Verdict::Take,
-        Ordering::Less => Verdict::Older {
+        Ordering::Greater => OfferDecision::Take,
+        Ordering::Less => OfferDecision::Older {
             offered: offered.generation,
         },
-        Ordering::Equal if digest_of(offered) == digest_of(current) => Verdict::Same,
-        Ordering::Equal => Verdict::Conflict,
+        Ordering::Equal if digest_of(offered) == digest_of(current) => OfferDecision::Same,
+        Ordering::Equal => OfferDecision::Conflict,
     }
 }
--- a/coordination/src/config/mod.rs
+++ b/coordination/src/config/mod.rs
@@ -5,5 +5,5 @@
 
 pub use {
     config_lease::ConfigLease,
-    generation_rule::{judge_root, Verdict},
+    generation_rule::{judge_root, OfferDecision},
 };
--- a/entry/src/config/config_keeper.rs
+++ b/entry/src/config/config_keeper.rs
@@ -1,7 +1,7 @@
 use {
     super::{KeepError, ShardSource},
     arc_swap::{ArcSwap, ArcSwapOption},
-    chalkcart_coordination::config::{judge_root, Verdict},
+    chalkcart_coordination::config::{judge_root, OfferDecision},
     chalkcart_state::{
         config::{Configuration, Root, Shard},
         fleet::FleetList,
@@ -43,14 +43,18 @@
     }
 
     /// put a higher generation in force, with the shards that differ
-    pub async fn offer(&self, root: Root, source: &dyn ShardSource) -> Result<Verdict, KeepError> {
+    pub async fn offer(
+        &self,
+        root: Root,
+        source: &dyn ShardSource,
+    ) -> Result<OfferDecision, KeepError> {
         let _one_at_a_time = self.offers.lock().await;
         let current = self.in_force.load_full();
         let verdict = judge_root(current.as_ref().map(|c| c.root().as_ref()), &root);
         match verdict {
-            Verdict::Take => {}
-            Verdict::Conflict => return Err(KeepError::Conflict(root.generation)),
-            Verdict::Same | Verdict::Older { .. } => return Ok(verdict),
+            OfferDecision::Take => {}
+            OfferDecision::Conflict => return Err(KeepError::Conflict(root.generation)),
+            OfferDecision::Same | OfferDecision::Older { .. } => return Ok(verdict),
         }
         root.check()?;
         let missing = match &current {
@@ -63,7 +67,7 @@
             shards.push((index, shard));
         }
         self.put_in_force(current, root, shards)?;
-        Ok(Verdict::Take)
+        Ok(OfferDecision::Take)
     }
 
     fn put_in_force(
--- a/entry/src/config/follower.rs
+++ b/entry/src/config/follower.rs
@@ -1,7 +1,7 @@
 use {
     super::{ConfigKeeper, KeepError, PeerShards, PlatformShards, ShardSource},
     crate::{app::Shared, control::EntryEvent},
-    chalkcart_coordination::{config::Verdict, membership::watchers},
+    chalkcart_coordination::{config::OfferDecision, membership::watchers},
     chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
     chalkcart_state::{config::Root, fleet::FleetList},
     chalkcart_transport::{
@@ -211,15 +211,15 @@
     async fn offer(&self, root: Root, source: &dyn ShardSource) -> bool {
         let generation = root.generation;
         match self.keeper().offer(root, source).await {
-            Ok(Verdict::Take) => {
+            Ok(OfferDecision::Take) => {
                 self.shared.on_configuration();
                 true
             }
-            Ok(Verdict::Older { offered }) => {
+            Ok(OfferDecision::Older { offered }) => {
                 log::warn!("config: generation {offered} offered, a higher one is in force");
                 false
             }
-            Ok(Verdict::Same | Verdict::Conflict) => true,
+            Ok(OfferDecision::Same | OfferDecision::Conflict) => true,
             Err(KeepError::Conflict(generation)) => {
                 log::error!("config: another content under generation {generation} refused");
                 false
--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::{
-        config::{judge_root, Verdict},
+        config::{judge_root, OfferDecision},
         sidecar::SidecarEvent,
     },
     chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
@@ -72,20 +72,20 @@
             return;
         };
         match judge_root(self.root.as_deref(), &root) {
-            Verdict::Take => {
+            OfferDecision::Take => {
                 log::info!("config: generation {} in force", root.generation);
                 self.shared.metrics.on_generation(root.generation);
                 let root = Arc::new(root);
                 self.root = Some(root.clone());
                 self.shared.tell(SidecarEvent::Configured(root));
             }
-            Verdict::Conflict => {
+            OfferDecision::Conflict => {
                 log::error!(
                     "config: another content under generation {}",
                     root.generation
                 )
             }
-            Verdict::Same | Verdict::Older { .. } => {}
+            OfferDecision::Same | OfferDecision::Older { .. } => {}
         }
     }
 }
