--- a/coordination/src/permits/permit_giver.rs
+++ b/coordination/src/permits/load_permit_issuer.rs
@@ -9,7 +9,7 @@
 
 /// limits of the weight store, and the giver's own times
 #[derive(Debug, Clone)]
-pub struct PermitSettings {
+pub struct LoadPermitSettings {
     pub loads_per_second: u32,
     pub loads_at_once: u32,
     /// a permit not given back by then is free again
@@ -22,7 +22,7 @@
     pub longest_retry: Duration,
 }
 
-impl Default for PermitSettings {
+impl Default for LoadPermitSettings {
     fn default() -> Self {
         Self {
             loads_per_second: 3,
@@ -57,8 +57,8 @@
 /// empty, and two givers at once cost speed only, since the store keeps its
 /// own limit.
 #[derive(Debug)]
-pub struct PermitGiver {
-    settings: PermitSettings,
+pub struct LoadPermitIssuer {
+    settings: LoadPermitSettings,
     claims: HashMap<Asker, Claim>,
     leases: HashMap<Asker, Instant>,
     /// starts allowed now; grows with time up to one second's worth
@@ -66,8 +66,8 @@
     refilled: Instant,
 }
 
-impl PermitGiver {
-    pub fn new(settings: PermitSettings, now: Instant) -> Self {
+impl LoadPermitIssuer {
+    pub fn new(settings: LoadPermitSettings, now: Instant) -> Self {
         Self {
             settings,
             claims: HashMap::new(),
--- a/coordination/src/permits/mod.rs
+++ b/coordination/src/permits/mod.rs
@@ -1,5 +1,5 @@
 //! who may load from the weight store next
 
-mod permit_giver;
+mod load_permit_issuer;
 
-pub use permit_giver::{PermitGiver, PermitSettings};
+pub use load_permit_issuer::{LoadPermitIssuer, LoadPermitSettings};
--- a/coordination/tests/permits.rs
+++ b/coordination/tests/permits.rs
@@ -1,7 +1,7 @@
 //! the giver of load permits
 
 use {
-    chalkcart_coordination::permits::{PermitGiver, PermitSettings},
+    chalkcart_coordination::permits::{LoadPermitIssuer, LoadPermitSettings},
     chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose},
     std::time::{Duration, Instant},
 };
@@ -23,8 +23,8 @@
 #[test]
 fn no_more_than_the_stores_limits_are_out() {
     let start = Instant::now();
-    let settings = PermitSettings::default();
-    let mut giver = PermitGiver::new(settings.clone(), start);
+    let settings = LoadPermitSettings::default();
+    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
     let mut granted = 0;
     let mut now = start;
     // ten targets that come back until they get one, then wish for another
@@ -49,7 +49,7 @@
 #[test]
 fn the_most_urgent_then_the_longest_wait_goes_first() {
     let start = Instant::now();
-    let mut giver = PermitGiver::new(PermitSettings::default(), start);
+    let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), start);
     assert!(is_granted(giver.ask(&ask("first", 2, 0), start)));
     for (target, priority, waited) in [("late", 0, 1), ("patient", 2, 9), ("early", 0, 5)] {
         assert!(!is_granted(
@@ -71,11 +71,11 @@
 #[test]
 fn a_lease_that_is_not_given_back_ends() {
     let start = Instant::now();
-    let settings = PermitSettings {
+    let settings = LoadPermitSettings {
         loads_at_once: 1,
-        ..PermitSettings::default()
+        ..LoadPermitSettings::default()
     };
-    let mut giver = PermitGiver::new(settings.clone(), start);
+    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
     assert!(is_granted(giver.ask(&ask("dead", 0, 0), start)));
     let later = start + settings.lease / 2;
     assert!(!is_granted(giver.ask(&ask("next", 0, 0), later)));
@@ -90,8 +90,8 @@
 #[test]
 fn those_far_behind_come_back_later_but_before_they_are_forgotten() {
     let start = Instant::now();
-    let settings = PermitSettings::default();
-    let mut giver = PermitGiver::new(settings.clone(), start);
+    let settings = LoadPermitSettings::default();
+    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
     let retry = |answer| match answer {
         PermitAnswer::Wait { retry_after } => retry_after,
         PermitAnswer::Granted { .. } => Duration::ZERO,
--- a/entry/src/control/entry_control.rs
+++ b/entry/src/control/entry_control.rs
@@ -2,7 +2,7 @@
     super::{EntryEvent, TargetRow},
     crate::conf::Settings,
     chalkcart_coordination::{
-        permits::{PermitGiver, PermitSettings},
+        permits::{LoadPermitIssuer, LoadPermitSettings},
         retry::RetryBudget,
         routing::{Target, TargetTable},
     },
@@ -14,7 +14,7 @@
 pub struct EntryControl {
     targets: TargetTable,
     budget: RetryBudget,
-    permits: PermitGiver,
+    permits: LoadPermitIssuer,
 }
 
 impl EntryControl {
@@ -23,7 +23,7 @@
         Self {
             targets: TargetTable::new(settings.zone.clone(), policy, rand::random()),
             budget: RetryBudget::default(),
-            permits: PermitGiver::new(PermitSettings::default(), now),
+            permits: LoadPermitIssuer::new(LoadPermitSettings::default(), now),
         }
     }
 
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -8,7 +8,7 @@
     anyhow::Result,
     chalkcart_coordination::{
         membership::{permit_giver, watchers},
-        permits::{PermitGiver, PermitSettings},
+        permits::{LoadPermitIssuer, LoadPermitSettings},
         routing::{PolicyName, RouteRequest, TargetRequirement},
     },
     chalkcart_protocol::peer::{PermitAsk, PermitPurpose},
@@ -102,7 +102,7 @@
 
 fn permit_micros(askers: usize) -> f64 {
     let now = Instant::now();
-    let mut giver = PermitGiver::new(PermitSettings::default(), now);
+    let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), now);
     let started = Instant::now();
     for number in 0..askers {
         let ask = PermitAsk {
