--- a/coordination/src/backend_admission/admission_gate.rs
+++ b/coordination/src/backend_admission/admission_gate.rs
@@ -1,14 +1,13 @@
 use std::time::{Duration, Instant};
 
-/// One of the reasons for which a back end is sent nothing more for a while.
+/// A condition that holds requests back from a back end.
 ///
-/// A reason keeps its own state and knows nothing of the others. Whoever chooses a back end asks
-/// all of them in one place (`BackendState::closed_by`), so a new reason is a file of its own and
-/// a line there.
+/// Gates are independent of each other. `BackendState::closed_by` checks all of them, so that a
+/// new gate takes one file and one line there.
 pub trait AdmissionGate {
-    /// the word in logs and metrics
+    /// Returns the code of this gate in logs and metrics.
     fn code(&self) -> &'static str;
-    /// none if one more request may be sent now; else the time until one may, as far as is
-    /// known
+    /// Returns `None` if one more request may be sent now, else the estimated time until one
+    /// may.
     fn closed_for(&self, now: Instant) -> Option<Duration>;
 }
--- a/coordination/src/backend_admission/advertised_limit.rs
+++ b/coordination/src/backend_admission/advertised_limit.rs
@@ -1,231 +1,255 @@
 use {
-    super::{AdmissionGate, EqualShare, PermitPool, ShareBasis, LEAST_PER_S},
+    super::{AdmissionGate, EqualShare, PermitPool, ShareMode, MIN_PROBE_RATE_PER_S},
     crate::backend_signals::{LimitSignal, RequestRate},
     chalkcart_protocol::peer::{HeardLimit, IntakeAnswer},
     std::time::{Duration, Instant},
 };
 
-/// Turns are promised no further ahead than this to requests that are refused: most clients
-/// have given up by then.
-const TURNS_PROMISED: Duration = Duration::from_secs(5);
+/// Upper bound of the retry times given to rejected requests; most clients give up before.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// what a back end says of the requests that it takes
+/// Limit in a response to this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Said {
+struct ReceivedLimit {
     rate: RequestRate,
-    /// when the last answer came that named it
+    /// when the newest response with this limit arrived
     at: Instant,
 }
 
-/// who shares a limit
+/// Conditions under which a limit is shared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSharing {
+    /// number of entries that share the limit
     pub entries: u32,
-    /// of this entry for this back end: between 0 and 1, evenly over entries
+    /// phase of this entry for this back end: between 0 and 1, uniform over entries
     pub phase: f64,
-    /// a sidecar stands beside the back end, and is heard
-    pub has_dealer: bool,
-    /// it is an engine, whose sidecar other entries may hear
+    /// the sidecar beside the back end is reachable and issues permits
+    pub has_issuer: bool,
+    /// the back end is an engine, whose sidecar may issue permits to other entries
     pub is_engine: bool,
 }
 
-/// what the dealer of a back end's permits has not heard of this entry
+/// Limit of a back end as this entry observed it, for the permit issuer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitUpdate {
-    pub named: Option<HeardLimit>,
-    pub freed_ago_ms: Option<u32>,
+    pub limit: Option<HeardLimit>,
+    /// ms since a response came without the limit that applied before
+    pub lifted_ago_ms: Option<u32>,
 }
 
-/// The requests a second that a back end names, and what of them this entry may send.
+/// Rate limit that a back end advertises, and this entry's share of it.
+///
+/// An entry sends with permits of the back end's sidecar, and by an equal share of the rate
+/// when the sidecar issues none.
 #[derive(Debug, Clone, Default)]
 pub struct AdvertisedLimit {
-    /// in answers to this entry
-    said: Option<Said>,
-    /// by the word of its sidecar
-    told: Option<RequestRate>,
-    /// an answer to this entry named none any more
-    freed: Option<Instant>,
-    /// the dealer must hear what an answer said
-    has_news: bool,
+    /// from responses to this entry
+    received: Option<ReceivedLimit>,
+    /// from reports of the back end's sidecar
+    reported: Option<RequestRate>,
+    /// when a response came without the limit that applied before
+    lifted_at: Option<Instant>,
+    /// the issuer doesn't know the last limit signal yet
+    has_update: bool,
     share: Option<EqualShare>,
     permits: PermitPool,
-    has_dealer: bool,
-    /// requests that wait for it, and the priority of the most urgent
-    wanted: u32,
+    has_issuer: bool,
+    /// requests that wait for this back end, and the priority of the most urgent
+    waiting: u32,
     priority: u8,
-    /// the last of those that were refused is told to come back then
-    returns_at: Option<Instant>,
+    /// retry time that was given to the last rejected request
+    last_retry_at: Option<Instant>,
 }
 
 impl AdvertisedLimit {
-    /// An answer says this, or nothing, to a request that was sent then.
+    /// Takes in the signal of a response to a request that was sent at `sent`.
     ///
-    /// Answers overtake each other. One to a request that was sent after another answer had
-    /// come was surely written later; of two whose order is not known the lower limit holds.
-    pub fn on_word(
+    /// Responses may arrive out of order. One to a request that was sent after another response
+    /// had arrived is certainly newer; if the order isn't known, the lower limit applies.
+    pub fn on_signal(
         &mut self,
-        word: LimitSignal,
+        signal: LimitSignal,
         sent: Instant,
-        sharers: LimitSharing,
+        sharing: LimitSharing,
         now: Instant,
     ) {
-        let overtaken = self.said.filter(|said| sent < said.at);
-        match (word, overtaken) {
-            (LimitSignal::Unreadable, _) | (LimitSignal::Unsaid, Some(_)) => return,
-            (LimitSignal::Unsaid, None) => {
-                self.has_news |= self.named().is_some();
-                self.said = None;
-                self.told = None;
-                self.freed = Some(now);
+        let unordered = self.received.filter(|received| sent < received.at);
+        match (signal, unordered) {
+            (LimitSignal::Unreadable, _) | (LimitSignal::Absent, Some(_)) => return,
+            (LimitSignal::Absent, None) => {
+                self.has_update |= self.effective_rate().is_some();
+                self.received = None;
+                self.reported = None;
+                self.lifted_at = Some(now);
             }
-            (LimitSignal::Named(rate), other) => {
+            (LimitSignal::Advertised(rate), other) => {
                 let rate = other.map_or(rate, |other| other.rate.min(rate));
-                self.has_news |= self.said.is_none_or(|said| said.rate != rate);
-                self.said = Some(Said { rate, at: now });
+                self.has_update |= self.received.is_none_or(|received| received.rate != rate);
+                self.received = Some(ReceivedLimit { rate, at: now });
             }
         }
-        self.share_among(sharers, now);
+        self.update_sharing(sharing, now);
     }
 
-    /// its sidecar says that it names this limit, or none
-    pub fn on_told(&mut self, told: Option<RequestRate>, sharers: LimitSharing, now: Instant) {
-        if self.told != told {
-            self.told = told;
-            self.share_among(sharers, now);
+    /// Takes in the limit, if any, that the back end's sidecar reports.
+    pub fn on_sidecar_report(
+        &mut self,
+        reported: Option<RequestRate>,
+        sharing: LimitSharing,
+        now: Instant,
+    ) {
+        if self.reported != reported {
+            self.reported = reported;
+            self.update_sharing(sharing, now);
         }
     }
 
-    /// The dealer has answered a question that was asked then. It may have heard of an answer
-    /// that named no limit, and that was written after the last one that came here.
-    pub fn on_dealt(
+    /// Takes in the issuer's response to the request that was sent at `requested_at`. Another
+    /// entry may have reported to it that the limit was lifted since the last response here.
+    pub fn on_permit_response(
         &mut self,
-        answer: &IntakeAnswer,
-        asked: Instant,
-        sharers: LimitSharing,
+        response: &IntakeAnswer,
+        requested_at: Instant,
+        sharing: LimitSharing,
         now: Instant,
     ) {
-        self.permits.on_answer(answer, asked, now);
-        self.told = answer.limit_milli_per_s.map(RequestRate::of_milli);
-        let freed = answer.freed_ago_ms.map(|ago| {
+        self.permits.on_response(response, requested_at, now);
+        self.reported = response
+            .limit_milli_per_s
+            .map(RequestRate::from_milli_per_s);
+        let lifted_at = response.freed_ago_ms.map(|ago| {
             let ago = Duration::from_millis(u64::from(ago));
             now.checked_sub(ago).unwrap_or(now)
         });
-        let is_over = |said: &Said| freed.is_some_and(|freed| freed > said.at);
-        self.said = self.said.filter(|said| !is_over(said));
-        self.share_among(sharers, now);
+        let is_lifted =
+            |received: &ReceivedLimit| lifted_at.is_some_and(|lifted_at| lifted_at > received.at);
+        self.received = self.received.filter(|received| !is_lifted(received));
+        self.update_sharing(sharing, now);
     }
-    /// it did not answer, or is of a build that deals out nothing
-    pub fn on_no_deal(&mut self, is_unknowing: bool, now: Instant) {
-        self.permits.on_no_answer(is_unknowing, now);
+    /// Records a failed permit request; `is_unsupported` tells that the sidecar issues no
+    /// permits.
+    pub fn on_permit_request_failed(&mut self, is_unsupported: bool, now: Instant) {
+        self.permits.on_request_failed(is_unsupported, now);
     }
 
-    /// the number of entries, or who stands beside the back end, may be another
-    pub fn share_among(&mut self, sharers: LimitSharing, now: Instant) {
-        self.has_dealer = sharers.has_dealer;
-        let Some(rate) = self.named() else {
+    /// Adapts this entry's share to the number of entries and to the availability of an issuer.
+    pub fn update_sharing(&mut self, sharing: LimitSharing, now: Instant) {
+        self.has_issuer = sharing.has_issuer;
+        let Some(rate) = self.effective_rate() else {
             self.share = None;
-            self.wanted = 0;
+            self.waiting = 0;
             return;
         };
-        let basis = match sharers.is_engine {
-            true => ShareBasis::BesidePermits,
-            false => ShareBasis::Alone,
+        let mode = match sharing.is_engine {
+            true => ShareMode::WithPermits,
+            false => ShareMode::SharesOnly,
         };
-        let (per_s, entries) = (rate.per_s(), sharers.entries);
+        let (per_s, entries) = (rate.per_s(), sharing.entries);
         match &mut self.share {
-            Some(share) => share.set(basis, per_s, entries, now),
+            Some(share) => share.update(mode, per_s, entries, now),
             None => {
-                let share = EqualShare::new(basis, per_s, entries, sharers.phase, now);
+                let share = EqualShare::new(mode, per_s, entries, sharing.phase, now);
                 self.share = Some(share);
             }
         }
     }
 
-    pub fn named(&self) -> Option<RequestRate> {
-        let said = self.said.map(|said| said.rate);
-        said.into_iter().chain(self.told).min()
+    /// Returns the lowest limit known, `None` if the back end isn't limited.
+    pub fn effective_rate(&self) -> Option<RequestRate> {
+        let received = self.received.map(|received| received.rate);
+        received.into_iter().chain(self.reported).min()
     }
-    pub fn allows_one(&self, now: Instant) -> bool {
-        self.opens_in(now).is_zero()
+    pub fn admits_request(&self, now: Instant) -> bool {
+        self.wait_time(now).is_zero()
     }
-    /// time until this entry may send one more
-    pub fn opens_in(&self, now: Instant) -> Duration {
+    /// Returns the time until this entry may send one more request.
+    pub fn wait_time(&self, now: Instant) -> Duration {
         let Some(share) = &self.share else {
             return Duration::ZERO;
         };
-        self.dealt_in(now).unwrap_or_else(|| share.opens_in(now))
+        self.permit_wait_time(now)
+            .unwrap_or_else(|| share.wait_time(now))
     }
-    /// time until it may send this many more, and one
-    pub fn opens_after(&self, ahead: u32, now: Instant) -> Duration {
+    /// Returns the time until this entry may send one more request after `ahead` others.
+    pub fn wait_time_behind(&self, ahead: u32, now: Instant) -> Duration {
         let Some(share) = &self.share else {
             return Duration::ZERO;
         };
-        self.opens_in(now) + self.interval(share, now) * ahead
+        self.wait_time(now) + self.send_interval(share, now) * ahead
     }
-    pub fn on_sent(&mut self, now: Instant) {
-        match (&mut self.share, self.permits.count(now)) {
+    pub fn on_request_sent(&mut self, now: Instant) {
+        match (&mut self.share, self.permits.available(now)) {
             (None, _) => {}
-            (Some(share), 0) => share.on_sent(now),
-            (Some(_), _) => self.permits.on_sent(),
+            (Some(share), 0) => share.on_request_sent(now),
+            (Some(_), _) => self.permits.on_permit_used(),
         }
     }
 
-    /// When a request that is refused should come back: each gets a turn of its own, after all
-    /// those that were told one before.
-    pub fn return_in(&mut self, now: Instant) -> Duration {
+    /// Returns the retry time of a request that is rejected. Each rejected request gets a
+    /// separate one, so that they don't all return at once.
+    pub fn next_retry_after(&mut self, now: Instant) -> Duration {
         let Some(share) = &self.share else {
             return Duration::ZERO;
         };
-        let opens = now + self.opens_in(now);
-        let next = self.returns_at.map(|at| at + self.interval(share, now));
-        let turn = next.map_or(opens, |at| at.min(now + TURNS_PROMISED));
-        let at = turn.max(opens);
-        self.returns_at = Some(at);
-        at.saturating_duration_since(now)
+        let opens_at = now + self.wait_time(now);
+        let next = self
+            .last_retry_at
+            .map(|at| at + self.send_interval(share, now));
+        let retry_at = next.map_or(opens_at, |at| at.min(now + MAX_RETRY_AFTER));
+        let retry_at = retry_at.max(opens_at);
+        self.last_retry_at = Some(retry_at);
+        retry_at.saturating_duration_since(now)
     }
 
-    /// so many requests wait for it, the most urgent of this priority
-    pub fn set_wanted(&mut self, wanted: u32, priority: u8) {
-        self.wanted = wanted;
+    /// Sets the number of requests that wait for this back end, and the priority of the most
+    /// urgent.
+    pub fn set_waiting(&mut self, waiting: u32, priority: u8) {
+        self.waiting = waiting;
         self.priority = priority;
     }
-    pub fn wanted(&self) -> (u32, u8) {
-        (self.wanted, self.priority)
+    /// Returns the number of waiting requests and the priority of the most urgent.
+    pub fn waiting(&self) -> (u32, u8) {
+        (self.waiting, self.priority)
     }
-    /// whether its dealer should be asked now
-    pub fn is_question_due(&self, now: Instant) -> bool {
-        let wants = self.wanted > self.permits.count(now) || self.has_news;
-        self.has_dealer && wants && self.permits.is_due(now)
+    /// Returns whether a request for permits should be sent to the issuer now.
+    pub fn is_permit_request_due(&self, now: Instant) -> bool {
+        let is_needed = self.waiting > self.permits.available(now) || self.has_update;
+        self.has_issuer && is_needed && self.permits.is_request_due(now)
     }
-    /// the dealer is asked; gives what it has to hear, and the permits that are of no use
-    pub fn on_asked(&mut self, now: Instant) -> (LimitUpdate, u32) {
-        self.has_news = false;
+    /// Records a request for permits. Returns the update to send with it and the number of
+    /// expired permits to give back.
+    pub fn on_permits_requested(&mut self, now: Instant) -> (LimitUpdate, u32) {
+        self.has_update = false;
         let ms_since = |at: Instant| {
-            let passed = now.saturating_duration_since(at).as_millis();
-            u32::try_from(passed).unwrap_or(u32::MAX)
+            let elapsed = now.saturating_duration_since(at).as_millis();
+            u32::try_from(elapsed).unwrap_or(u32::MAX)
         };
-        let news = LimitUpdate {
-            named: self.said.map(|said| HeardLimit {
-                milli_per_s: said.rate.milli(),
-                ago_ms: ms_since(said.at),
+        let update = LimitUpdate {
+            limit: self.received.map(|received| HeardLimit {
+                milli_per_s: received.rate.milli_per_s(),
+                ago_ms: ms_since(received.at),
             }),
-            freed_ago_ms: self.freed.map(ms_since),
+            lifted_ago_ms: self.lifted_at.map(ms_since),
         };
-        (news, self.permits.on_asked(now))
+        (update, self.permits.on_requested(now))
     }
 
-    fn dealt_in(&self, now: Instant) -> Option<Duration> {
-        let held = self.permits.count(now) > 0;
-        (held || self.has_dealer)
-            .then(|| self.permits.opens_in(now))
+    /// Returns the time until a permit is expected, `None` if this entry sends by its equal
+    /// share.
+    fn permit_wait_time(&self, now: Instant) -> Option<Duration> {
+        let has_permit = self.permits.available(now) > 0;
+        (has_permit || self.has_issuer)
+            .then(|| self.permits.wait_time(now))
             .flatten()
     }
 
-    /// time between two requests of this entry
-    fn interval(&self, share: &EqualShare, now: Instant) -> Duration {
-        match (self.dealt_in(now), self.named()) {
-            (Some(_), Some(rate)) => Duration::from_secs_f64(1.0 / rate.per_s().max(LEAST_PER_S)),
-            _ => share.interval(),
+    /// Returns the time between two requests of this entry.
+    fn send_interval(&self, share: &EqualShare, now: Instant) -> Duration {
+        match (self.permit_wait_time(now), self.effective_rate()) {
+            (Some(_), Some(rate)) => {
+                Duration::from_secs_f64(1.0 / rate.per_s().max(MIN_PROBE_RATE_PER_S))
+            }
+            _ => share.send_interval(),
         }
     }
 }
@@ -235,7 +259,7 @@
         "limited"
     }
     fn closed_for(&self, now: Instant) -> Option<Duration> {
-        let opens_in = self.opens_in(now);
-        (!opens_in.is_zero()).then_some(opens_in)
+        let wait_time = self.wait_time(now);
+        (!wait_time.is_zero()).then_some(wait_time)
     }
 }
--- a/coordination/src/backend_admission/engine_limit.rs
+++ b/coordination/src/backend_admission/engine_limit.rs
@@ -6,74 +6,80 @@
     std::time::{Duration, Instant},
 };
 
-/// The word of entries on a limit holds this long. Those that use the engine say it again
-/// with each answer; where nobody does, one request tells whether it is still so.
-const ENTRIES_WORD_HOLDS: Duration = Duration::from_secs(10);
+/// Validity of a limit that entries reported. Entries that use the engine report it again with
+/// each response; without requests, a single one shows whether it still applies.
+const REPORTED_LIMIT_VALID_FOR: Duration = Duration::from_secs(10);
 
-/// What a sidecar knows of the requests that its engine takes, and who may send them.
+/// Rate limit of an engine as its sidecar knows it, and the permits issued under it.
 #[derive(Debug, Default)]
 pub struct EngineLimit {
-    /// as the engine's answers to this sidecar name it
-    by_engine: Option<RequestRate>,
-    /// as its answers to entries did, and when the last of them came
-    by_entries: Option<(RequestRate, Instant)>,
-    /// when the engine was last heard to name none any more
-    freed: Option<Instant>,
-    dealer: PermitIssuer,
+    /// from the engine's responses to this sidecar
+    from_engine: Option<RequestRate>,
+    /// from the engine's responses to entries, and when the newest of them arrived
+    from_entries: Option<(RequestRate, Instant)>,
+    /// when a response last came without the limit that applied before
+    lifted_at: Option<Instant>,
+    issuer: PermitIssuer,
 }
 
 impl EngineLimit {
-    /// An answer to this sidecar says this, or nothing. Whether engines name limits in
-    /// answers to sidecars is not known: silence is news only after a word.
-    pub fn on_engine_word(&mut self, word: LimitSignal, now: Instant) {
-        match word {
-            LimitSignal::Named(rate) => self.by_engine = Some(rate),
-            LimitSignal::Unsaid if self.by_engine.is_some() => {
-                self.by_engine = None;
-                self.by_entries = None;
-                self.freed = Some(now);
+    /// Takes in the limit signal of a response to this sidecar.
+    ///
+    /// Engines may send limits to entries only, so an absent signal lifts the limit only if the
+    /// sidecar itself received one before.
+    pub fn on_engine_signal(&mut self, signal: LimitSignal, now: Instant) {
+        match signal {
+            LimitSignal::Advertised(rate) => self.from_engine = Some(rate),
+            LimitSignal::Absent if self.from_engine.is_some() => {
+                self.from_engine = None;
+                self.from_entries = None;
+                self.lifted_at = Some(now);
             }
-            LimitSignal::Unsaid | LimitSignal::Unreadable => {}
+            LimitSignal::Absent | LimitSignal::Unreadable => {}
         }
     }
 
-    /// the lowest limit that is known to hold
-    pub fn named(&self, now: Instant) -> Option<RequestRate> {
-        let holds = |at: &Instant| now.saturating_duration_since(*at) < ENTRIES_WORD_HOLDS;
-        let by_entries = self.by_entries.filter(|(_, at)| holds(at));
-        let by_entries = by_entries.map(|(rate, _)| rate);
-        self.by_engine.into_iter().chain(by_entries).min()
+    /// Returns the lowest limit known to apply.
+    pub fn effective_rate(&self, now: Instant) -> Option<RequestRate> {
+        let is_valid = |at: &Instant| now.saturating_duration_since(*at) < REPORTED_LIMIT_VALID_FOR;
+        let from_entries = self.from_entries.filter(|(_, at)| is_valid(at));
+        let from_entries = from_entries.map(|(rate, _)| rate);
+        self.from_engine.into_iter().chain(from_entries).min()
     }
 
-    /// an entry says what it has heard, and asks for permits
+    /// Takes in the limit that an entry observed, and responds with the effective limit and
+    /// permits.
     pub fn on_report(
         &mut self,
         backend: &BackendId,
         report: &IntakeReport,
         now: Instant,
     ) -> IntakeAnswer {
-        let is_its = report.backend == *backend;
-        if is_its {
-            self.take_in(report, now);
+        let is_same_engine = report.backend == *backend;
+        if is_same_engine {
+            self.update_from_entry(report, now);
         }
-        let named = self.named(now);
-        let (granted, next) = match named.filter(|_| is_its) {
-            Some(rate) => self.dealer.deal(rate.per_s(), report, now),
+        let limit = self.effective_rate(now);
+        let (granted, next) = match limit.filter(|_| is_same_engine) {
+            Some(rate) => self.issuer.issue(rate.per_s(), report, now),
             None => (0, Duration::ZERO),
         };
         IntakeAnswer {
             backend: backend.clone(),
-            limit_milli_per_s: named.map(RequestRate::milli),
-            freed_ago_ms: self.freed.map(|at| ms_since(at, now)),
+            limit_milli_per_s: limit.map(RequestRate::milli_per_s),
+            freed_ago_ms: self.lifted_at.map(|at| ms_since(at, now)),
             granted,
             next_ms: next.as_millis() as u32,
         }
     }
 
-    fn take_in(&mut self, report: &IntakeReport, now: Instant) {
-        if let Some(freed) = report.freed_ago_ms.map(|ago| ms_ago(ago, now)) {
-            self.by_entries = self.by_entries.filter(|(_, at)| *at > freed);
-            self.freed = Some(self.freed.map_or(freed, |known| known.max(freed)));
+    fn update_from_entry(&mut self, report: &IntakeReport, now: Instant) {
+        if let Some(lifted_at) = report.freed_ago_ms.map(|ago| ms_ago(ago, now)) {
+            self.from_entries = self.from_entries.filter(|(_, at)| *at > lifted_at);
+            let latest = self
+                .lifted_at
+                .map_or(lifted_at, |known| known.max(lifted_at));
+            self.lifted_at = Some(latest);
         }
         let Some(HeardLimit {
             milli_per_s,
@@ -83,10 +89,10 @@
             return;
         };
         let at = ms_ago(ago_ms, now);
-        let is_newest = self.by_entries.is_none_or(|(_, known)| at >= known);
-        let is_over = self.freed.is_some_and(|freed| at < freed);
-        if is_newest && !is_over {
-            self.by_entries = Some((RequestRate::of_milli(milli_per_s), at));
+        let is_newest = self.from_entries.is_none_or(|(_, known)| at >= known);
+        let is_lifted = self.lifted_at.is_some_and(|lifted_at| at < lifted_at);
+        if is_newest && !is_lifted {
+            self.from_entries = Some((RequestRate::from_milli_per_s(milli_per_s), at));
         }
     }
 }
@@ -97,6 +103,6 @@
 }
 
 fn ms_since(at: Instant, now: Instant) -> u32 {
-    let passed = now.saturating_duration_since(at).as_millis();
-    u32::try_from(passed).unwrap_or(u32::MAX)
+    let elapsed = now.saturating_duration_since(at).as_millis();
+    u32::try_from(elapsed).unwrap_or(u32::MAX)
 }
--- a/coordination/src/backend_admission/health.rs
+++ b/coordination/src/backend_admission/health.rs
@@ -1,65 +1,65 @@
 use std::time::{Duration, Instant};
 
-/// weight of the newest outcome in the failure rate
-const NEWEST: f64 = 0.2;
-/// rate of failure above which a back end rests
-const REST_RATE: f64 = 0.6;
-const FIRST_REST: Duration = Duration::from_millis(500);
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// the failure rate halves in this time without evidence
-const FORGET: f64 = 3.0;
+/// weight of the newest outcome in the moving average of failures
+const NEWEST_WEIGHT: f64 = 0.2;
+/// failure rate above which a back end is ejected
+const EJECTION_FAILURE_RATE: f64 = 0.6;
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// half-life, in seconds, of the failure rate without new outcomes
+const FAILURE_HALF_LIFE_S: f64 = 3.0;
 
-/// what this entry has seen of a back end's soundness
+/// Passive health check of a back end: ejects it for a while when requests to it fail.
 #[derive(Debug, Clone)]
 pub struct Health {
-    rate: f64,
-    rated_at: Instant,
-    resting_until: Option<Instant>,
-    rest: Duration,
+    failure_rate: f64,
+    updated_at: Instant,
+    ejected_until: Option<Instant>,
+    next_ejection: Duration,
 }
 
 impl Health {
     pub fn new(now: Instant) -> Self {
         Self {
-            rate: 0.0,
-            rated_at: now,
-            resting_until: None,
-            rest: FIRST_REST,
+            failure_rate: 0.0,
+            updated_at: now,
+            ejected_until: None,
+            next_ejection: FIRST_EJECTION,
         }
     }
 
-    /// the part of sends that failed, the latest counting most
+    /// Returns the moving average of failures, between 0 and 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.rated_at);
-        self.rate * 0.5f64.powf(age.as_secs_f64() / FORGET)
+        let age = now.saturating_duration_since(self.updated_at);
+        self.failure_rate * 0.5f64.powf(age.as_secs_f64() / FAILURE_HALF_LIFE_S)
     }
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.resting_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     pub fn on_success(&mut self, now: Instant) {
-        self.rate = self.failure_rate(now) * (1.0 - NEWEST);
-        self.rated_at = now;
-        self.rest = FIRST_REST;
+        self.failure_rate = self.failure_rate(now) * (1.0 - NEWEST_WEIGHT);
+        self.updated_at = now;
+        self.next_ejection = FIRST_EJECTION;
     }
     pub fn on_failure(&mut self, now: Instant) {
-        self.rate = self.failure_rate(now) * (1.0 - NEWEST) + NEWEST;
-        self.rated_at = now;
-        if self.rate > REST_RATE {
-            self.start_rest(now);
+        self.failure_rate = self.failure_rate(now) * (1.0 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
+        self.updated_at = now;
+        if self.failure_rate > EJECTION_FAILURE_RATE {
+            self.eject(now);
         }
     }
-    /// nothing answers there
+    /// Ejects the back end, as no connection to it could be made.
     pub fn on_unreachable(&mut self, now: Instant) {
         self.on_failure(now);
-        self.start_rest(now);
+        self.eject(now);
     }
 
-    fn start_rest(&mut self, now: Instant) {
-        if self.is_resting(now) {
+    fn eject(&mut self, now: Instant) {
+        if self.is_ejected(now) {
             return;
         }
-        self.resting_until = Some(now + self.rest);
-        self.rest = (self.rest * 2).min(LONGEST_REST);
+        self.ejected_until = Some(now + self.next_ejection);
+        self.next_ejection = (self.next_ejection * 2).min(MAX_EJECTION);
     }
 }
--- a/coordination/src/backend_admission/mod.rs
+++ b/coordination/src/backend_admission/mod.rs
@@ -1,4 +1,5 @@
-//! what keeps requests from a back end for a while, and how many it gets of those that it takes
+//! Gates that hold requests back from a back end, and the sharing of a back end's rate limit
+//! among the entries.
 
 mod admission_gate;
 mod advertised_limit;
@@ -15,7 +16,7 @@
     admission_gate::AdmissionGate,
     advertised_limit::{AdvertisedLimit, LimitSharing, LimitUpdate},
     engine_limit::EngineLimit,
-    equal_share::{EqualShare, ShareBasis},
+    equal_share::{EqualShare, ShareMode},
     health::Health,
     permit_issuer::PermitIssuer,
     permit_pool::PermitPool,
@@ -24,6 +25,6 @@
     slow_start::{SlowStart, SlowStartSettings},
 };
 
-/// A back end that takes next to nothing gets this many requests a second all the same, from
-/// all entries together: only an answer can say that it takes more.
-const LEAST_PER_S: f64 = 0.25;
+/// Lowest rate, in requests per second from all entries together, at which a limited back end
+/// is still probed: only a response can report a higher limit.
+const MIN_PROBE_RATE_PER_S: f64 = 0.25;
--- a/coordination/src/backend_admission/permit_issuer.rs
+++ b/coordination/src/backend_admission/permit_issuer.rs
@@ -1,5 +1,5 @@
 use {
-    super::LEAST_PER_S,
+    super::MIN_PROBE_RATE_PER_S,
     chalkcart_protocol::peer::IntakeReport,
     chalkcart_state::ids::BoxName,
     std::{
@@ -8,96 +8,98 @@
     },
 };
 
-/// permits may be saved up for this long, beyond one
-const SAVED_FOR: Duration = Duration::from_millis(200);
-/// An entry that wants permits asks again within this time; one that does not has given up
-/// what it wanted them for, and keeps nobody waiting.
-const ASKS_AGAIN_WITHIN: Duration = Duration::from_millis(450);
-/// an entry that asks for none is forgotten, with when it was last served, after this time
-const KEPT: Duration = Duration::from_secs(10);
+/// Permits accumulate for at most this long, beyond one.
+const MAX_ACCUMULATION: Duration = Duration::from_millis(200);
+/// An entry that still wants permits repeats its request within this time; one that doesn't no
+/// longer competes with the others.
+const REQUEST_VALID_FOR: Duration = Duration::from_millis(450);
+/// Entries that request nothing for this long are removed.
+const ENTRY_TTL: Duration = Duration::from_secs(10);
 
-/// who asks for permits
+/// Permit request of one entry.
 #[derive(Debug)]
-struct Contender {
+struct PendingRequest {
     wanted: u32,
     priority: u8,
-    heard: Instant,
+    received_at: Instant,
     last_granted: Option<Instant>,
 }
 
-/// Deals out the requests that an engine takes to the entries that want to send some.
+/// Issues permits to send requests to a rate-limited engine.
 ///
-/// In any time, at most what has become due in it is given out, and what was saved before. A
-/// dealer that begins has saved nothing: it does not know what an earlier one gave out.
+/// A token bucket bounds the permits issued in any interval. It starts empty, since a previous
+/// issuer may have issued permits just before.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
-    level: f64,
-    counted: Option<Instant>,
-    entries: HashMap<BoxName, Contender>,
+    tokens: f64,
+    refilled_at: Option<Instant>,
+    entries: HashMap<BoxName, PendingRequest>,
 }
 
 impl PermitIssuer {
-    /// what an entry is given now, and the time until its next turn
-    pub fn deal(&mut self, per_s: f64, report: &IntakeReport, now: Instant) -> (u32, Duration) {
-        let per_s = per_s.max(LEAST_PER_S);
+    /// Returns the number of permits granted to an entry now, and the time until its next
+    /// grant.
+    pub fn issue(&mut self, per_s: f64, report: &IntakeReport, now: Instant) -> (u32, Duration) {
+        let per_s = per_s.max(MIN_PROBE_RATE_PER_S);
         self.refill(per_s, f64::from(report.unused), now);
-        self.hear(report, now);
+        self.record_request(report, now);
         if report.wanted == 0 {
             return (0, Duration::ZERO);
         }
-        let (rank, contenders) = self.rank_of(&report.entry, now);
-        let whole = self.level.max(0.0) as u32;
-        let granted = match contenders {
-            1 => report.wanted.min(whole),
-            _ => u32::from(rank < whole),
+        let (rank, competing) = self.rank_of(&report.entry, now);
+        let available = self.tokens.max(0.0) as u32;
+        let granted = match competing {
+            1 => report.wanted.min(available),
+            _ => u32::from(rank < available),
         };
         let mut ahead = rank;
         if granted > 0 {
-            self.level -= f64::from(granted);
+            self.tokens -= f64::from(granted);
             if let Some(entry) = self.entries.get_mut(&report.entry) {
                 entry.wanted -= granted;
                 entry.last_granted = Some(now);
             }
-            // it is the last now
-            ahead = contenders - 1;
+            // the grant moves this entry to the end of the order
+            ahead = competing - 1;
         }
-        let missing = (f64::from(ahead + 1) - self.level).max(0.0);
+        let missing = (f64::from(ahead + 1) - self.tokens).max(0.0);
         (granted, Duration::from_secs_f64(missing / per_s))
     }
 
     fn refill(&mut self, per_s: f64, returned: f64, now: Instant) {
-        let counted = self.counted.replace(now).unwrap_or(now);
-        let due = now.saturating_duration_since(counted).as_secs_f64() * per_s;
-        let most = 1.0 + per_s * SAVED_FOR.as_secs_f64();
-        self.level = (self.level + due + returned).min(most);
+        let refilled_at = self.refilled_at.replace(now).unwrap_or(now);
+        let due = now.saturating_duration_since(refilled_at).as_secs_f64() * per_s;
+        let max_tokens = 1.0 + per_s * MAX_ACCUMULATION.as_secs_f64();
+        self.tokens = (self.tokens + due + returned).min(max_tokens);
     }
 
-    fn hear(&mut self, report: &IntakeReport, now: Instant) {
+    fn record_request(&mut self, report: &IntakeReport, now: Instant) {
         self.entries
-            .retain(|_, e| now.saturating_duration_since(e.heard) < KEPT);
+            .retain(|_, e| now.saturating_duration_since(e.received_at) < ENTRY_TTL);
         let known = self.entries.get(&report.entry);
         let last_granted = known.and_then(|known| known.last_granted);
-        let contender = Contender {
+        let request = PendingRequest {
             wanted: report.wanted,
             priority: report.priority,
-            heard: now,
+            received_at: now,
             last_granted,
         };
-        self.entries.insert(report.entry.clone(), contender);
+        self.entries.insert(report.entry.clone(), request);
     }
 
-    /// how many go before an entry, and how many contend with it in all: the more urgent
-    /// first, then those that were not served for longest
+    /// Returns how many entries are served before this one, and how many compete in all. The
+    /// most urgent go first, then those whose last grant is the oldest.
     fn rank_of(&self, entry: &BoxName, now: Instant) -> (u32, u32) {
-        let contending = self.entries.iter().filter(|(_, e)| {
-            e.wanted > 0 && now.saturating_duration_since(e.heard) < ASKS_AGAIN_WITHIN
+        let competing = self.entries.iter().filter(|(_, e)| {
+            e.wanted > 0 && now.saturating_duration_since(e.received_at) < REQUEST_VALID_FOR
         });
-        let place = |name: &BoxName, e: &Contender| (e.priority, e.last_granted, name.clone());
-        let Some(own) = self.entries.get(entry).map(|own| place(entry, own)) else {
+        let sort_key =
+            |name: &BoxName, e: &PendingRequest| (e.priority, e.last_granted, name.clone());
+        let Some(own) = self.entries.get(entry).map(|own| sort_key(entry, own)) else {
             return (0, 0);
         };
-        let places: Vec<_> = contending.map(|(name, e)| place(name, e)).collect();
-        let before = places.iter().filter(|other| **other < own).count();
-        (before as u32, places.len() as u32)
+        let keys: Vec<_> = competing.map(|(name, e)| sort_key(name, e)).collect();
+        let ahead = keys.iter().filter(|other| **other < own).count();
+        (ahead as u32, keys.len() as u32)
     }
 }
--- a/coordination/src/backend_admission/permit_pool.rs
+++ b/coordination/src/backend_admission/permit_pool.rs
@@ -3,37 +3,37 @@
     std::time::{Duration, Instant},
 };
 
-/// A permit may be used for this long after it was asked for: what the dealer gave out before
-/// adds to what it gives out then.
-const VALID_FOR: Duration = Duration::from_millis(500);
-/// the dealer's word on turns is used for this long
-const WORD_HOLDS: Duration = Duration::from_millis(1_500);
-/// a dealer that was asked answers within this time; a limit is not given up for its silence
-/// before
-const ANSWERS_WITHIN: Duration = Duration::from_millis(250);
-/// shortest and longest time between two questions
-const ASK_EVERY: Duration = Duration::from_millis(40);
-const ASK_LATEST: Duration = Duration::from_millis(300);
-/// a dealer that does not answer, or does not know the matter, is asked again after this time
-const SILENT_FOR: Duration = Duration::from_millis(1_000);
-const UNKNOWING_FOR: Duration = Duration::from_secs(5);
+/// Validity of a permit, counted from its request. It bounds the requests sent with permits of
+/// earlier grants on top of the current ones.
+const PERMIT_VALID_FOR: Duration = Duration::from_millis(500);
+/// Time for which the next grant that the issuer announced is relied on.
+const RESPONSE_VALID_FOR: Duration = Duration::from_millis(1_500);
+/// Time to wait for the issuer's response before falling back to an equal share.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause after a request to the issuer failed.
+const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(1_000);
+/// Pause after the sidecar replied that it doesn't support permits.
+const RETRY_IF_UNSUPPORTED: Duration = Duration::from_secs(5);
 
-/// Permits to send to a limited engine, as its sidecar has dealt them to this entry.
+/// Permits that the sidecar of a rate-limited engine issued to this entry.
 #[derive(Debug, Clone, Default)]
 pub struct PermitPool {
     count: u32,
     valid_until: Option<Instant>,
-    /// the last answer came then, and the next turn is then
-    answered: Option<(Instant, Instant)>,
-    /// a question is on its way since then
-    asked: Option<Instant>,
-    ask_again: Option<Instant>,
-    /// nothing is expected of the dealer before
-    is_silent_until: Option<Instant>,
+    /// when the last response came, and the time of the next grant that it announced
+    last_response: Option<(Instant, Instant)>,
+    /// when the request in flight was sent
+    requested_at: Option<Instant>,
+    next_request_at: Option<Instant>,
+    /// the issuer isn't called before this time
+    unavailable_until: Option<Instant>,
 }
 
 impl PermitPool {
-    pub fn count(&self, now: Instant) -> u32 {
+    /// Returns the number of valid permits.
+    pub fn available(&self, now: Instant) -> u32 {
         let is_valid = self.valid_until.is_some_and(|until| now < until);
         if is_valid {
             self.count
@@ -41,79 +41,80 @@
             0
         }
     }
-    pub fn on_sent(&mut self) {
+    pub fn on_permit_used(&mut self) {
         self.count = self.count.saturating_sub(1);
     }
 
-    /// time until the next turn; none if the dealer does not say
-    pub fn opens_in(&self, now: Instant) -> Option<Duration> {
-        if self.count(now) > 0 {
+    /// Returns the time until a permit is expected, or `None` if the issuer doesn't respond.
+    pub fn wait_time(&self, now: Instant) -> Option<Duration> {
+        if self.available(now) > 0 {
             return Some(Duration::ZERO);
         }
-        if self.is_silent(now) {
+        if self.is_unavailable(now) {
             return None;
         }
-        let word = self
-            .answered
-            .filter(|(at, _)| passed(*at, now) < WORD_HOLDS);
-        match (word, self.asked) {
+        let response = self
+            .last_response
+            .filter(|(at, _)| elapsed(*at, now) < RESPONSE_VALID_FOR);
+        match (response, self.requested_at) {
             (Some((_, next)), _) => {
-                let left = next.saturating_duration_since(now);
-                Some(left.max(ASK_EVERY))
+                let remaining = next.saturating_duration_since(now);
+                Some(remaining.max(MIN_REQUEST_INTERVAL))
             }
-            (None, Some(asked)) if passed(asked, now) < ANSWERS_WITHIN => Some(ASK_EVERY),
+            (None, Some(at)) if elapsed(at, now) < RESPONSE_TIMEOUT => Some(MIN_REQUEST_INTERVAL),
             (None, Some(_)) => None,
-            // it was not asked yet
-            (None, None) => Some(ASK_EVERY),
+            // no request was sent yet
+            (None, None) => Some(MIN_REQUEST_INTERVAL),
         }
     }
 
-    /// whether the dealer should be asked now
-    pub fn is_due(&self, now: Instant) -> bool {
-        let is_waited_for = self
-            .asked
-            .is_some_and(|asked| passed(asked, now) < ANSWERS_WITHIN);
-        let is_early = self.ask_again.is_some_and(|at| now < at);
-        !is_waited_for && !is_early && !self.is_silent(now)
+    /// Returns whether a request for permits may be sent now.
+    pub fn is_request_due(&self, now: Instant) -> bool {
+        let is_in_flight = self
+            .requested_at
+            .is_some_and(|at| elapsed(at, now) < RESPONSE_TIMEOUT);
+        let is_early = self.next_request_at.is_some_and(|at| now < at);
+        !is_in_flight && !is_early && !self.is_unavailable(now)
     }
 
-    /// the dealer is asked; gives the permits that are of no use any more
-    pub fn on_asked(&mut self, now: Instant) -> u32 {
-        self.asked = Some(now);
-        let unused = self.count - self.count(now);
-        self.count -= unused;
-        unused
+    /// Records a request for permits, and returns the number of expired permits to give back
+    /// with it.
+    pub fn on_requested(&mut self, now: Instant) -> u32 {
+        self.requested_at = Some(now);
+        let expired = self.count - self.available(now);
+        self.count -= expired;
+        expired
     }
 
-    /// it has answered a question that was asked then
-    pub fn on_answer(&mut self, answer: &IntakeAnswer, asked: Instant, now: Instant) {
-        let next = Duration::from_millis(u64::from(answer.next_ms));
-        self.count = self.count(now) + answer.granted;
-        if answer.granted > 0 {
-            self.valid_until = Some(asked + VALID_FOR);
+    /// Takes in the response to the request that was sent at `requested_at`.
+    pub fn on_response(&mut self, response: &IntakeAnswer, requested_at: Instant, now: Instant) {
+        let next = Duration::from_millis(u64::from(response.next_ms));
+        self.count = self.available(now) + response.granted;
+        if response.granted > 0 {
+            self.valid_until = Some(requested_at + PERMIT_VALID_FOR);
         }
-        self.asked = None;
-        self.is_silent_until = None;
-        self.answered = Some((now, now + next));
-        self.ask_again = Some(now + next.clamp(ASK_EVERY, ASK_LATEST));
+        self.requested_at = None;
+        self.unavailable_until = None;
+        self.last_response = Some((now, now + next));
+        self.next_request_at = Some(now + next.clamp(MIN_REQUEST_INTERVAL, MAX_REQUEST_INTERVAL));
     }
 
-    /// it did not answer, or is of a build that deals out nothing
-    pub fn on_no_answer(&mut self, is_unknowing: bool, now: Instant) {
-        self.asked = None;
-        self.answered = None;
-        let pause = match is_unknowing {
-            true => UNKNOWING_FOR,
-            false => SILENT_FOR,
+    /// Records a failed request; `is_unsupported` tells that the sidecar issues no permits.
+    pub fn on_request_failed(&mut self, is_unsupported: bool, now: Instant) {
+        self.requested_at = None;
+        self.last_response = None;
+        let pause = match is_unsupported {
+            true => RETRY_IF_UNSUPPORTED,
+            false => RETRY_AFTER_FAILURE,
         };
-        self.is_silent_until = Some(now + pause);
+        self.unavailable_until = Some(now + pause);
     }
 
-    fn is_silent(&self, now: Instant) -> bool {
-        self.is_silent_until.is_some_and(|until| now < until)
+    fn is_unavailable(&self, now: Instant) -> bool {
+        self.unavailable_until.is_some_and(|until| now < until)
     }
 }
 
-fn passed(at: Instant, now: Instant) -> Duration {
-    now.saturating_duration_since(at)
+fn elapsed(since: Instant, now: Instant) -> Duration {
+    now.saturating_duration_since(since)
 }
--- a/coordination/src/backend_admission/requested_backoff.rs
+++ b/coordination/src/backend_admission/requested_backoff.rs
@@ -4,54 +4,54 @@
     std::time::{Duration, Instant},
 };
 
-/// The rest that a back end has asked for, and the one request that shows whether it is over.
+/// Back-off that a back end requested, followed by a single probe request.
 ///
-/// All that waits for the end of a rest would come at once, and be turned away at once
-/// where the back end is still full: each of them costs a repeat of the service's budget.
+/// Sending all waiting requests when the back-off ends would overload a back end that is still
+/// full, and each refusal would use up retry budget.
 #[derive(Debug, Clone, Default)]
 pub struct RequestedBackoff {
     until: Option<Instant>,
-    /// the first request after the rest is on its way
-    is_tried: bool,
+    /// the probe request is in flight
+    is_probing: bool,
 }
 
 impl RequestedBackoff {
-    /// it wants nothing before this moment; none if it asked for no rest
+    /// Sets the end of the back-off; `None` leaves it unchanged.
     pub fn set_until(&mut self, until: Option<Instant>) {
         if until.is_some() {
             self.until = until;
         }
     }
-    /// nothing may be sent there
-    pub fn is_on(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
-    pub fn left(&self, now: Instant) -> Option<Duration> {
-        let left = self.until?.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+    pub fn remaining(&self, now: Instant) -> Option<Duration> {
+        let remaining = self.until?.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
-    /// nothing more is sent until the first request after the rest has begun to run
-    pub fn allows_one(&self, now: Instant) -> bool {
-        !self.is_on(now) && !self.is_tried
+    /// Returns whether one more request may be sent: not during the back-off, nor while the
+    /// probe request hasn't started to run.
+    pub fn admits_request(&self, now: Instant) -> bool {
+        !self.is_active(now) && !self.is_probing
     }
-    /// says whether this request is the one that shows it
-    pub fn on_sent(&mut self) -> bool {
-        let is_trial = self.until.is_some() && !self.is_tried;
-        self.is_tried |= is_trial;
-        is_trial
+    /// Records a request that is sent, and returns whether it is the probe.
+    pub fn on_request_sent(&mut self) -> bool {
+        let is_probe = self.until.is_some() && !self.is_probing;
+        self.is_probing |= is_probe;
+        is_probe
     }
-    /// the request that shows it has begun to run
-    pub fn on_trial_started(&mut self, now: Instant) {
-        if !self.is_on(now) {
+    /// Ends the back-off, as the probe request has started to run.
+    pub fn on_probe_started(&mut self, now: Instant) {
+        if !self.is_active(now) {
             *self = Self::default();
         }
     }
-    pub fn on_trial_ended(&mut self, outcome: SendOutcome, now: Instant) {
-        self.is_tried = false;
-        // it lacks an adapter, and is not full
-        let has_answered = matches!(outcome, SendOutcome::Answered | SendOutcome::Misdirected);
-        if has_answered {
-            self.on_trial_started(now);
+    pub fn on_probe_ended(&mut self, outcome: SendOutcome, now: Instant) {
+        self.is_probing = false;
+        // a misdirected request lacked its adapter: the back end isn't full
+        let has_responded = matches!(outcome, SendOutcome::Answered | SendOutcome::Misdirected);
+        if has_responded {
+            self.on_probe_started(now);
         }
     }
 }
@@ -61,7 +61,7 @@
         "resting"
     }
     fn closed_for(&self, now: Instant) -> Option<Duration> {
-        // while the first request after the rest is on its way, nobody knows for how long
-        (!self.allows_one(now)).then(|| self.left(now).unwrap_or_default())
+        // zero while the probe is in flight, since its duration isn't known
+        (!self.admits_request(now)).then(|| self.remaining(now).unwrap_or_default())
     }
 }
--- a/coordination/src/backend_admission/saturation_pause.rs
+++ b/coordination/src/backend_admission/saturation_pause.rs
@@ -3,18 +3,18 @@
     std::time::{Duration, Instant},
 };
 
-/// a back end that was full, and did not say for how long, is left alone for this long
-const FULL_PAUSE: Duration = Duration::from_millis(60);
+/// Pause for a full back end that requested no back-off of its own.
+const SATURATION_PAUSE: Duration = Duration::from_millis(60);
 
-/// The pause after a back end has turned a request away, as it was full.
+/// Pause after a back end refused a request because it was full.
 #[derive(Debug, Clone, Default)]
 pub struct SaturationPause {
     until: Option<Instant>,
 }
 
 impl SaturationPause {
-    pub fn on_full(&mut self, now: Instant) {
-        self.until = Some(now + FULL_PAUSE);
+    pub fn on_saturated(&mut self, now: Instant) {
+        self.until = Some(now + SATURATION_PAUSE);
     }
 }
 
--- a/coordination/src/backend_admission/slow_start.rs
+++ b/coordination/src/backend_admission/slow_start.rs
@@ -5,62 +5,62 @@
     std::time::{Duration, Instant},
 };
 
-/// Part of the requests that a cold engine carries which all entries together send it. They
-/// do not agree on who sends when: with 24 entries and 8.2 requests a second the sum has a mean
-/// of 5.7 and a deviation of 2.1 (counted), and 17 in one second make it collapse.
-const USED_PART: f64 = 0.7;
+/// Fraction of the slow-start rate that all entries together use. Entries don't coordinate
+/// their requests, so bursts above the average must stay below the engine's capacity.
+const USED_FRACTION: f64 = 0.7;
 
-/// how much an engine takes while it is cold
+/// Request rate of an engine in slow start.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SlowStartSettings {
-    /// requests a second, from all entries together
-    pub per_s: f64,
+    /// requests per second from all entries together
+    pub requests_per_s: f64,
 }
 
-/// One entry's share of what an engine takes that has just started, or has become cold.
+/// Token bucket for this entry's share of the requests to an engine in slow start.
 #[derive(Debug, Clone)]
 pub struct SlowStart {
     until: Instant,
-    /// requests that may be sent now, with its part of the next one
-    allowed: f64,
-    counted: Instant,
-    /// what this entry may send in a second
-    share: f64,
+    /// requests that may be sent now, at most one
+    tokens: f64,
+    refilled_at: Instant,
+    /// this entry's share of the rate
+    requests_per_s: f64,
 }
 
 impl SlowStart {
-    /// the engine stays cold for this long
-    pub fn new(entry: &str, engine: &BackendId, left: Duration, now: Instant) -> Self {
-        // entries begin at different parts of their share, so that they do not all send at once
+    pub fn new(entry: &str, engine: &BackendId, remaining: Duration, now: Instant) -> Self {
+        // entries start with different levels, so that they don't all send at once
         let seed = stable_hash(&format!("{entry} {engine}"));
         Self {
-            until: now + left,
-            allowed: (seed % 1_000) as f64 / 1_000.0,
-            counted: now,
-            share: 0.0,
+            until: now + remaining,
+            tokens: (seed % 1_000) as f64 / 1_000.0,
+            refilled_at: now,
+            requests_per_s: 0.0,
         }
     }
 
-    /// what was said of its end is said anew
-    pub fn set_left(&mut self, left: Duration, now: Instant) {
-        self.until = now + left;
+    pub fn set_remaining(&mut self, remaining: Duration, now: Instant) {
+        self.until = now + remaining;
     }
-    pub fn is_cold(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         now < self.until
     }
 
-    /// count time that has passed, as one of so many entries
-    pub fn pass(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
-        let passed = now.saturating_duration_since(self.counted).as_secs_f64();
-        self.share = pace.per_s * USED_PART / f64::from(entries.max(1));
-        self.allowed = (self.allowed + passed * self.share).min(1.0);
-        self.counted = now;
+    /// Adds the tokens due since the last call. `entries` is the number of entries that share
+    /// the rate.
+    pub fn refill(&mut self, settings: SlowStartSettings, entries: u32, now: Instant) {
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.requests_per_s = settings.requests_per_s * USED_FRACTION / f64::from(entries.max(1));
+        self.tokens = (self.tokens + elapsed * self.requests_per_s).min(1.0);
+        self.refilled_at = now;
     }
-    pub fn allows_one(&self, now: Instant) -> bool {
-        !self.is_cold(now) || self.allowed >= 1.0
+    pub fn admits_request(&self, now: Instant) -> bool {
+        !self.is_active(now) || self.tokens >= 1.0
     }
-    pub fn on_sent(&mut self) {
-        self.allowed -= 1.0;
+    pub fn on_request_sent(&mut self) {
+        self.tokens -= 1.0;
     }
 }
 
@@ -69,12 +69,12 @@
         "cold"
     }
     fn closed_for(&self, now: Instant) -> Option<Duration> {
-        if self.allows_one(now) {
+        if self.admits_request(now) {
             return None;
         }
-        let warm_in = self.until.saturating_duration_since(now);
-        let missing = (1.0 - self.allowed) / self.share.max(f64::MIN_POSITIVE);
-        let due_in = Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX);
-        Some(due_in.min(warm_in))
+        let ends_in = self.until.saturating_duration_since(now);
+        let missing = (1.0 - self.tokens) / self.requests_per_s.max(f64::MIN_POSITIVE);
+        let next_token_in = Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX);
+        Some(next_token_in.min(ends_in))
     }
 }
--- a/coordination/src/backend_signals/mod.rs
+++ b/coordination/src/backend_signals/mod.rs
@@ -1,4 +1,4 @@
-//! what a back end says of itself in the head of an answer, whatever it answers
+//! Load and lifecycle signals that a back end sends in its response headers.
 
 mod limit_signal;
 mod signals;
--- a/coordination/src/backend_signals/signals.rs
+++ b/coordination/src/backend_signals/signals.rs
@@ -1,52 +1,57 @@
 use {super::LimitSignal, std::time::Duration};
 
-/// no rest, and no cold time, is longer; it keeps sums of times in range, and is beyond any use of a back end
-const LONGEST_REST: Duration = Duration::from_secs(24 * 3_600);
+/// Upper bound of the times that a back end may send; keeps sums of times in range.
+const MAX_SIGNAL_TIME: Duration = Duration::from_secs(24 * 3_600);
 
-/// what a back end says of itself in the head of an answer
+/// Signals in the head of one response of a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BackendSignals {
-    /// it leaves: it wants no more requests
+    /// The back end is shutting down and accepts no more requests.
     pub is_leaving: bool,
-    /// it turned a request away, and wants nothing of this entry for so long
-    pub rest: Option<Duration>,
-    /// how many requests it takes
+    /// The back end refused a request and asks this entry to send none for this long.
+    pub backoff: Option<Duration>,
+    /// Request rate that the back end accepts.
     pub limit: LimitSignal,
-    /// how much longer it is cold; none if it does not say, which proves neither
-    pub cold: Option<Duration>,
+    /// Remaining time of the slow start; zero if it is over, `None` if the response doesn't
+    /// tell.
+    pub slow_start_left: Option<Duration>,
 }
 
 impl BackendSignals {
-    pub fn new(is_leaving: bool, rest: Option<Duration>) -> Self {
+    pub fn new(is_leaving: bool, backoff: Option<Duration>) -> Self {
         Self {
             is_leaving,
-            rest: rest.map(|rest| rest.min(LONGEST_REST)),
-            limit: LimitSignal::Unsaid,
-            cold: None,
+            backoff: backoff.map(|backoff| backoff.min(MAX_SIGNAL_TIME)),
+            limit: LimitSignal::Absent,
+            slow_start_left: None,
         }
     }
     pub fn with_limit(self, limit: LimitSignal) -> Self {
         Self { limit, ..self }
     }
-    pub fn with_cold(self, cold: Option<Duration>) -> Self {
-        let cold = cold.map(|left| left.min(LONGEST_REST));
-        Self { cold, ..self }
+    pub fn with_slow_start_left(self, left: Option<Duration>) -> Self {
+        let slow_start_left = left.map(|left| left.min(MAX_SIGNAL_TIME));
+        Self {
+            slow_start_left,
+            ..self
+        }
     }
-    /// the words of it in logs and metrics
+    /// Returns the codes of the signals present, for logs and metrics.
     pub fn codes(&self) -> impl Iterator<Item = &'static str> {
-        let said = [
+        let signals = [
             (self.is_leaving, "leaving"),
-            (self.rest.is_some(), "rest"),
-            (self.limit.named().is_some(), "limit"),
+            (self.backoff.is_some(), "rest"),
+            (self.limit.rate().is_some(), "limit"),
             (self.limit == LimitSignal::Unreadable, "limit_unreadable"),
-            (self.is_cold(), "cold"),
+            (self.is_in_slow_start(), "cold"),
         ];
-        said.into_iter()
-            .filter(|(is_said, _)| *is_said)
+        signals
+            .into_iter()
+            .filter(|(is_present, _)| *is_present)
             .map(|(_, code)| code)
     }
-    pub fn is_cold(&self) -> bool {
-        self.cold.is_some_and(|left| !left.is_zero())
+    pub fn is_in_slow_start(&self) -> bool {
+        self.slow_start_left.is_some_and(|left| !left.is_zero())
     }
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -154,7 +154,7 @@
         LimitSharing {
             entries,
             phase: weight as f64 / u64::MAX as f64,
-            has_dealer: self.view.is_some(),
+            has_issuer: self.view.is_some(),
             is_engine,
         }
     }
@@ -162,17 +162,17 @@
     /// it says how much longer it is cold; `entry` is the one that asks
     pub fn set_cold(&mut self, entry: &str, left: Duration, now: Instant) {
         match &mut self.cold {
-            Some(cold) => cold.set_left(left, now),
+            Some(cold) => cold.set_remaining(left, now),
             None if left.is_zero() => {}
             None => self.cold = Some(SlowStart::new(entry, &self.listed.id, left, now)),
         }
     }
     pub fn pass_cold(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
-        self.cold = self.cold.take().filter(|cold| cold.is_cold(now));
+        self.cold = self.cold.take().filter(|cold| cold.is_active(now));
         // a service without a pace does not bound its cold ones
-        self.cold = self.cold.take().filter(|_| pace.per_s > 0.0);
+        self.cold = self.cold.take().filter(|_| pace.requests_per_s > 0.0);
         if let Some(cold) = &mut self.cold {
-            cold.pass(pace, entries, now);
+            cold.refill(pace, entries, now);
         }
     }
 
@@ -228,9 +228,9 @@
     }
     pub fn on_sent(&mut self, sent: &Sent) {
         if let Some(cold) = &mut self.cold {
-            cold.on_sent();
+            cold.on_request_sent();
         }
-        self.limit.on_sent(sent.at);
+        self.limit.on_request_sent(sent.at);
         self.in_flight += 1;
         self.suspected += u32::from(sent.is_suspected);
         self.unstarted += 1;
@@ -269,7 +269,7 @@
         self.running_on.is_empty() && self.used.is_empty()
     }
     pub fn on_full(&mut self, now: Instant) {
-        self.full.on_full(now);
+        self.full.on_saturated(now);
     }
     /// it lacks an adapter, or has another version of it; says whether a request looked for
     /// it there too early
@@ -327,7 +327,7 @@
         self.view.as_ref().map_or(0, |v| v.figures.spare_slots)
     }
     pub fn takes_work(&self, now: Instant) -> bool {
-        let is_resting = self.health.is_resting(now) || self.rest.is_on(now);
+        let is_resting = self.health.is_ejected(now) || self.rest.is_active(now);
         self.may_be_asked() && !self.is_gone && !is_resting
     }
     /// it takes no new work, by its record or its own word
--- a/coordination/src/dispatch/choosing.rs
+++ b/coordination/src/dispatch/choosing.rs
@@ -86,8 +86,8 @@
         let listed = self.backends.values().filter(|b| !b.is_gone);
         for state in listed.filter(|b| b.listed.service == ask.service) {
             leaving += u32::from(state.is_leaving());
-            resting += u32::from(state.health.is_resting(now) || state.rest.is_on(now));
-            limited += u32::from(state.limit.named().is_some());
+            resting += u32::from(state.health.is_ejected(now) || state.rest.is_active(now));
+            limited += u32::from(state.limit.effective_rate().is_some());
         }
         (leaving, resting, limited)
     }
@@ -222,7 +222,7 @@
             states.filter(|b| b.listed.service == ask.service && b.may_be_asked() && !b.is_gone);
         let may_serve = may_serve.filter(|b| self.may_serve(ask, b));
         let with_model = may_serve.filter(|b| ask.model.as_ref().is_none_or(|m| b.has_model(m)));
-        with_model.filter_map(|b| b.rest.left(now)).min()
+        with_model.filter_map(|b| b.rest.remaining(now)).min()
     }
 
     /// Of the back ends whose limit alone keeps them from a request, the one that takes it
@@ -242,7 +242,7 @@
         let limited = states.iter().filter(|b| b.has_place_beyond_limit(now));
         let openings = limited.map(|b| {
             let ahead = ahead.get(&b.listed.id).map_or(0, |(waiting, _)| *waiting);
-            (b.listed.id.clone(), b.limit.opens_after(ahead, now))
+            (b.listed.id.clone(), b.limit.wait_time_behind(ahead, now))
         });
         openings.min_by_key(|(_, opens_in)| *opens_in)
     }
@@ -270,11 +270,11 @@
         if !sound.is_empty() {
             return sound;
         }
-        let resting = keep(&|b| b.may_be_asked() && !b.is_gone && !b.rest.is_on(now));
+        let resting = keep(&|b| b.may_be_asked() && !b.is_gone && !b.rest.is_active(now));
         if !resting.is_empty() || self.has_listed(&ask.service) {
             return resting;
         }
-        keep(&|b| b.may_be_asked() && !b.rest.is_on(now))
+        keep(&|b| b.may_be_asked() && !b.rest.is_active(now))
     }
 
     /// those that hold an adapter in a version that may be run
@@ -315,7 +315,7 @@
             version: adapter.and_then(|a| self.version_at(cheapest, a, now)),
             urgency: self.urgency(ask, now),
             pressure: self.pressure(cheapest, now),
-            is_limited: cheapest.limit.named().is_some(),
+            is_limited: cheapest.limit.effective_rate().is_some(),
             basis: self.basis_of(ask, candidates, holders, Some(cheapest), now),
         })
     }
@@ -372,7 +372,7 @@
     fn cost(&self, state: &BackendState, now: Instant) -> f64 {
         let is_far = state.listed.zone != self.settings.zone;
         let far = if is_far { FAR_MS } else { 0.0 };
-        let limited = match state.limit.named() {
+        let limited = match state.limit.effective_rate() {
             Some(_) => LIMITED_MS,
             None => 0.0,
         };
--- a/coordination/src/dispatch/cold_engines.rs
+++ b/coordination/src/dispatch/cold_engines.rs
@@ -30,7 +30,7 @@
         for state in self.backends.values_mut().filter(|b| b.cold.is_some()) {
             let service = self.table.services.get(&state.listed.service);
             let pace = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
-                per_s: s.cold_per_s,
+                requests_per_s: s.cold_per_s,
             });
             state.pass_cold(pace, entries, now);
         }
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -45,7 +45,7 @@
         let others: Vec<&BackendState> = candidates
             .into_iter()
             .filter(|b| !is_holder(&b.listed.id) && !b.is_loading(adapter))
-            .filter(|b| b.limit.named().is_none())
+            .filter(|b| b.limit.effective_rate().is_none())
             .filter(|b| self.pressure(b, now) < (pressure * PRESSED_LESS).min(1.0))
             .filter(|b| self.is_worth_a_load(b, adapter, holders, now))
             .collect();
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -280,7 +280,7 @@
     ) {
         self.note_own_word(backend, word, now);
         self.on_limit_word(backend, (word.limit, sent), now);
-        if let Some(left) = word.cold {
+        if let Some(left) = word.slow_start_left {
             self.on_cold_told(backend, left, now);
         }
     }
@@ -295,7 +295,7 @@
         if let Some(state) = self.backends.get_mut(backend) {
             state.on_started(sent);
             if sent.is_trial {
-                state.rest.on_trial_started(now);
+                state.rest.on_probe_started(now);
             }
         }
         if sent.read_alone {
@@ -324,7 +324,7 @@
         };
         state.on_ended(&sent);
         if sent.is_trial {
-            state.rest.on_trial_ended(outcome, now);
+            state.rest.on_probe_ended(outcome, now);
         }
         match outcome {
             SendOutcome::Answered => {
@@ -405,7 +405,7 @@
             rate.on_sent(ask.prompt_tokens);
         }
         let state = self.backends.get_mut(&assignment.backend);
-        let is_trial = state.is_some_and(|state| state.rest.on_sent());
+        let is_trial = state.is_some_and(|state| state.rest.on_request_sent());
         let sent = Sent {
             is_trial,
             digest: ask.digest,
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -79,9 +79,9 @@
         candidates: &[&BackendState],
         now: Instant,
     ) -> Option<Vec<BackendId>> {
-        let is_free = |b: &&BackendState| b.limit.named().is_none();
+        let is_free = |b: &&BackendState| b.limit.effective_rate().is_none();
         let free: Vec<&BackendState> = candidates.iter().copied().filter(is_free).collect();
-        let opens_in = holders.iter().map(|b| b.limit.opens_in(now)).min()?;
+        let opens_in = holders.iter().map(|b| b.limit.wait_time(now)).min()?;
         let comes_in = loadable(&free, adapter)
             .iter()
             .filter(|b| b.spare_slots() > 0)
@@ -127,7 +127,7 @@
         let mut ranked: Vec<(HomeRank, &BackendState)> = spare
             .map(|b| {
                 let rank = HomeRank {
-                    is_limited: b.limit.named().is_some(),
+                    is_limited: b.limit.effective_rate().is_some(),
                     is_crowded: b.load(now) >= self.settings.copy_from_load,
                     wait_steps: self.wait_steps(b, returns && b.held_lately(mark), now),
                     is_new: !(returns && b.held_lately(mark)),
--- a/coordination/src/dispatch/limited.rs
+++ b/coordination/src/dispatch/limited.rs
@@ -44,7 +44,7 @@
         now: Instant,
     ) {
         self.change_limit(backend, now, |limit, sharers| {
-            limit.on_word(word, sent, sharers, now);
+            limit.on_signal(word, sent, sharers, now);
         });
     }
 
@@ -55,12 +55,12 @@
         figures: &EngineFigures,
         now: Instant,
     ) {
-        let told = figures.limit_milli_per_s.map(RequestRate::of_milli);
+        let told = figures.limit_milli_per_s.map(RequestRate::from_milli_per_s);
         if told.is_none() && !self.limited.contains(backend) {
             return;
         }
         self.change_limit(backend, now, |limit, sharers| {
-            limit.on_told(told, sharers, now);
+            limit.on_sidecar_report(told, sharers, now);
         });
     }
 
@@ -74,11 +74,11 @@
     ) {
         self.change_limit(backend, now, |limit, sharers| match &answer {
             Ok(answer) if answer.backend == *backend => {
-                limit.on_dealt(answer, asked, sharers, now);
+                limit.on_permit_response(answer, asked, sharers, now);
             }
             // it speaks of another life, which may be the next one of the engine
-            Ok(_) => limit.on_no_deal(false, now),
-            Err(cause) => limit.on_no_deal(*cause == NoDeal::Unknowing, now),
+            Ok(_) => limit.on_permit_request_failed(false, now),
+            Err(cause) => limit.on_permit_request_failed(*cause == NoDeal::Unknowing, now),
         });
     }
 
@@ -93,10 +93,10 @@
             return;
         };
         change(&mut state.limit, sharers);
-        match state.limit.named() {
+        match state.limit.effective_rate() {
             Some(_) => self.limited.insert(backend.clone()),
             // its dealer must hear that it is over
-            None if state.limit.is_question_due(now) => self.limited.insert(backend.clone()),
+            None if state.limit.is_permit_request_due(now) => self.limited.insert(backend.clone()),
             None => self.limited.remove(backend),
         };
     }
@@ -122,7 +122,7 @@
         for id in self.limited.clone() {
             let sharers = self.sharers_of(&id, now);
             if let (Some(sharers), Some(state)) = (sharers, self.backends.get_mut(&id)) {
-                state.limit.share_among(sharers, now);
+                state.limit.update_sharing(sharers, now);
             }
         }
     }
@@ -142,8 +142,8 @@
                 continue;
             };
             match waiting.get(id) {
-                Some((wanted, priority)) => state.limit.set_wanted(*wanted, *priority),
-                None if is_whole => state.limit.set_wanted(0, 0),
+                Some((wanted, priority)) => state.limit.set_waiting(*wanted, *priority),
+                None if is_whole => state.limit.set_waiting(0, 0),
                 None => {}
             }
         }
@@ -157,12 +157,12 @@
             let Some(state) = self.backends.get_mut(id) else {
                 continue;
             };
-            if !state.limit.is_question_due(now) {
+            if !state.limit.is_permit_request_due(now) {
                 continue;
             }
-            let (wanted, priority) = state.limit.wanted();
-            let (news, unused) = state.limit.on_asked(now);
-            if state.limit.named().is_none() {
+            let (wanted, priority) = state.limit.waiting();
+            let (news, unused) = state.limit.on_permits_requested(now);
+            if state.limit.effective_rate().is_none() {
                 done.push(id.clone());
             }
             questions.push(IntakeQuestion {
@@ -170,8 +170,8 @@
                 report: IntakeReport {
                     entry: self.settings.entry.clone(),
                     backend: id.clone(),
-                    named: news.named,
-                    freed_ago_ms: news.freed_ago_ms,
+                    named: news.limit,
+                    freed_ago_ms: news.lifted_ago_ms,
                     wanted,
                     priority,
                     unused,
--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/listing.rs
@@ -65,7 +65,7 @@
                     self.urgent.insert(id.clone());
                     let mut state = BackendState::new(backend, now);
                     state.recall(&mut self.own_words, now);
-                    if state.limit.named().is_some() {
+                    if state.limit.effective_rate().is_some() {
                         self.limited.insert(id.clone());
                     }
                     state.set_cold(entry, cold_left, now);
@@ -246,7 +246,7 @@
         };
         let mut state = BackendState::new(listed, now);
         state.recall(&mut self.own_words, now);
-        if state.limit.named().is_some() {
+        if state.limit.effective_rate().is_some() {
             self.limited.insert(id.clone());
         }
         state.is_ahead = true;
--- a/coordination/src/dispatch/own_words.rs
+++ b/coordination/src/dispatch/own_words.rs
@@ -30,7 +30,7 @@
         if word.is_leaving {
             self.leaving.insert(backend.clone(), now);
         }
-        if let Some(rest) = word.rest {
+        if let Some(rest) = word.backoff {
             let until = now + rest;
             let known = self.rests.entry(backend.clone()).or_insert(until);
             *known = until.max(*known);
@@ -47,7 +47,7 @@
     }
     /// the record of a back end is gone; its limit holds if it comes back
     pub fn keep_limit(&mut self, backend: &BackendId, limit: &AdvertisedLimit, now: Instant) {
-        if limit.named().is_some() {
+        if limit.effective_rate().is_some() {
             self.limits.insert(backend.clone(), (limit.clone(), now));
         }
     }
--- a/coordination/src/dispatch/refusing.rs
+++ b/coordination/src/dispatch/refusing.rs
@@ -85,7 +85,7 @@
             return;
         }
         let returns_in = self.backends.get_mut(&backend);
-        let returns_in = returns_in.map_or(opens_in, |b| b.limit.return_in(now));
+        let returns_in = returns_in.map_or(opens_in, |b| b.limit.next_retry_after(now));
         let basis = self.basis(&ask, now);
         self.on_unsent(&ask);
         let retry_after = returns_in.max(MIN_RETRY_AFTER);
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -189,7 +189,7 @@
             entries: self.demands.entries(),
             is_down: Some(self.ended.as_ref() == Some(&self.backend)),
             is_leaving: self.says_leaving,
-            limit_milli_per_s: self.limit.named(now).map(RequestRate::milli),
+            limit_milli_per_s: self.limit.effective_rate(now).map(RequestRate::milli_per_s),
             cold_left_ms: self.cold_left_ms(now),
             ..EngineFigures::default()
         };
@@ -215,11 +215,11 @@
     /// Orders, reports and questions for its identity share a machine's rest with requests.
     fn on_own_word(&mut self, word: BackendSignals, now: Instant) {
         self.says_leaving |= word.is_leaving;
-        self.limit.on_engine_word(word.limit, now);
-        if let Some(left) = word.cold {
+        self.limit.on_engine_signal(word.limit, now);
+        if let Some(left) = word.slow_start_left {
             self.cold_until = Some(now + left);
         }
-        if let Some(rest) = word.rest {
+        if let Some(rest) = word.backoff {
             let until = now + rest;
             self.rests_until = Some(self.rests_until.map_or(until, |known| known.max(until)));
         }
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -141,9 +141,15 @@
             for step in 0..400u64 {
                 let now = start + ms(step * 10);
                 for bound in &mut bounds {
-                    bound.pass(SlowStartSettings { per_s: CARRIED }, entries, now);
-                    if bound.allows_one(now) {
-                        bound.on_sent();
+                    bound.refill(
+                        SlowStartSettings {
+                            requests_per_s: CARRIED,
+                        },
+                        entries,
+                        now,
+                    );
+                    if bound.admits_request(now) {
+                        bound.on_request_sent();
                         sent_at.push(step * 10);
                     }
                 }
@@ -190,7 +196,7 @@
     let sent = fixture.now;
     fixture.tell(DispatchEvent::Said {
         backend: "engines-1".into(),
-        word: BackendSignals::default().with_cold(Some(ms(2_000))),
+        word: BackendSignals::default().with_slow_start_left(Some(ms(2_000))),
         sent,
     });
     let sent = sent_in(&mut fixture, ms(2_000), 0);
--- a/coordination/tests/intake_fleet.rs
+++ b/coordination/tests/intake_fleet.rs
@@ -80,7 +80,7 @@
             priority: 1,
             unused: 0,
         };
-        granted[number] += dealer.deal(2.0, &report, now).0;
+        granted[number] += dealer.issue(2.0, &report, now).0;
     }
     let (least, most) = (granted.iter().min(), granted.iter().max());
     assert_eq!(granted.iter().sum::<u32>(), 119, "{granted:?}");
--- a/coordination/tests/intake_sim/mod.rs
+++ b/coordination/tests/intake_sim/mod.rs
@@ -101,7 +101,7 @@
 }
 
 fn rate(per_s: f64) -> RequestRate {
-    RequestRate::of_per_s(per_s).unwrap_or_default()
+    RequestRate::from_per_s(per_s).unwrap_or_default()
 }
 
 /// entries that may each save a request without harm
@@ -177,7 +177,7 @@
                     setting.entries
                 },
                 phase: phases[number],
-                has_dealer: hears,
+                has_issuer: hears,
                 is_engine: setting.way == Way::Permits,
             };
             let due: Vec<_> = entry
@@ -188,38 +188,42 @@
                 .collect();
             entry.answers.retain(|a| a.1 > now);
             if hears && step % SAYS_EVERY == 0 {
-                entry.limit.on_told(dealer.named(now), sharers, now);
+                entry
+                    .limit
+                    .on_sidecar_report(dealer.effective_rate(now), sharers, now);
             }
             for (at, _, named) in due {
                 entry.told.get_or_insert(now);
                 entry
                     .limit
-                    .on_word(LimitSignal::Named(rate(named)), at, sharers, now);
+                    .on_signal(LimitSignal::Advertised(rate(named)), at, sharers, now);
             }
-            entry.limit.share_among(sharers, now);
+            entry.limit.update_sharing(sharers, now);
             if let Some((asked, at, answer)) = entry.dealt.take() {
                 match (at <= now, answer) {
                     (false, answer) => entry.dealt = Some((asked, at, answer)),
-                    (true, Some(answer)) => entry.limit.on_dealt(&answer, asked, sharers, now),
-                    (true, None) => entry.limit.on_no_deal(false, now),
+                    (true, Some(answer)) => {
+                        entry.limit.on_permit_response(&answer, asked, sharers, now)
+                    }
+                    (true, None) => entry.limit.on_permit_request_failed(false, now),
                 }
             }
             entry.waiting.retain(|at| now - *at < PATIENCE);
-            while entry.is_active && !entry.waiting.is_empty() && entry.limit.allows_one(now) {
+            while entry.is_active && !entry.waiting.is_empty() && entry.limit.admits_request(now) {
                 entry.waiting.remove(0);
-                entry.limit.on_sent(now);
+                entry.limit.on_request_sent(now);
                 entry.answers.push((now, now + ANSWER_AFTER, per_s));
                 let is_told = entry.told.is_some_and(|told| told + TOLD <= now);
                 sent.push((now, is_told));
             }
-            entry.limit.set_wanted(entry.waiting.len() as u32, 1);
-            if hears && entry.dealt.is_none() && entry.limit.is_question_due(now) {
-                let (news, unused) = entry.limit.on_asked(now);
+            entry.limit.set_waiting(entry.waiting.len() as u32, 1);
+            if hears && entry.dealt.is_none() && entry.limit.is_permit_request_due(now) {
+                let (news, unused) = entry.limit.on_permits_requested(now);
                 let report = IntakeReport {
                     entry: format!("entry-{number}"),
                     backend: backend.clone(),
-                    named: news.named,
-                    freed_ago_ms: news.freed_ago_ms,
+                    named: news.limit,
+                    freed_ago_ms: news.lifted_ago_ms,
                     wanted: entry.waiting.len() as u32,
                     priority: 1,
                     unused,
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -23,10 +23,10 @@
 const STEP: Duration = Duration::from_millis(10);
 
 fn rate(per_s: f64) -> RequestRate {
-    RequestRate::of_per_s(per_s).expect("a rate")
+    RequestRate::from_per_s(per_s).expect("a rate")
 }
 fn named(per_s: f64) -> LimitSignal {
-    LimitSignal::Named(rate(per_s))
+    LimitSignal::Advertised(rate(per_s))
 }
 fn limited(per_s: f64) -> BackendSignals {
     BackendSignals::default().with_limit(named(per_s))
@@ -252,13 +252,13 @@
         let sharers = LimitSharing {
             entries,
             phase: rng.random(),
-            has_dealer: false,
+            has_issuer: false,
             is_engine: false,
         };
         let mut limit = AdvertisedLimit::default();
         // each hears of it with an answer of its own
         let told = begun + Duration::from_millis(rng.random_range(0..500));
-        limit.on_word(named(per_s), told, sharers, told);
+        limit.on_signal(named(per_s), told, sharers, told);
         limits.push(limit);
     }
     let mut sent = Vec::new();
@@ -267,8 +267,8 @@
         // calm seconds in which all save up, then all are pressed at once
         let is_pressed = step / 700 % 2 == 1 || rng.random_range(0..4) == 0;
         for limit in limits.iter_mut().filter(|_| is_pressed) {
-            if limit.allows_one(now) {
-                limit.on_sent(now);
+            if limit.admits_request(now) {
+                limit.on_request_sent(now);
                 sent.push(now);
             }
         }
@@ -319,7 +319,7 @@
         let sharers = LimitSharing {
             entries: 3,
             phase: 0.5,
-            has_dealer: false,
+            has_issuer: false,
             is_engine: false,
         };
         let mut limit = AdvertisedLimit::default();
@@ -328,16 +328,16 @@
             now += ms(50);
             let sent = now.checked_sub(ms(u64::from(back_ms % 200))).unwrap_or(now);
             let word = match kind % 3 {
-                0 => LimitSignal::Unsaid,
+                0 => LimitSignal::Absent,
                 1 => LimitSignal::Unreadable,
                 _ => named(f64::from(kind)),
             };
-            let before = limit.named();
-            limit.on_word(word, sent, sharers, now);
+            let before = limit.effective_rate();
+            limit.on_signal(word, sent, sharers, now);
             let is_sound = match word {
-                LimitSignal::Unreadable => limit.named() == before,
-                LimitSignal::Unsaid => limit.named().is_none() || limit.named() == before,
-                LimitSignal::Named(rate) => limit.named().is_some_and(|known| known <= rate),
+                LimitSignal::Unreadable => limit.effective_rate() == before,
+                LimitSignal::Absent => limit.effective_rate().is_none() || limit.effective_rate() == before,
+                LimitSignal::Advertised(rate) => limit.effective_rate().is_some_and(|known| known <= rate),
             };
             if !is_sound {
                 return TestResult::failed();
@@ -345,7 +345,7 @@
         }
         // a later answer settles it
         now += ms(1);
-        limit.on_word(LimitSignal::Unsaid, now, sharers, now);
-        TestResult::from_bool(limit.named().is_none() && limit.allows_one(now))
+        limit.on_signal(LimitSignal::Absent, now, sharers, now);
+        TestResult::from_bool(limit.effective_rate().is_none() && limit.admits_request(now))
     }
 }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -17,9 +17,9 @@
 
 const LEAVES: BackendSignals = BackendSignals {
     is_leaving: true,
-    rest: None,
-    limit: LimitSignal::Unsaid,
-    cold: None,
+    backoff: None,
+    limit: LimitSignal::Absent,
+    slow_start_left: None,
 };
 
 fn two_plain() -> Vec<Backend> {
@@ -30,9 +30,9 @@
 const REST_S: u64 = 3;
 const RESTS: BackendSignals = BackendSignals {
     is_leaving: false,
-    rest: Some(Duration::from_secs(REST_S)),
-    limit: LimitSignal::Unsaid,
-    cold: None,
+    backoff: Some(Duration::from_secs(REST_S)),
+    limit: LimitSignal::Absent,
+    slow_start_left: None,
 };
 
 fn say(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
@@ -151,7 +151,7 @@
     let mut fixture = Fixture::new(two_plain());
     say(&mut fixture, "plain-1", RESTS);
     let shorter = BackendSignals {
-        rest: Some(ms(10)),
+        backoff: Some(ms(10)),
         ..BackendSignals::default()
     };
     say(&mut fixture, "plain-1", shorter);
@@ -185,7 +185,7 @@
 fn a_rest_that_ends_within_the_wait_is_waited_for() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     let short = BackendSignals {
-        rest: Some(ms(100)),
+        backoff: Some(ms(100)),
         ..BackendSignals::default()
     };
     say(&mut fixture, "plain-1", short);
@@ -321,8 +321,10 @@
     keeper.demand(&[], &[]);
     keeper.identify();
     let word = BackendSignals::default()
-        .with_limit(RequestRate::of_per_s(2.0).map_or(LimitSignal::Unsaid, LimitSignal::Named))
-        .with_cold(Some(Duration::from_secs(2)));
+        .with_limit(
+            RequestRate::from_per_s(2.0).map_or(LimitSignal::Absent, LimitSignal::Advertised),
+        )
+        .with_slow_start_left(Some(Duration::from_secs(2)));
     keeper
         .control
         .handle(PlacementEvent::Said(word), keeper.now);
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -413,9 +413,9 @@
             backend = backend.as_str(),
             born = backend.born,
             leaving = word.is_leaving,
-            rest_ms = word.rest.map_or(0, |rest| rest.as_millis() as u64),
-            limit_per_s = word.limit.named().map_or(-1.0, RequestRate::per_s),
-            cold_ms = word.cold.map_or(-1, |left| left.as_millis() as i64),
+            rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
+            limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
+            cold_ms = word.slow_start_left.map_or(-1, |left| left.as_millis() as i64),
             status = status.as_u16(),
             total_ms = elapsed_ms(self.accepted.arrived);
             "backend: says of itself"
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -89,18 +89,18 @@
             return value;
         };
         let lasting = BackendSignals {
-            rest: None,
-            cold: None,
+            backoff: None,
+            slow_start_left: None,
             ..word
         };
-        let is_news = word.rest.is_some() || word.is_cold() || lasting != self.said;
+        let is_news = word.backoff.is_some() || word.is_in_slow_start() || lasting != self.said;
         // what lasts is said in each answer
         if is_news {
             log::info!(
                 leaving = word.is_leaving,
-                rest_ms = word.rest.map_or(0, |rest| rest.as_millis() as u64),
-                limit_per_s = word.limit.named().map_or(-1.0, RequestRate::per_s),
-                cold_ms = word.cold.map_or(-1, |left| left.as_millis() as i64);
+                rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
+                limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
+                cold_ms = word.slow_start_left.map_or(-1, |left| left.as_millis() as i64);
                 "engine: says of itself"
             );
             self.said = lasting;
--- a/transport/src/ingress/dialect.rs
+++ b/transport/src/ingress/dialect.rs
@@ -72,7 +72,7 @@
         let rest = self.rest.filter(|_| turned_away);
         BackendSignals::new(self.leaving, rest)
             .with_limit(self.limit)
-            .with_cold(self.cold)
+            .with_slow_start_left(self.cold)
     }
 }
 
