--- a/coordination/src/features/switches.rs
+++ b/coordination/src/features/switches.rs
@@ -3,40 +3,39 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// A switch for each mechanism of decision, all on unless the settings say
-/// otherwise. One that is off leaves a plain rule in its place, so that its worth
-/// can be measured.
+/// Switches for features of routing and placement, all on by default. A simpler rule takes the
+/// place of a feature that is off, so that its benefit can be measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FeatureSwitches {
-    /// the rate at which engines read prompts is observed; else a constant
+    /// the prefill rate of engines is estimated from their responses; otherwise it is a constant
     pub observed_rate: bool,
-    /// prompts that other entries have sent to an engine count in its queue
+    /// an engine's queue includes the prompts of all entries; otherwise this entry's only
     pub prompts_of_all: bool,
-    /// an adapter goes back to an engine that held it lately, before any other
+    /// an adapter is preferably reloaded on an engine that recently held it
     pub return_home: bool,
-    /// engines read short prompts first, and late ones last; else by the route's
-    /// priority alone
+    /// engines prefill short prompts first and late ones last; otherwise by the route's
+    /// priority only
     pub urgency_by_size: bool,
     /// an engine loads fewer adapters at once while loads are slow
     pub loads_by_speed: bool,
-    /// a copy is made only where it comes before the queue is over
+    /// a copy is loaded only if it is ready before the queue is processed
     pub copies_weighed: bool,
-    /// an adapter in demand gets copies
+    /// adapters in demand are loaded on additional engines
     pub copies: bool,
-    /// an adapter that many wait for is loaded at several engines
+    /// an adapter with many waiting requests is first loaded on several engines
     pub several_homes: bool,
-    /// a request whose adapter comes too late is told early when to come back
+    /// a request whose adapter would load too late is rejected early, with a retry time
     pub early_refusals: bool,
-    /// entries of a large fleet hear engines by a relay of their zone
+    /// entries of a large fleet receive engine views through a relay of their zone
     pub relays: bool,
-    /// they also hear the platform's store by it
+    /// they also watch the platform's store through it
     pub store_by_relay: bool,
-    /// entries share the limits of client accounts by what a keeper says; else each
-    /// keeps to its equal part
+    /// entries share the limits of client accounts by the usage that an aggregator reports;
+    /// otherwise each entry enforces an equal share
     pub shared_limits: bool,
-    /// entries hear what sidecars say of their engines; else they go by the list, by what
-    /// engines answer and by what sidecars were asked for
+    /// entries use the engine views that sidecars report; otherwise they use the list, the
+    /// responses of engines and the loads that they requested
     pub sidecar_views: bool,
 }
 
@@ -61,6 +60,7 @@
 }
 
 impl FeatureSwitches {
+    /// Returns the name and the state of each switch.
     fn rows(&self) -> [(&'static str, bool); 13] {
         [
             ("observed_rate", self.observed_rate),
@@ -80,7 +80,7 @@
     }
 }
 
-/// the names of those that are off
+/// Lists the switches that are off.
 impl Display for FeatureSwitches {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let off = self.rows().into_iter().filter(|(_, is_on)| !is_on);
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,7 +1,7 @@
-//! every decision of chalkcart.
+//! The decision logic of chalkcart.
 //!
-//! Nothing here does I/O or reads a clock: an event and the time go in,
-//! actions come out. So each decision is tested without a socket.
+//! This crate does no I/O and reads no clock: it takes events and the current time, and returns
+//! actions, so that every decision can be tested without a socket.
 
 pub mod backend_admission;
 pub mod backend_signals;
