--- a/coordination/src/config/generation_rule.rs
+++ b/coordination/src/config/generation_rule.rs
@@ -6,33 +6,32 @@
     std::cmp::Ordering,
 };
 
-/// what to do with a root document that was offered
+/// Decision on a root document that a source offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferDecision {
-    /// higher than what is in force
-    Take,
-    /// what is in force already
-    Same,
-    /// lower than what is in force: a stale source
-    Older { offered: Generation },
-    /// another content under the generation in force
+    /// Its generation is higher than the one in force.
+    Accept,
+    /// It is the document in force.
+    Unchanged,
+    /// Its generation is lower than the one in force: the source is stale.
+    Stale { offered: Generation },
+    /// Its content differs under the generation in force.
     Conflict,
 }
 
-/// compare an offered root with the one in force.
+/// Compares an offered root with the one in force.
 ///
-/// Only a higher generation is ever taken, so that nothing that was accepted
-/// is taken back by a source that lags.
-pub fn judge_root(in_force: Option<&Root>, offered: &Root) -> OfferDecision {
+/// Only a higher generation is accepted, so that a lagging source can't revert a change.
+pub fn decide_offer(in_force: Option<&Root>, offered: &Root) -> OfferDecision {
     let Some(current) = in_force else {
-        return OfferDecision::Take;
+        return OfferDecision::Accept;
     };
     match offered.generation.cmp(&current.generation) {
-        Ordering::Greater => OfferDecision::Take,
-        Ordering::Less => OfferDecision::Older {
+        Ordering::Greater => OfferDecision::Accept,
+        Ordering::Less => OfferDecision::Stale {
             offered: offered.generation,
         },
-        Ordering::Equal if digest_of(offered) == digest_of(current) => OfferDecision::Same,
+        Ordering::Equal if digest_of(offered) == digest_of(current) => OfferDecision::Unchanged,
         Ordering::Equal => OfferDecision::Conflict,
     }
 }
--- a/coordination/src/config/mod.rs
+++ b/coordination/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! which configuration is in force
+//! Rules for accepting a configuration and for relying on it.
 
 mod config_lease;
 mod generation_rule;
 
 pub use {
     config_lease::ConfigLease,
-    generation_rule::{judge_root, OfferDecision},
+    generation_rule::{decide_offer, OfferDecision},
 };
--- a/coordination/src/drain/ingress_drain.rs
+++ b/coordination/src/drain/ingress_drain.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-/// requests that are taken later than this after the signal must end within
-/// the grace, however long they take; the platform's rules say so
-const LAST_TAKEN: Duration = Duration::from_secs(3);
-/// a request that was sent before a kept connection is closed may be read this
-/// much later, on a slow link or a busy box
-const ON_ITS_WAY: Duration = Duration::from_millis(400);
-/// part of the grace that is left to end the process
-const END_SLACK: Duration = Duration::from_millis(150);
+/// By the platform's rules, requests accepted up to this time after the signal must be
+/// completed within the grace period.
+const ACCEPT_PERIOD: Duration = Duration::from_secs(3);
+/// A request sent before a keep-alive connection is closed may arrive this much later, on a slow
+/// link or a busy box.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(400);
+/// Part of the grace period that is left for ending the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(150);
 
-/// the times of a planned stop of an ingress, from the signal on
+/// Timing of the graceful shutdown of an ingress, counted from the signal.
 #[derive(Debug, Clone)]
 pub struct IngressDrain {
     /// time between the signal and the kill
@@ -17,13 +17,13 @@
 }
 
 impl IngressDrain {
-    /// when kept connections that rest are closed and no new ones are taken:
-    /// after the balancer has noticed, and before the last request may be taken
+    /// Returns when to close idle keep-alive connections and the listener: after the load
+    /// balancer has noticed the shutdown, and before the accept period ends.
     pub fn close_after(&self) -> Duration {
-        (LAST_TAKEN - ON_ITS_WAY).min(self.end_after())
+        (ACCEPT_PERIOD - MAX_TRANSIT_TIME).min(self.exit_after())
     }
-    /// when the process ends, though requests may still run
-    pub fn end_after(&self) -> Duration {
-        self.grace.saturating_sub(END_SLACK)
+    /// Returns when the process exits, even if requests still run.
+    pub fn exit_after(&self) -> Duration {
+        self.grace.saturating_sub(EXIT_MARGIN)
     }
 }
--- a/coordination/src/drain/mod.rs
+++ b/coordination/src/drain/mod.rs
@@ -1,4 +1,4 @@
-//! the steps of a planned stop
+//! Timing of a graceful shutdown.
 
 mod ingress_drain;
 
--- a/coordination/src/permits/load_permit_issuer.rs
+++ b/coordination/src/permits/load_permit_issuer.rs
@@ -7,19 +7,19 @@
     },
 };
 
-/// limits of the weight store, and the giver's own times
+/// Limits of the weight store, and times of the permit issuer.
 #[derive(Debug, Clone)]
 pub struct LoadPermitSettings {
     pub loads_per_second: u32,
     pub loads_at_once: u32,
-    /// a permit not given back by then is free again
+    /// a permit that isn't released expires after this time
     pub lease: Duration,
-    /// an asker that did not ask again for this long is forgotten
-    pub patience: Duration,
-    /// when the next in turn ask again
-    pub retry_after: Duration,
-    /// when the last in turn ask again; less than `patience`
-    pub longest_retry: Duration,
+    /// a request that isn't repeated is removed after this time
+    pub request_ttl: Duration,
+    /// retry time of the requests next in the order
+    pub min_retry_after: Duration,
+    /// retry time of the last requests in the order; less than `request_ttl`
+    pub max_retry_after: Duration,
 }
 
 impl Default for LoadPermitSettings {
@@ -28,144 +28,146 @@
             loads_per_second: 3,
             loads_at_once: 2,
             lease: Duration::from_secs(5),
-            patience: Duration::from_millis(1_500),
-            retry_after: Duration::from_millis(150),
-            longest_retry: Duration::from_secs(1),
+            request_ttl: Duration::from_millis(1_500),
+            min_retry_after: Duration::from_millis(150),
+            max_retry_after: Duration::from_secs(1),
         }
     }
 }
 
-/// one target and the adapter that it wants
+/// A target and the adapter that it wants to load.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Asker {
+struct LoadKey {
     target: BoxName,
     adapter: AdapterName,
 }
 
 #[derive(Debug)]
-struct Claim {
+struct WaitingLoad {
     priority: u8,
     /// when the most urgent request began to wait
     since: Instant,
-    asked: Instant,
+    requested_at: Instant,
 }
 
-/// hands the weight store's capacity to those who wait for it, the most
-/// urgent class first, then the longest wait.
+/// Issues permits to load from the weight store: to the most urgent class first, then to the
+/// longest wait.
 ///
-/// It keeps no record beyond the leases: a giver that is replaced starts
-/// empty, and two givers at once cost speed only, since the store keeps its
-/// own limit.
+/// The leases are its only state. A replacement starts empty, and two issuers at once only slow
+/// loads down, since the store enforces its limits itself.
 #[derive(Debug)]
 pub struct LoadPermitIssuer {
     settings: LoadPermitSettings,
-    claims: HashMap<Asker, Claim>,
-    leases: HashMap<Asker, Instant>,
-    /// starts allowed now; grows with time up to one second's worth
-    allowance: f64,
-    refilled: Instant,
+    waiting: HashMap<LoadKey, WaitingLoad>,
+    /// expiry of each permit in use
+    leases: HashMap<LoadKey, Instant>,
+    /// loads that may start now; accumulates up to one second's worth
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl LoadPermitIssuer {
     pub fn new(settings: LoadPermitSettings, now: Instant) -> Self {
         Self {
             settings,
-            claims: HashMap::new(),
+            waiting: HashMap::new(),
             leases: HashMap::new(),
-            allowance: 1.0,
-            refilled: now,
+            tokens: 1.0,
+            refilled_at: now,
         }
     }
 
-    /// follow a change of the store's limits
+    /// Sets the store's limits.
     pub fn set_limits(&mut self, loads_per_second: u32, loads_at_once: u32) {
         self.settings.loads_per_second = loads_per_second;
         self.settings.loads_at_once = loads_at_once;
     }
 
-    pub fn ask(&mut self, ask: &PermitAsk, now: Instant) -> PermitAnswer {
+    /// Grants a permit, or tells the target when to request it again.
+    pub fn request(&mut self, request: &PermitAsk, now: Instant) -> PermitAnswer {
         self.refill(now);
-        self.forget_old(now);
-        let asker = Asker::from(ask);
-        if let Some(expires) = self.leases.get(&asker) {
-            // the answer to an earlier ask was lost
+        self.remove_expired(now);
+        let key = LoadKey::from(request);
+        if let Some(expires) = self.leases.get(&key) {
+            // the response to an earlier request was lost
             let lease = expires.saturating_duration_since(now);
             return PermitAnswer::Granted { lease };
         }
-        self.claims.insert(
-            asker.clone(),
-            Claim {
-                priority: ask.priority,
-                since: now.checked_sub(ask.waited).unwrap_or(now),
-                asked: now,
+        self.waiting.insert(
+            key.clone(),
+            WaitingLoad {
+                priority: request.priority,
+                since: now.checked_sub(request.waited).unwrap_or(now),
+                requested_at: now,
             },
         );
-        let rank = self.rank(&asker);
+        let rank = self.rank(&key);
         if rank >= self.free_permits() {
             return PermitAnswer::Wait {
                 retry_after: self.retry_after(rank),
             };
         }
-        self.claims.remove(&asker);
-        self.leases.insert(asker, now + self.settings.lease);
-        self.allowance -= 1.0;
+        self.waiting.remove(&key);
+        self.leases.insert(key, now + self.settings.lease);
+        self.tokens -= 1.0;
         PermitAnswer::Granted {
             lease: self.settings.lease,
         }
     }
 
-    /// the load ended
-    pub fn give_back(&mut self, ask: &PermitAsk) {
-        let asker = Asker::from(ask);
-        self.leases.remove(&asker);
-        self.claims.remove(&asker);
+    /// Releases the permit of a load that has ended.
+    pub fn release(&mut self, request: &PermitAsk) {
+        let key = LoadKey::from(request);
+        self.leases.remove(&key);
+        self.waiting.remove(&key);
     }
 
-    /// those far behind come back later, so that a fleet that waits does not
-    /// keep the giver busy
+    /// Returns the retry time of a request at this rank. It grows with the rank, so that a
+    /// waiting fleet doesn't overload the issuer.
     fn retry_after(&self, rank: usize) -> Duration {
         let starts = f64::from(self.settings.loads_per_second.max(1));
-        let turn = Duration::from_secs_f64(rank as f64 / starts / 2.0);
-        turn.clamp(self.settings.retry_after, self.settings.longest_retry)
+        let expected = Duration::from_secs_f64(rank as f64 / starts / 2.0);
+        expected.clamp(self.settings.min_retry_after, self.settings.max_retry_after)
     }
 
     fn refill(&mut self, now: Instant) {
-        let gone = now.saturating_duration_since(self.refilled).as_secs_f64();
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
         let rate = f64::from(self.settings.loads_per_second);
-        self.allowance = (self.allowance + gone * rate).min(rate.max(1.0));
-        self.refilled = now;
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
+        self.refilled_at = now;
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        let patience = self.settings.patience;
-        self.claims
-            .retain(|_, c| now.saturating_duration_since(c.asked) < patience);
+    fn remove_expired(&mut self, now: Instant) {
+        let request_ttl = self.settings.request_ttl;
+        self.waiting
+            .retain(|_, w| now.saturating_duration_since(w.requested_at) < request_ttl);
         self.leases.retain(|_, expires| *expires > now);
     }
 
     fn free_permits(&self) -> usize {
         let at_once = self.settings.loads_at_once as usize;
         let unleased = at_once.saturating_sub(self.leases.len());
-        unleased.min(self.allowance as usize)
+        unleased.min(self.tokens as usize)
     }
 
-    /// how many claims go before this one
-    fn rank(&self, asker: &Asker) -> usize {
-        let Some(own) = self.claims.get(asker) else {
+    /// Returns how many waiting loads are served before this one.
+    fn rank(&self, key: &LoadKey) -> usize {
+        let Some(own) = self.waiting.get(key) else {
             return usize::MAX;
         };
-        let before = self.claims.values();
-        before
-            .filter(|c| (c.priority, c.since) < (own.priority, own.since))
+        let all = self.waiting.values();
+        all.filter(|w| (w.priority, w.since) < (own.priority, own.since))
             .count()
     }
 }
 
-impl From<&PermitAsk> for Asker {
-    fn from(ask: &PermitAsk) -> Self {
+impl From<&PermitAsk> for LoadKey {
+    fn from(request: &PermitAsk) -> Self {
         Self {
-            target: ask.target.clone(),
-            adapter: ask.adapter.clone(),
+            target: request.target.clone(),
+            adapter: request.adapter.clone(),
         }
     }
 }
--- a/coordination/src/permits/mod.rs
+++ b/coordination/src/permits/mod.rs
@@ -1,4 +1,4 @@
-//! who may load from the weight store next
+//! Permits to load from the weight store.
 
 mod load_permit_issuer;
 
--- a/coordination/src/queue/fair_queue.rs
+++ b/coordination/src/queue/fair_queue.rs
@@ -7,26 +7,28 @@
     },
 };
 
-/// share of a group that the configuration does not name
+/// share of a group that the configuration doesn't list
 const DEFAULT_SHARE: u32 = 1;
-/// a group is active for this long after its last request
+/// time after its last request for which a group counts as active
 const ACTIVE_FOR: Duration = Duration::from_secs(10);
 
-/// the waiting requests of one target.
+/// The queued requests of one target.
 ///
-/// The order: priority, aged for the first of each group and class; then the
-/// group that got least service against its share (start-time fair queueing
-/// over tokens); then arrival.
+/// They are ordered by priority, which ages for the first request of each group and class; then
+/// by the service that their groups received relative to their shares (start-time fair queueing
+/// over tokens); then by arrival.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    waiting: Vec<QueuedRequest>,
+    /// in the order of arrival
+    requests: Vec<QueuedRequest>,
     shares: HashMap<GroupName, u32>,
-    /// service that each group got, in tokens over its share
+    /// service that each group received, in tokens divided by its share
     service: HashMap<GroupName, f64>,
-    /// service of the group that was served last
-    floor: f64,
-    /// when each group's last request came
-    last_seen: HashMap<GroupName, Instant>,
+    /// service of the group that was served last: the starting value of a group that becomes
+    /// active
+    virtual_time: f64,
+    /// arrival of each group's last request
+    last_arrival: HashMap<GroupName, Instant>,
 }
 
 impl FairQueue {
@@ -36,66 +38,72 @@
 
     pub fn set_shares(&mut self, shares: HashMap<GroupName, u32>) {
         self.service.retain(|group, _| shares.contains_key(group));
-        self.last_seen.retain(|group, _| shares.contains_key(group));
+        self.last_arrival
+            .retain(|group, _| shares.contains_key(group));
         self.shares = shares;
     }
 
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.requests.is_empty()
     }
     pub fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
-        self.waiting.iter()
+        self.requests.iter()
     }
     pub fn contains(&self, request: &str) -> bool {
-        self.waiting.iter().any(|w| w.request == request)
+        self.requests.iter().any(|r| r.request == request)
     }
+    /// Returns the tokens of all queued requests.
     pub fn tokens(&self) -> u64 {
-        self.waiting.iter().map(|w| w.tokens).sum()
+        self.requests.iter().map(|r| r.tokens).sum()
     }
-    /// tokens of one group's waiting requests
+    /// Returns the tokens of one group's queued requests.
     pub fn group_tokens(&self, group: &str) -> u64 {
-        let of_group = self.waiting.iter().filter(|w| w.group == group);
-        of_group.map(|w| w.tokens).sum()
+        let of_group = self.requests.iter().filter(|r| r.group == group);
+        of_group.map(|r| r.tokens).sum()
     }
-    /// the part of the whole that a group may claim among the waiting ones
-    pub fn fair_part(&self, group: &str) -> f64 {
-        let mut groups: HashSet<&str> = self.waiting.iter().map(|w| w.group.as_str()).collect();
+    /// Returns the fraction of the target due to a group, among the groups with queued
+    /// requests.
+    pub fn fraction_among_queued(&self, group: &str) -> f64 {
+        let mut groups: HashSet<&str> = self.requests.iter().map(|r| r.group.as_str()).collect();
         groups.insert(group);
         let sum: u32 = groups.iter().map(|g| self.share(g)).sum();
         f64::from(self.share(group)) / f64::from(sum.max(1))
     }
 
-    /// the part of the whole that a group may claim among the active ones
-    pub fn active_part(&self, group: &str, now: Instant) -> f64 {
+    /// Returns the fraction of the target due to a group, among the active groups.
+    pub fn fraction_among_active(&self, group: &str, now: Instant) -> f64 {
         let is_active = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_FOR;
-        let active = self.last_seen.iter().filter(|(_, at)| is_active(at));
+        let active = self.last_arrival.iter().filter(|(_, at)| is_active(at));
         let others = active.filter(|(name, _)| *name != group);
         let sum: u32 = others.map(|(name, _)| self.share(name)).sum();
         let own = self.share(group);
         f64::from(own) / f64::from(own + sum)
     }
 
-    pub fn push(&mut self, waiting: QueuedRequest) {
-        self.last_seen
-            .insert(waiting.group.clone(), waiting.arrived);
-        // a group that was idle does not get its idle time back
-        let floor = self.floor;
-        let service = self.service.entry(waiting.group.clone()).or_insert(floor);
-        let is_idle = !self.waiting.iter().any(|w| w.group == waiting.group);
+    pub fn push(&mut self, request: QueuedRequest) {
+        self.last_arrival
+            .insert(request.group.clone(), request.arrived);
+        // a group gets no credit for the time in which it had no requests
+        let virtual_time = self.virtual_time;
+        let service = self
+            .service
+            .entry(request.group.clone())
+            .or_insert(virtual_time);
+        let is_idle = !self.requests.iter().any(|r| r.group == request.group);
         if is_idle {
-            *service = service.max(floor);
+            *service = service.max(virtual_time);
         }
-        self.waiting.push(waiting);
+        self.requests.push(request);
     }
 
-    /// the requests in the order in which they should start
+    /// Returns the requests in the order in which they should start.
     pub fn order(&mut self, now: Instant) -> Vec<RequestId> {
-        self.mark_heads(now);
-        let mut rows: Vec<&QueuedRequest> = self.waiting.iter().collect();
-        rows.sort_by(|a, b| {
+        self.start_aging_heads(now);
+        let mut requests: Vec<&QueuedRequest> = self.requests.iter().collect();
+        requests.sort_by(|a, b| {
             let by_priority = a.priority_at(now).cmp(&b.priority_at(now));
             by_priority
                 .then(
@@ -104,28 +112,28 @@
                 )
                 .then(a.arrived.cmp(&b.arrived))
         });
-        rows.into_iter().map(|w| w.request.clone()).collect()
+        requests.into_iter().map(|r| r.request.clone()).collect()
     }
 
     pub fn get(&self, request: &str) -> Option<&QueuedRequest> {
-        self.waiting.iter().find(|w| w.request == request)
+        self.requests.iter().find(|r| r.request == request)
     }
 
-    /// take a request out without service
+    /// Removes a request without charging its group.
     pub fn remove(&mut self, request: &str) -> Option<QueuedRequest> {
-        let index = self.waiting.iter().position(|w| w.request == request)?;
-        Some(self.waiting.remove(index))
+        let index = self.requests.iter().position(|r| r.request == request)?;
+        Some(self.requests.remove(index))
     }
 
-    /// take a request out to start it, and charge its group
+    /// Removes a request that starts, and charges its group.
     pub fn start(&mut self, request: &str) -> Option<QueuedRequest> {
         let started = self.remove(request)?;
-        self.floor = self.floor.max(self.service_of(&started.group));
+        self.virtual_time = self.virtual_time.max(self.service_of(&started.group));
         self.charge(&started.group, started.tokens as f64);
         Some(started)
     }
 
-    /// correct a group's service when the real cost is known
+    /// Charges a group for tokens beyond the estimate, or credits it if `tokens` is negative.
     pub fn charge(&mut self, group: &str, tokens: f64) {
         let share = f64::from(self.share(group));
         if let Some(service) = self.service.get_mut(group) {
@@ -133,35 +141,36 @@
         }
     }
 
-    /// note that a started request overtook those that wait for a load
-    pub fn note_overtaken(&mut self, tokens: u64, is_overtaken: impl Fn(&QueuedRequest) -> bool) {
-        for waiting in self.waiting.iter_mut().filter(|w| is_overtaken(w)) {
-            waiting.overtaken += tokens;
+    /// Records the tokens of a started request with those that it overtook while they wait for
+    /// a load.
+    pub fn record_overtaken(&mut self, tokens: u64, is_overtaken: impl Fn(&QueuedRequest) -> bool) {
+        for request in self.requests.iter_mut().filter(|r| is_overtaken(r)) {
+            request.overtaken += tokens;
         }
     }
 
-    /// take out all that would not end by their deadline, at a time per token
+    /// Removes and returns the requests that would end after their deadline, at this time per
+    /// token.
     pub fn remove_late(&mut self, token_time: Duration, now: Instant) -> Vec<QueuedRequest> {
-        let run_time = |w: &QueuedRequest| token_time.saturating_mul(w.output_tokens);
-        let (late, rest) = std::mem::take(&mut self.waiting)
+        let run_time = |r: &QueuedRequest| token_time.saturating_mul(r.max_output_tokens);
+        let (late, remaining) = std::mem::take(&mut self.requests)
             .into_iter()
-            .partition(|w| now + run_time(w) >= w.deadline);
-        self.waiting = rest;
+            .partition(|r| now + run_time(r) >= r.deadline);
+        self.requests = remaining;
         late
     }
 
-    /// take out everything
+    /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.requests)
     }
 
-    /// the first of each group and class begins to age; the rows stand in
-    /// the order of their arrival
-    fn mark_heads(&mut self, now: Instant) {
+    /// Starts the aging of the first request of each group and class.
+    fn start_aging_heads(&mut self, now: Instant) {
         let mut seen: HashSet<(GroupName, u8)> = HashSet::new();
-        for waiting in &mut self.waiting {
-            if seen.insert((waiting.group.clone(), waiting.priority)) {
-                waiting.head_since.get_or_insert(now);
+        for request in &mut self.requests {
+            if seen.insert((request.group.clone(), request.priority)) {
+                request.head_since.get_or_insert(now);
             }
         }
     }
@@ -169,6 +178,9 @@
         self.shares.get(group).copied().unwrap_or(DEFAULT_SHARE)
     }
     fn service_of(&self, group: &str) -> f64 {
-        self.service.get(group).copied().unwrap_or(self.floor)
+        self.service
+            .get(group)
+            .copied()
+            .unwrap_or(self.virtual_time)
     }
 }
--- a/coordination/src/queue/mod.rs
+++ b/coordination/src/queue/mod.rs
@@ -1,4 +1,4 @@
-//! which waiting request runs next
+//! The queue of one target and the order in which its requests start.
 
 mod fair_queue;
 mod queued_request;
--- a/coordination/src/queue/queued_request.rs
+++ b/coordination/src/queue/queued_request.rs
@@ -4,33 +4,31 @@
     std::time::{Duration, Instant},
 };
 
-/// a request that waits in a target's queue
+/// A request in a target's queue.
 #[derive(Debug, Clone)]
 pub struct QueuedRequest {
     pub request: RequestId,
     pub group: GroupName,
     /// 0 is the most urgent
     pub priority: u8,
-    /// waiting this long at the head of its group and class makes it one
-    /// priority more urgent
+    /// time at the head of its group and class after which it becomes one priority more urgent
     pub age_after: Duration,
     pub arrived: Instant,
     pub deadline: Instant,
-    /// its cost
+    /// cost in tokens
     pub tokens: u64,
-    /// tokens that it may generate
-    pub output_tokens: u32,
-    /// what it needs loaded; none for a plain service
+    pub max_output_tokens: u32,
+    /// adapter that must be loaded; none for a plain service
     pub adapter: Option<AdapterKey>,
-    /// tokens of requests that overtook it because their adapter was loaded
+    /// tokens of the requests that overtook it because their adapter was loaded
     pub overtaken: u64,
     /// since when it has been the first of its group and class
     pub head_since: Option<Instant>,
 }
 
 impl QueuedRequest {
-    /// priority after ageing; only the first of a group and class ages, so
-    /// that a long queue of one group does not overtake the others
+    /// Returns the priority after aging. Only the first of a group and class ages, so that a
+    /// group with a long queue doesn't overtake the others.
     pub fn priority_at(&self, now: Instant) -> u8 {
         let Some(since) = self.head_since else {
             return self.priority;
--- a/coordination/src/relay/relay_pacing.rs
+++ b/coordination/src/relay/relay_pacing.rs
@@ -25,7 +25,7 @@
     }
     /// how a relay follows the store
     pub fn follow(&self) -> WatchPacing {
-        WatchPacing::holding(self.watch_wait())
+        WatchPacing::with_hold(self.watch_wait())
     }
     pub fn pause_after_change(&self) -> Duration {
         self.known_within.mul_f64(PAUSE_PART)
--- a/coordination/src/retry/mod.rs
+++ b/coordination/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! when a request may be sent again, and how often the store is asked
+//! Retries of requests, and the pace of list requests to the store.
 
 mod backoff;
 mod list_pacing;
--- a/coordination/src/retry/retry_budget.rs
+++ b/coordination/src/retry/retry_budget.rs
@@ -1,32 +1,32 @@
-/// retries allowed for each request served
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// retries that may be saved up
-const MAX_SAVED: f64 = 50.0;
+/// retries that may accumulate
+const MAX_RETRIES: f64 = 50.0;
 
-/// keeps retries a small part of the traffic, so that they don't feed an
-/// overload
+/// Limits retries to a fraction of the requests, so that they don't amplify an overload.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    retries: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self {
+            retries: MAX_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// a new request came in
+    /// Credits the budget for a new request.
     pub fn on_request(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
-    /// take one retry; false if none is left
-    pub fn take(&mut self) -> bool {
-        if self.saved < 1.0 {
+    /// Takes one retry; returns false if none is left.
+    pub fn try_take(&mut self) -> bool {
+        if self.retries < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.retries -= 1.0;
         true
     }
 }
--- a/coordination/src/retry/retry_rule.rs
+++ b/coordination/src/retry/retry_rule.rs
@@ -3,20 +3,20 @@
     std::time::Duration,
 };
 
-/// an attempt that failed
+/// A failed attempt.
 #[derive(Debug, Clone)]
 pub struct Attempt<'r> {
     pub refusal: &'r Refusal,
     /// the request carries a reserved id
     pub reserved: bool,
-    /// time left to the caller's deadline
+    /// time left until the client's deadline
     pub remaining: Duration,
 }
 
-/// whether a failed attempt may be followed by another one.
+/// Returns whether a failed attempt may be retried.
 ///
-/// A reserved id belongs to one target, which has given its final word.
-/// Anything else is repeatable work.
+/// A reserved id is bound to one target, whose refusal is final. All other requests are safe to
+/// repeat.
 pub fn may_retry(attempt: &Attempt) -> bool {
     if attempt.reserved || attempt.remaining.is_zero() {
         return false;
--- a/coordination/src/routing/baselines.rs
+++ b/coordination/src/routing/baselines.rs
@@ -1,4 +1,4 @@
-//! simple policies that the chosen one is measured against
+//! Simple routing policies for comparison.
 
 use {
     super::{Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
@@ -7,7 +7,7 @@
     std::time::Instant,
 };
 
-/// any target
+/// Chooses a target at random.
 #[derive(Debug)]
 pub struct RandomChoice {
     rng: SmallRng,
@@ -30,7 +30,7 @@
     }
 }
 
-/// the target with the least queued and running work
+/// Chooses the target with the lowest number of queued tokens and running requests.
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
@@ -48,18 +48,18 @@
     }
 }
 
-/// the target to which the adapter's name hashes
+/// Chooses the target by rendezvous hash of the adapter's or the service's name.
 #[derive(Debug, Default)]
 pub struct PlainHash;
 
 impl RoutingPolicy for PlainHash {
     fn choose(
         &mut self,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         candidates: &[Candidate],
         _: Instant,
     ) -> Option<usize> {
-        let key = match &ask.need {
+        let key = match &request.requirement {
             TargetRequirement::Adapter { adapter, .. } => stable_hash(adapter),
             TargetRequirement::Service(service) => stable_hash(service),
         };
--- a/coordination/src/routing/least_expected_wait.rs
+++ b/coordination/src/routing/least_expected_wait.rs
@@ -10,19 +10,18 @@
     },
 };
 
-/// adapters whose heat an entry remembers
-const MAX_HEATS: usize = 8_192;
+/// number of adapters whose request counts are kept
+const MAX_TRACKED_ADAPTERS: usize = 8_192;
 
-/// how the candidates of an adapter are found
+/// Number of homes of an adapter. Its homes are the replicas preferred by rendezvous hash.
 #[derive(Debug, Clone)]
-pub struct WaitSettings {
-    /// homes of an adapter that is cold
+pub struct HomeSettings {
     pub min_homes: usize,
-    /// recent requests that earn an adapter one more home
+    /// recent requests for each additional home
     pub requests_per_home: f64,
 }
 
-impl Default for WaitSettings {
+impl Default for HomeSettings {
     fn default() -> Self {
         Self {
             min_homes: 1,
@@ -31,33 +30,35 @@
     }
 }
 
-/// the target at which the request is expected to wait least.
+/// Chooses the target with the lowest expected wait.
 ///
-/// An adapter has a few homes by rendezvous hash, more as it gets hotter;
-/// candidates are its homes and every target that holds it. The wait is the
-/// queue, the load stall if the adapter is not held, and the distance.
+/// The candidates for an adapter are its homes, more of them as it gets more requests, and all
+/// targets that hold it. The wait is the sum of the queue, the load time if the adapter isn't
+/// held, and the network distance.
 #[derive(Debug, Default)]
 pub struct LeastExpectedWait {
-    settings: WaitSettings,
-    heats: HashMap<String, Heat>,
+    settings: HomeSettings,
+    recent_requests: HashMap<String, Heat>,
 }
 
 impl LeastExpectedWait {
-    pub fn new(settings: WaitSettings) -> Self {
+    pub fn new(settings: HomeSettings) -> Self {
         Self {
             settings,
-            heats: HashMap::new(),
+            recent_requests: HashMap::new(),
         }
     }
 
-    fn homes(&mut self, adapter: &str, now: Instant) -> usize {
-        if self.heats.len() >= MAX_HEATS && !self.heats.contains_key(adapter) {
-            self.heats.retain(|_, h| h.value_at(now) >= 1.0);
+    /// Counts a request for an adapter, and returns the adapter's number of homes.
+    fn count_homes(&mut self, adapter: &str, now: Instant) -> usize {
+        let is_full = self.recent_requests.len() >= MAX_TRACKED_ADAPTERS;
+        if is_full && !self.recent_requests.contains_key(adapter) {
+            self.recent_requests.retain(|_, c| c.value_at(now) >= 1.0);
         }
-        let heat = self.heats.entry(adapter.to_string());
-        let heat = heat.or_insert_with(|| Heat::new(now));
-        heat.add(1.0, now);
-        let extra = heat.value_at(now) / self.settings.requests_per_home;
+        let count = self.recent_requests.entry(adapter.to_string());
+        let count = count.or_insert_with(|| Heat::new(now));
+        count.add(1.0, now);
+        let extra = count.value_at(now) / self.settings.requests_per_home;
         self.settings.min_homes + extra as usize
     }
 }
@@ -65,27 +66,31 @@
 impl RoutingPolicy for LeastExpectedWait {
     fn choose(
         &mut self,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         candidates: &[Candidate],
         now: Instant,
     ) -> Option<usize> {
         let all = 0..candidates.len();
-        let chosen: Vec<usize> = match &ask.need {
+        let chosen: Vec<usize> = match &request.requirement {
             TargetRequirement::Service(_) => all.collect(),
             TargetRequirement::Adapter { adapter, .. } => {
-                let homes = self.homes(adapter, now);
+                let homes = self.count_homes(adapter, now);
                 home_indexes(adapter, homes, candidates)
             }
         };
         chosen.into_iter().min_by(|a, b| {
-            let wait = |index: &usize| expected_wait(ask, &candidates[*index], now);
+            let wait = |index: &usize| expected_wait(request, &candidates[*index], now);
             wait(a).cmp(&wait(b))
         })
     }
 }
 
-/// how long a request would wait at a candidate before its first token
-pub(super) fn expected_wait(ask: &RouteRequest, candidate: &Candidate, now: Instant) -> Duration {
+/// Returns the expected time until a request's first token at a candidate.
+pub(super) fn expected_wait(
+    request: &RouteRequest,
+    candidate: &Candidate,
+    now: Instant,
+) -> Duration {
     let target = candidate.target;
     let per_token = target.token_time().as_secs_f64() / f64::from(target.max_running());
     let queue = Duration::from_secs_f64(target.queued_tokens(now) * per_token);
@@ -95,13 +100,14 @@
     } else {
         Duration::ZERO
     };
-    let stall = match ask.need {
-        TargetRequirement::Adapter { .. } if !candidate.loaded => target.load_wait(),
+    let load = match request.requirement {
+        TargetRequirement::Adapter { .. } if !candidate.is_loaded => target.load_wait(),
         _ => Duration::ZERO,
     };
-    queue + busy + stall + candidate.distance
+    queue + busy + load + candidate.distance
 }
 
+/// Returns the homes of an adapter and the other holders, in the order of the rendezvous hash.
 fn home_indexes(adapter: &str, homes: usize, candidates: &[Candidate]) -> Vec<usize> {
     let key = stable_hash(adapter);
     let weight = |index: &usize| rendezvous_weight(key, candidates[*index].target.hash);
@@ -111,9 +117,11 @@
         indexes.select_nth_unstable_by_key(homes, |index| std::cmp::Reverse(weight(index)));
     }
     let mut chosen: Vec<usize> = indexes[..homes].to_vec();
-    let holders = indexes[homes..].iter().filter(|i| candidates[**i].loaded);
+    let holders = indexes[homes..]
+        .iter()
+        .filter(|i| candidates[**i].is_loaded);
     chosen.extend(holders);
-    // equal waits go to the first home, on every entry alike
+    // on equal waits all entries choose the same home
     chosen.sort_by_key(|index| std::cmp::Reverse(weight(index)));
     chosen
 }
--- a/coordination/src/routing/mod.rs
+++ b/coordination/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! to which target a request goes
+//! Choice of the target of a request.
 
 mod baselines;
 mod least_expected_wait;
@@ -8,8 +8,8 @@
 
 pub use {
     baselines::{LeastLoaded, PlainHash, RandomChoice},
-    least_expected_wait::{LeastExpectedWait, WaitSettings},
-    policy::{serves, Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
+    least_expected_wait::{HomeSettings, LeastExpectedWait},
+    policy::{can_serve, Candidate, RouteRequest, RoutingPolicy, TargetRequirement},
     target::Target,
     target_table::{PolicyName, Route, TargetTable},
 };
--- a/coordination/src/routing/policy.rs
+++ b/coordination/src/routing/policy.rs
@@ -7,7 +7,7 @@
     std::time::{Duration, Instant},
 };
 
-/// what a target must offer
+/// What a target must offer to serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetRequirement {
     Adapter {
@@ -18,45 +18,46 @@
     Service(ServiceName),
 }
 
-/// whether a box in this role can do what is needed
-pub fn serves(role: &Role, need: &TargetRequirement) -> bool {
-    match (role, need) {
+/// Returns whether a box in this role meets a requirement.
+pub fn can_serve(role: &Role, requirement: &TargetRequirement) -> bool {
+    match (role, requirement) {
         (
             Role::Engine { base_model },
             TargetRequirement::Adapter {
-                base_model: wanted, ..
+                base_model: required,
+                ..
             },
-        ) => base_model == wanted,
-        (Role::Service { service }, TargetRequirement::Service(wanted)) => service == wanted,
+        ) => base_model == required,
+        (Role::Service { service }, TargetRequirement::Service(required)) => service == required,
         _ => false,
     }
 }
 
-/// a request that looks for a target
+/// A request to route.
 #[derive(Debug, Clone)]
 pub struct RouteRequest {
-    pub need: TargetRequirement,
+    pub requirement: TargetRequirement,
     pub tokens: u64,
-    /// targets that failed this request before
+    /// targets where earlier attempts of this request failed
     pub excluded: Vec<BoxName>,
 }
 
-/// a target that could serve the request
+/// A target that could serve a request.
 #[derive(Debug)]
 pub struct Candidate<'t> {
     pub target: &'t Target,
-    /// the target said that it holds the adapter's version
-    pub loaded: bool,
-    /// one-way time to the target's zone
+    /// the target reported that it holds the adapter's version
+    pub is_loaded: bool,
+    /// one-way network delay to the target's zone
     pub distance: Duration,
 }
 
-/// chooses among the targets that could serve a request
+/// Chooses among the targets that could serve a request.
 pub trait RoutingPolicy: Send {
-    /// index of the chosen candidate; none only if there are no candidates
+    /// Returns the index of the chosen candidate, `None` only if there are no candidates.
     fn choose(
         &mut self,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         candidates: &[Candidate],
         now: Instant,
     ) -> Option<usize>;
--- a/coordination/src/routing/target_table.rs
+++ b/coordination/src/routing/target_table.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        least_expected_wait::expected_wait, policy::serves, target::loaded_hash, Candidate,
-        LeastExpectedWait, LeastLoaded, PlainHash, RandomChoice, RouteRequest, RoutingPolicy,
-        Target, TargetRequirement, WaitSettings,
+        least_expected_wait::expected_wait, policy::can_serve, target::adapter_version_hash,
+        Candidate, HomeSettings, LeastExpectedWait, LeastLoaded, PlainHash, RandomChoice,
+        RouteRequest, RoutingPolicy, Target, TargetRequirement,
     },
     chalkcart_protocol::peer::TargetReport,
     chalkcart_state::{
@@ -16,10 +16,10 @@
     },
 };
 
-/// one-way time to another zone
-const OTHER_ZONE: Duration = Duration::from_micros(1_500);
+/// one-way network delay to another zone
+const CROSS_ZONE_DELAY: Duration = Duration::from_micros(1_500);
 
-/// the routing policies that can be set
+/// The available routing policies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PolicyName {
     #[default]
@@ -29,16 +29,16 @@
     Random,
 }
 
-/// where a request goes
+/// The target chosen for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     pub target: BoxName,
     pub addr: SocketAddr,
     pub expected_wait: Duration,
-    pub loaded: bool,
+    pub is_loaded: bool,
 }
 
-/// the targets as one entry box knows them
+/// The targets as one entry knows them.
 pub struct TargetTable {
     zone: ZoneName,
     targets: BTreeMap<BoxName, Target>,
@@ -61,13 +61,13 @@
         self.targets.get(name)
     }
 
-    /// follow the platform's list; what was heard from a target is kept
-    /// while it stays at its address
+    /// Updates the targets from the platform's list. The state of a target is kept while its
+    /// address is unchanged.
     pub fn on_list(&mut self, list: &FleetList) {
         let mut previous = std::mem::take(&mut self.targets);
         for listed in list.targets() {
-            let kept = previous.remove(&listed.name);
-            let mut target = match kept {
+            let known = previous.remove(&listed.name);
+            let mut target = match known {
                 Some(target) if target.listed.addr == listed.addr => target,
                 _ => Target::new(listed.clone()),
             };
@@ -80,34 +80,34 @@
             target.on_report(report, now);
         }
     }
-    pub fn on_silence(&mut self, name: &str, now: Instant) {
+    pub fn on_unresponsive(&mut self, name: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(name) {
-            target.on_silence(now);
+            target.on_unresponsive(now);
         }
     }
-    pub fn on_ended(&mut self, name: &str) {
+    pub fn on_request_ended(&mut self, name: &str) {
         if let Some(target) = self.targets.get_mut(name) {
-            target.on_ended();
+            target.on_request_ended();
         }
     }
 
-    /// choose a target and count the request there
-    pub fn route(&mut self, ask: &RouteRequest, now: Instant) -> Option<Route> {
-        let candidates = candidates(&self.targets, &self.zone, ask, now);
-        let index = self.policy.choose(ask, &candidates, now)?;
-        let route = new_route(ask, &candidates[index], now);
+    /// Chooses a target and counts the request as in flight to it.
+    pub fn route(&mut self, request: &RouteRequest, now: Instant) -> Option<Route> {
+        let candidates = candidates(&self.targets, &self.zone, request, now);
+        let index = self.policy.choose(request, &candidates, now)?;
+        let route = new_route(request, &candidates[index], now);
         if let Some(target) = self.targets.get_mut(&route.target) {
-            target.on_sent(ask.tokens);
+            target.on_request_sent(request.tokens);
         }
         Some(route)
     }
 
-    /// where requests would go, the best first
-    pub fn plan(&self, ask: &RouteRequest, now: Instant) -> Vec<Route> {
-        let candidates = candidates(&self.targets, &self.zone, ask, now);
+    /// Returns the possible routes of a request by expected wait, the shortest first.
+    pub fn plan(&self, request: &RouteRequest, now: Instant) -> Vec<Route> {
+        let candidates = candidates(&self.targets, &self.zone, request, now);
         let mut routes: Vec<Route> = candidates
             .iter()
-            .map(|candidate| new_route(ask, candidate, now))
+            .map(|candidate| new_route(request, candidate, now))
             .collect();
         routes.sort_by_key(|route| route.expected_wait);
         routes
@@ -116,60 +116,64 @@
 
 fn new_policy(name: PolicyName, seed: u64) -> Box<dyn RoutingPolicy> {
     match name {
-        PolicyName::LeastExpectedWait => Box::new(LeastExpectedWait::new(WaitSettings::default())),
+        PolicyName::LeastExpectedWait => Box::new(LeastExpectedWait::new(HomeSettings::default())),
         PolicyName::LeastLoaded => Box::new(LeastLoaded),
         PolicyName::PlainHash => Box::new(PlainHash),
         PolicyName::Random => Box::new(RandomChoice::new(seed)),
     }
 }
 
-fn new_route(ask: &RouteRequest, candidate: &Candidate, now: Instant) -> Route {
+fn new_route(request: &RouteRequest, candidate: &Candidate, now: Instant) -> Route {
     Route {
         target: candidate.target.listed.name.clone(),
         addr: candidate.target.listed.addr,
-        expected_wait: expected_wait(ask, candidate, now),
-        loaded: candidate.loaded,
+        expected_wait: expected_wait(request, candidate, now),
+        is_loaded: candidate.is_loaded,
     }
 }
 
-/// targets that could serve the request; suspect ones only if there is
-/// no other
+/// Returns the targets that could serve a request. Suspect and excluded ones are among them only
+/// if there are no others.
 fn candidates<'t>(
     targets: &'t BTreeMap<BoxName, Target>,
     zone: &str,
-    ask: &RouteRequest,
+    request: &RouteRequest,
     now: Instant,
 ) -> Vec<Candidate<'t>> {
     let able: Vec<&Target> = targets
         .values()
-        .filter(|t| serves(&t.listed.role, &ask.need) && !t.is_leaving())
+        .filter(|t| can_serve(&t.listed.role, &request.requirement) && !t.is_leaving())
         .collect();
-    let untried = |t: &&Target| !ask.excluded.contains(&t.listed.name);
-    let well: Vec<&Target> = able
+    let is_untried = |t: &&Target| !request.excluded.contains(&t.listed.name);
+    let healthy: Vec<&Target> = able
         .iter()
         .copied()
-        .filter(|t| untried(t) && !t.is_suspect(now))
+        .filter(|t| is_untried(t) && !t.is_suspect(now))
         .collect();
-    let chosen = if well.is_empty() { able } else { well };
-    let wanted = match &ask.need {
+    let chosen = if healthy.is_empty() { able } else { healthy };
+    let adapter_hash = match &request.requirement {
         TargetRequirement::Adapter {
             adapter, version, ..
-        } => Some(loaded_hash(adapter, *version)),
+        } => Some(adapter_version_hash(adapter, *version)),
         TargetRequirement::Service(_) => None,
     };
     chosen
         .into_iter()
-        .map(|target| new_candidate(target, zone, wanted))
+        .map(|target| new_candidate(target, zone, adapter_hash))
         .collect()
 }
 
-/// `wanted` is the hash of the adapter's version, none for a plain service
-fn new_candidate<'t>(target: &'t Target, zone: &str, wanted: Option<u64>) -> Candidate<'t> {
-    let loaded = wanted.is_none_or(|hash| target.has_loaded(hash));
-    let is_near = target.listed.zone == zone;
+/// `adapter_hash` is the hash of the adapter's version, `None` for a plain service.
+fn new_candidate<'t>(target: &'t Target, zone: &str, adapter_hash: Option<u64>) -> Candidate<'t> {
+    let is_loaded = adapter_hash.is_none_or(|hash| target.has_loaded(hash));
+    let is_same_zone = target.listed.zone == zone;
     Candidate {
         target,
-        loaded,
-        distance: if is_near { Duration::ZERO } else { OTHER_ZONE },
+        is_loaded,
+        distance: if is_same_zone {
+            Duration::ZERO
+        } else {
+            CROSS_ZONE_DELAY
+        },
     }
 }
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -168,7 +168,7 @@
         if self.queue.tokens() + tokens <= bound {
             return false;
         }
-        let fair = self.queue.fair_part(&work.group) * bound as f64;
+        let fair = self.queue.fraction_among_queued(&work.group) * bound as f64;
         let of_group = self.queue.group_tokens(&work.group) + tokens;
         of_group as f64 > fair
     }
@@ -181,7 +181,7 @@
             let is_own = w.group == work.group;
             (all + w.tokens, own + if is_own { w.tokens } else { 0 })
         });
-        let own_pace = own as f64 / self.queue.fair_part(&work.group);
+        let own_pace = own as f64 / self.queue.fraction_among_queued(&work.group);
         self.time_for(own_pace.min(all as f64))
     }
 
@@ -240,7 +240,7 @@
             arrived: now,
             deadline: now + work.remaining,
             tokens: work.work.tokens(),
-            output_tokens: work.work.output_tokens(),
+            max_output_tokens: work.work.output_tokens(),
             adapter,
             overtaken: 0,
             head_since: None,
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -179,7 +179,7 @@
         if self.runs.len() < open_places as usize {
             return false;
         }
-        let fair = self.queue.active_part(group, now) * f64::from(self.max_running);
+        let fair = self.queue.fraction_among_active(group, now) * f64::from(self.max_running);
         self.runs.of_group(group) as f64 >= fair
     }
 
@@ -255,7 +255,7 @@
     fn note_overtaken(&mut self, started: &QueuedRequest, now: Instant) {
         let slots = &self.slots;
         let priority = started.priority_at(now);
-        self.queue.note_overtaken(started.tokens, |w| {
+        self.queue.record_overtaken(started.tokens, |w| {
             let stalled = w.adapter.as_ref().is_some_and(|key| !slots.is_ready(key));
             stalled && (w.priority_at(now), w.arrived) < (priority, started.arrived)
         });
--- a/coordination/src/stream/assembler.rs
+++ b/coordination/src/stream/assembler.rs
@@ -1,6 +1,6 @@
 use {chalkcart_state::ids::Sequence, std::collections::BTreeMap, thiserror::Error};
 
-/// the sender is too far ahead of a missing item
+/// Too many items were received after a missing one.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("item {missing} is missing and {held} later ones are held")]
 pub struct AssemblerError {
@@ -8,7 +8,7 @@
     pub held: usize,
 }
 
-/// puts late, repeated and out-of-order items back in order
+/// Restores the order of a sequence of items that arrive late, repeatedly or out of order.
 #[derive(Debug)]
 pub struct Assembler<T> {
     next: Sequence,
@@ -17,23 +17,24 @@
 }
 
 impl<T> Assembler<T> {
-    /// `from` is the first item wanted
-    pub fn new(from: Sequence, max_early: usize) -> Self {
+    /// `first` is the sequence number of the first item to return, `max_early` the number of
+    /// items that may be held after a missing one.
+    pub fn new(first: Sequence, max_early: usize) -> Self {
         Self {
-            next: from,
+            next: first,
             early: BTreeMap::new(),
             max_early,
         }
     }
-    /// the first item not yet given out
+    /// Returns the sequence number of the first item not yet returned.
     pub fn next(&self) -> Sequence {
         self.next
     }
-    /// whether items were received that can't be given out yet
+    /// Returns whether items are held after a missing one.
     pub fn has_gap(&self) -> bool {
         !self.early.is_empty()
     }
-    /// take an item in, and give out what is now in order
+    /// Takes in an item, and returns all items that are now in order.
     pub fn accept(&mut self, sequence: Sequence, item: T) -> Result<Vec<T>, AssemblerError> {
         if sequence >= self.next {
             self.early.entry(sequence).or_insert(item);
--- a/coordination/src/stream/mod.rs
+++ b/coordination/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! streams that stay whole
+//! Buffering and reordering of response streams.
 
 mod assembler;
 mod stream_buffer;
--- a/coordination/src/stream/stream_buffer.rs
+++ b/coordination/src/stream/stream_buffer.rs
@@ -1,6 +1,6 @@
 use {chalkcart_protocol::peer::FrameBody, chalkcart_state::ids::Sequence};
 
-/// the frames of one request, kept so that a broken stream can be resumed
+/// Frames of one request's response, kept so that an interrupted stream can be resumed.
 #[derive(Debug, Default)]
 pub struct StreamBuffer {
     frames: Vec<FrameBody>,
@@ -11,7 +11,7 @@
     pub fn new() -> Self {
         Self::default()
     }
-    /// add a frame; nothing follows a last frame
+    /// Appends a frame; returns false if the stream has already ended.
     pub fn push(&mut self, body: FrameBody) -> bool {
         if self.is_ended() {
             return false;
@@ -32,7 +32,7 @@
     pub fn is_empty(&self) -> bool {
         self.frames.is_empty()
     }
-    /// memory held, roughly
+    /// Returns the approximate memory use.
     pub fn bytes(&self) -> usize {
         self.bytes + self.frames.len() * size_of::<FrameBody>()
     }
--- a/coordination/src/watch/mod.rs
+++ b/coordination/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! how the platform's store is followed: how long calls last, and when the next one begins
+//! Timing of the long polls that watch the platform's store.
 
 mod watch_pacing;
 mod watch_times;
--- a/coordination/src/watch/watch_times.rs
+++ b/coordination/src/watch/watch_times.rs
@@ -1,23 +1,23 @@
 use std::time::Duration;
 
-/// how long a call that waits for changes may last
+/// Times of one long poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// the store holds the call for this long if there is nothing to tell
+    /// for this long the store holds the call if nothing changes
     pub hold: Duration,
-    /// time for its answer beyond that
-    pub answer: Duration,
+    /// time for the response beyond that
+    pub response: Duration,
 }
 
 impl WatchTimes {
-    /// a call without an answer costs this time
-    pub fn limit(&self) -> Duration {
-        self.hold + self.answer
+    /// Returns the timeout of the call.
+    pub fn timeout(&self) -> Duration {
+        self.hold + self.response
     }
-    /// the same, held no longer than `longest`
-    pub fn held_at_most(self, longest: Duration) -> Self {
+    /// Returns these times with the hold limited to `max_hold`.
+    pub fn with_max_hold(self, max_hold: Duration) -> Self {
         Self {
-            hold: self.hold.min(longest),
+            hold: self.hold.min(max_hold),
             ..self
         }
     }
--- a/coordination/tests/config_lease.rs
+++ b/coordination/tests/config_lease.rs
@@ -11,10 +11,10 @@
 fn a_lease_begins_with_what_is_known_and_ends_before_a_key_must_be_gone() {
     let start = Instant::now();
     let mut lease = ConfigLease::new(Some(REVOKED_WITHIN));
-    assert!(!lease.holds(start), "nothing was heard");
+    assert!(!lease.is_valid(start), "nothing was heard");
     lease.on_current(start);
-    assert!(lease.holds(start + REVOKED_WITHIN * 9 / 10));
-    assert!(!lease.holds(start + REVOKED_WITHIN));
+    assert!(lease.is_valid(start + REVOKED_WITHIN * 9 / 10));
+    assert!(!lease.is_valid(start + REVOKED_WITHIN));
 }
 
 /// an answer that was long on its way speaks of the moment it was asked for
@@ -27,7 +27,7 @@
     lease.on_current(start);
     assert_eq!(lease.age(later), Some(Duration::ZERO), "never back");
     let frozen_until = later + Duration::from_secs(60);
-    assert!(!lease.holds(frozen_until), "a freeze ends it");
+    assert!(!lease.is_valid(frozen_until), "a freeze ends it");
 }
 
 #[test]
@@ -37,13 +37,13 @@
     lease.on_current(now);
     lease.on_configuration(false);
     lease.on_current(now);
-    assert!(!lease.holds(now));
+    assert!(!lease.is_valid(now));
     lease.on_configuration(true);
-    assert!(lease.holds(now));
+    assert!(lease.is_valid(now));
 }
 
 #[test]
 fn without_a_bound_what_is_known_holds() {
     let lease = ConfigLease::new(None);
-    assert!(lease.holds(Instant::now()));
+    assert!(lease.is_valid(Instant::now()));
 }
--- a/coordination/tests/fair_queue.rs
+++ b/coordination/tests/fair_queue.rs
@@ -21,7 +21,7 @@
         arrived: now,
         deadline: now + Duration::from_secs(3_600),
         tokens: 10,
-        output_tokens: 10,
+        max_output_tokens: 10,
         adapter: None,
         overtaken: 0,
         head_since: None,
--- a/coordination/tests/ingress_drain.rs
+++ b/coordination/tests/ingress_drain.rs
@@ -17,8 +17,8 @@
         let drain = IngressDrain { grace };
         let last_read = drain.close_after() + SLOW_LINK;
         assert!(last_read <= LAST_TAKEN.max(grace), "{grace_s} s");
-        assert!(drain.close_after() <= drain.end_after(), "{grace_s} s");
-        assert!(drain.end_after() < grace, "{grace_s} s");
+        assert!(drain.close_after() <= drain.exit_after(), "{grace_s} s");
+        assert!(drain.exit_after() < grace, "{grace_s} s");
     }
 }
 
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -369,7 +369,7 @@
 
     fn ask(&mut self, number: usize, account_number: usize, units: u64, now: Instant) {
         let entry = &mut self.entries[number];
-        if entry.lease.holds(now) && self.known_version[number] == 0 {
+        if entry.lease.is_valid(now) && self.known_version[number] == 0 {
             // a request with the key that was taken away would run
             let since = self.step.saturating_sub(self.revoked);
             let late = STEP * since as u32;
--- a/coordination/tests/permits.rs
+++ b/coordination/tests/permits.rs
@@ -34,9 +34,9 @@
         let index = step as usize % wished.len();
         let mut ask = ask(&format!("t{index}"), 0, 0);
         ask.waited = now - wished[index];
-        if is_granted(giver.ask(&ask, now)) {
+        if is_granted(giver.request(&ask, now)) {
             granted += 1;
-            giver.give_back(&ask);
+            giver.release(&ask);
             wished[index] = now;
         }
     }
@@ -50,10 +50,10 @@
 fn the_most_urgent_then_the_longest_wait_goes_first() {
     let start = Instant::now();
     let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), start);
-    assert!(is_granted(giver.ask(&ask("first", 2, 0), start)));
+    assert!(is_granted(giver.request(&ask("first", 2, 0), start)));
     for (target, priority, waited) in [("late", 0, 1), ("patient", 2, 9), ("early", 0, 5)] {
         assert!(!is_granted(
-            giver.ask(&ask(target, priority, waited), start)
+            giver.request(&ask(target, priority, waited), start)
         ));
     }
     let now = start + Duration::from_millis(400);
@@ -63,7 +63,7 @@
             "late" => (0, 1),
             _ => (0, 5),
         };
-        is_granted(giver.ask(&ask(target, priority, waited), now))
+        is_granted(giver.request(&ask(target, priority, waited), now))
     });
     assert_eq!(order, [false, false, true]);
 }
@@ -76,15 +76,15 @@
         ..LoadPermitSettings::default()
     };
     let mut giver = LoadPermitIssuer::new(settings.clone(), start);
-    assert!(is_granted(giver.ask(&ask("dead", 0, 0), start)));
+    assert!(is_granted(giver.request(&ask("dead", 0, 0), start)));
     let later = start + settings.lease / 2;
-    assert!(!is_granted(giver.ask(&ask("next", 0, 0), later)));
+    assert!(!is_granted(giver.request(&ask("next", 0, 0), later)));
     assert!(
-        is_granted(giver.ask(&ask("dead", 0, 0), later)),
+        is_granted(giver.request(&ask("dead", 0, 0), later)),
         "asked again after a lost answer"
     );
     let after = start + settings.lease;
-    assert!(is_granted(giver.ask(&ask("next", 0, 0), after)));
+    assert!(is_granted(giver.request(&ask("next", 0, 0), after)));
 }
 
 #[test]
@@ -97,11 +97,11 @@
         PermitAnswer::Granted { .. } => Duration::ZERO,
     };
     let pauses: Vec<Duration> = (0..50)
-        .map(|number| giver.ask(&ask(&format!("t{number}"), number, 0), start))
+        .map(|number| giver.request(&ask(&format!("t{number}"), number, 0), start))
         .map(retry)
         .collect();
     assert!(pauses.is_sorted(), "{pauses:?}");
-    assert_eq!(pauses[1], settings.retry_after);
-    assert_eq!(pauses[49], settings.longest_retry);
-    assert!(settings.longest_retry < settings.patience);
+    assert_eq!(pauses[1], settings.min_retry_after);
+    assert_eq!(pauses[49], settings.max_retry_after);
+    assert!(settings.max_retry_after < settings.request_ttl);
 }
--- a/entry/src/config/config_keeper.rs
+++ b/entry/src/config/config_keeper.rs
@@ -1,7 +1,7 @@
 use {
     super::{KeepError, ShardSource},
     arc_swap::{ArcSwap, ArcSwapOption},
-    chalkcart_coordination::config::{judge_root, OfferDecision},
+    chalkcart_coordination::config::{decide_offer, OfferDecision},
     chalkcart_state::{
         config::{Configuration, Root, Shard},
         fleet::FleetList,
@@ -50,11 +50,11 @@
     ) -> Result<OfferDecision, KeepError> {
         let _one_at_a_time = self.offers.lock().await;
         let current = self.in_force.load_full();
-        let verdict = judge_root(current.as_ref().map(|c| c.root().as_ref()), &root);
+        let verdict = decide_offer(current.as_ref().map(|c| c.root().as_ref()), &root);
         match verdict {
-            OfferDecision::Take => {}
+            OfferDecision::Accept => {}
             OfferDecision::Conflict => return Err(KeepError::Conflict(root.generation)),
-            OfferDecision::Same | OfferDecision::Older { .. } => return Ok(verdict),
+            OfferDecision::Unchanged | OfferDecision::Stale { .. } => return Ok(verdict),
         }
         root.check()?;
         let missing = match &current {
@@ -67,7 +67,7 @@
             shards.push((index, shard));
         }
         self.put_in_force(current, root, shards)?;
-        Ok(OfferDecision::Take)
+        Ok(OfferDecision::Accept)
     }
 
     fn put_in_force(
--- a/entry/src/config/follower.rs
+++ b/entry/src/config/follower.rs
@@ -211,15 +211,15 @@
     async fn offer(&self, root: Root, source: &dyn ShardSource) -> bool {
         let generation = root.generation;
         match self.keeper().offer(root, source).await {
-            Ok(OfferDecision::Take) => {
+            Ok(OfferDecision::Accept) => {
                 self.shared.on_configuration();
                 true
             }
-            Ok(OfferDecision::Older { offered }) => {
+            Ok(OfferDecision::Stale { offered }) => {
                 log::warn!("config: generation {offered} offered, a higher one is in force");
                 false
             }
-            Ok(OfferDecision::Same | OfferDecision::Conflict) => true,
+            Ok(OfferDecision::Unchanged | OfferDecision::Conflict) => true,
             Err(KeepError::Conflict(generation)) => {
                 log::error!("config: another content under generation {generation} refused");
                 false
--- a/entry/src/control/entry_control.rs
+++ b/entry/src/control/entry_control.rs
@@ -39,11 +39,11 @@
                 let _ = answer.send(found);
             }
             EntryEvent::TakeRetry { answer } => {
-                let _ = answer.send(self.budget.take());
+                let _ = answer.send(self.budget.try_take());
             }
             EntryEvent::Reported(report) => self.targets.on_report(report, now),
-            EntryEvent::Silent(target) => self.targets.on_silence(&target, now),
-            EntryEvent::Ended(target) => self.targets.on_ended(&target),
+            EntryEvent::Silent(target) => self.targets.on_unresponsive(&target, now),
+            EntryEvent::Ended(target) => self.targets.on_request_ended(&target),
             EntryEvent::Listed(list) => self.targets.on_list(&list),
             EntryEvent::StoreLimits {
                 loads_per_second,
@@ -64,9 +64,9 @@
 
     fn permit(&mut self, ask: &PermitAsk, now: Instant) -> PermitAnswer {
         match ask.purpose {
-            PermitPurpose::Ask => self.permits.ask(ask, now),
+            PermitPurpose::Ask => self.permits.request(ask, now),
             PermitPurpose::Return => {
-                self.permits.give_back(ask);
+                self.permits.release(ask);
                 PermitAnswer::Wait {
                     retry_after: Duration::ZERO,
                 }
@@ -82,7 +82,7 @@
         suspect: target.is_suspect(now),
         report: target.report().cloned(),
         heard_ago: target
-            .heard_at()
+            .reported_at()
             .map(|at| now.saturating_duration_since(at)),
     }
 }
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -70,7 +70,7 @@
 
     /// whether keys and routes that are not known can be told from new ones
     pub fn is_current(&self) -> bool {
-        self.lease().holds(clock::now())
+        self.lease().is_valid(clock::now())
     }
     /// time since the configuration in hand was known to be the newest, in ms; -1
     /// if it never was
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -130,7 +130,7 @@
     shared.phase.send_replace(Phase::Draining);
     tokio::time::sleep(times.close_after()).await;
     shared.phase.send_replace(Phase::Closing);
-    let left = times.end_after().saturating_sub(times.close_after());
+    let left = times.exit_after().saturating_sub(times.close_after());
     match timeout(left, served).await {
         Ok(joined) => joined.context("join the server")?,
         Err(_) => log::warn!("ingress: requests still run after {left:?}"),
@@ -156,7 +156,7 @@
         (Topic::Backends, settings.drain_ms),
     ];
     for (topic, bound_ms) in known_within {
-        let pacing = WatchPacing::within(Duration::from_millis(bound_ms));
+        let pacing = WatchPacing::for_change_delay(Duration::from_millis(bound_ms));
         let follower = Follower::new(source.clone(), records.clone(), topic, pacing);
         tokio::spawn(follower.run());
     }
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -221,7 +221,7 @@
         after: u64,
         times: WatchTimes,
     ) -> Result<Watched, SourceError> {
-        let relayed = times.held_at_most(RELAYED_WAIT);
+        let relayed = times.with_max_hold(RELAYED_WAIT);
         match self.ask_relays(topic, Some(after), relayed.hold).await {
             Some(heard) => Ok(heard),
             None => {
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -162,7 +162,7 @@
             return Err(admission.bad("adapter", "not a known adapter"));
         };
         let ask = RouteRequest {
-            need: TargetRequirement::Adapter {
+            requirement: TargetRequirement::Adapter {
                 adapter: adapter.name.to_string(),
                 version: req.version,
                 base_model: adapter.base_model.to_string(),
@@ -174,7 +174,7 @@
         let targets = routes.into_iter().map(|route| PlannedTarget {
             r#box: route.target,
             expected_wait_ms: route.expected_wait.as_millis() as u64,
-            loaded: route.loaded,
+            loaded: route.is_loaded,
         });
         Ok(Response::new(PlanResponse {
             targets: targets.collect(),
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{app::Shared, traffic::Job},
-    chalkcart_coordination::routing::{serves, TargetRequirement},
+    chalkcart_coordination::routing::{can_serve, TargetRequirement},
     chalkcart_protocol::{
         peer::{CallWork, GenerateWork, Outcome, Reason, Refusal, Step, Work},
         status::{bad_field, to_status},
@@ -215,7 +215,7 @@
         let Some(listed) = self.shared.control.find(id.target.clone()).await else {
             return Ok(());
         };
-        match serves(&listed.role, need) {
+        match can_serve(&listed.role, need) {
             true => Ok(()),
             false => Err(self.bad("reserved_id", "reserved for other work")),
         }
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -58,7 +58,7 @@
     ) -> Result<ReserveResponse, Refusal> {
         let name = &self.shared.settings.name;
         let ask = RouteRequest {
-            need: need.clone(),
+            requirement: need.clone(),
             tokens: u64::from(count),
             excluded: failed.clone(),
         };
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -93,7 +93,7 @@
             }
             log::debug!("traffic: {} again after: {refusal}", self.job.request);
             if refusal.reason != Reason::Overloaded {
-                let pause = backoff.pause(tries, rand::random());
+                let pause = backoff.delay(tries, rand::random());
                 sleep(pause.min(self.job.remaining())).await;
             }
         }
@@ -127,7 +127,7 @@
         // for a copy of an earlier one
         self.job.request = format!("{}-{}", self.request, self.failed.len());
         let ask = RouteRequest {
-            need: self.job.need.clone(),
+            requirement: self.job.need.clone(),
             tokens: self.job.work.tokens(),
             excluded: self.failed.clone(),
         };
--- a/entry/src/traffic/reserved_attempt.rs
+++ b/entry/src/traffic/reserved_attempt.rs
@@ -41,7 +41,7 @@
             attempt.target
         );
         attempt.report_silence();
-        attempt.pause(backoff.pause(tries, rand::random())).await;
+        attempt.pause(backoff.delay(tries, rand::random())).await;
     }
     Err(attempt.refusal(Outcome::MayHaveRun, Step::Run, Reason::DeadlinePassed))
 }
--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::{
-        config::{judge_root, OfferDecision},
+        config::{decide_offer, OfferDecision},
         sidecar::SidecarEvent,
     },
     chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
@@ -71,8 +71,8 @@
         let Some(root) = answer.root else {
             return;
         };
-        match judge_root(self.root.as_deref(), &root) {
-            OfferDecision::Take => {
+        match decide_offer(self.root.as_deref(), &root) {
+            OfferDecision::Accept => {
                 log::info!("config: generation {} in force", root.generation);
                 self.shared.metrics.on_generation(root.generation);
                 let root = Arc::new(root);
@@ -85,7 +85,7 @@
                     root.generation
                 )
             }
-            OfferDecision::Same | OfferDecision::Older { .. } => {}
+            OfferDecision::Unchanged | OfferDecision::Stale { .. } => {}
         }
     }
 }
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -67,7 +67,7 @@
     let started = Instant::now();
     for number in 0..ROUTES {
         let ask = RouteRequest {
-            need: TargetRequirement::Adapter {
+            requirement: TargetRequirement::Adapter {
                 adapter: format!("adapter-{number}"),
                 version: 1,
                 base_model: format!("model-{}", number % 5),
@@ -112,7 +112,7 @@
             priority: 1,
             waited: Duration::from_millis(number as u64),
         };
-        black_box(giver.ask(&ask, now));
+        black_box(giver.request(&ask, now));
     }
     micros(started.elapsed(), askers as u32)
 }
--- a/testkit/tests/ingress_configuration.rs
+++ b/testkit/tests/ingress_configuration.rs
@@ -169,7 +169,7 @@
 #[tokio::test]
 async fn calls_to_the_store_are_few_while_nothing_changes() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    let hold = WatchPacing::default().watch(0).hold;
+    let hold = WatchPacing::default().next_call(0).hold;
     let watches = |prefix: &str| {
         let query = format!("PathPrefix={prefix}&");
         let wait = format!("&WaitMs={}", hold.as_millis());
--- a/transport/src/metadata/follower.rs
+++ b/transport/src/metadata/follower.rs
@@ -109,7 +109,7 @@
             self.sink.take_in(self.topic, heard, true);
             return Ok(Duration::ZERO);
         };
-        let times = self.pacing.watch(self.failures);
+        let times = self.pacing.next_call(self.failures);
         match self.source.watch(self.topic, after, times).await? {
             Watched::Records(heard) if heard.snapshot.at < after => {
                 // an answer of an earlier state says nothing new
--- a/transport/tests/store_outages.rs
+++ b/transport/tests/store_outages.rs
@@ -99,12 +99,12 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
         loop {
             if self.is_lost(began).await {
-                return Err(time_out(began, times.limit()).await);
+                return Err(time_out(began, times.timeout()).await);
             }
             if self.revision() > after || began.elapsed() >= times.hold {
                 sleep(ANSWER).await;
                 return match self.is_lost(began).await {
-                    true => Err(time_out(began, times.limit()).await),
+                    true => Err(time_out(began, times.timeout()).await),
                     false => Ok(Watched::Records(self.heard(self.revision()))),
                 };
             }
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -141,12 +141,12 @@
     set_up();
     let lease = ConfigLease::new(Some(REVOKED_WITHIN));
     let entry = Arc::new(Entry(Mutex::new((lease, 0))));
-    let pacing = WatchPacing::within(ms(2_000));
+    let pacing = WatchPacing::for_change_delay(ms(2_000));
     let follower = Follower::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
     let following = tokio::spawn(follower.run());
     let holds = || {
         let entry = entry.0.lock().expect("no holder panics");
-        (entry.0.holds(clock::now()), entry.1)
+        (entry.0.is_valid(clock::now()), entry.1)
     };
     sleep(ms(1)).await;
     assert_eq!(holds(), (true, 0), "the first answer is current");
