--- a/coordination/tests/config_lease.rs
+++ b/coordination/tests/config_lease.rs
@@ -1,4 +1,4 @@
-//! how long keys may be used on a box that hears nothing newer
+//! Time for which API keys are accepted on a box that receives no newer configuration.
 
 use {
     chalkcart_coordination::config::ConfigLease,
@@ -8,30 +8,34 @@
 const REVOKED_WITHIN: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_lease_begins_with_what_is_known_and_ends_before_a_key_must_be_gone() {
+fn a_lease_starts_with_a_configuration_and_ends_before_a_key_must_be_rejected() {
     let start = Instant::now();
     let mut lease = ConfigLease::new(Some(REVOKED_WITHIN));
-    assert!(!lease.is_valid(start), "nothing was heard");
+    assert!(!lease.is_valid(start), "no configuration was received");
     lease.on_current(start);
     assert!(lease.is_valid(start + REVOKED_WITHIN * 9 / 10));
     assert!(!lease.is_valid(start + REVOKED_WITHIN));
 }
 
-/// an answer that was long on its way speaks of the moment it was asked for
+/// A delayed response shows what was current when it was requested.
 #[test]
-fn an_answer_that_comes_late_does_not_prolong_a_lease() {
+fn a_delayed_response_does_not_extend_a_lease() {
     let start = Instant::now();
     let mut lease = ConfigLease::new(Some(REVOKED_WITHIN));
     let later = start + Duration::from_secs(3);
     lease.on_current(later);
     lease.on_current(start);
-    assert_eq!(lease.age(later), Some(Duration::ZERO), "never back");
-    let frozen_until = later + Duration::from_secs(60);
-    assert!(!lease.is_valid(frozen_until), "a freeze ends it");
+    assert_eq!(
+        lease.age(later),
+        Some(Duration::ZERO),
+        "the lease never goes back"
+    );
+    let resumed_at = later + Duration::from_secs(60);
+    assert!(!lease.is_valid(resumed_at), "a suspension ends it");
 }
 
 #[test]
-fn what_cant_be_read_ends_a_lease_until_something_can() {
+fn an_unreadable_configuration_suspends_a_lease() {
     let now = Instant::now();
     let mut lease = ConfigLease::new(Some(REVOKED_WITHIN));
     lease.on_current(now);
@@ -43,7 +47,7 @@
 }
 
 #[test]
-fn without_a_bound_what_is_known_holds() {
+fn a_lease_without_a_bound_is_always_valid() {
     let lease = ConfigLease::new(None);
     assert!(lease.is_valid(Instant::now()));
 }
--- a/coordination/tests/fair_queue.rs
+++ b/coordination/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! the order of a target's queue
+//! The order of a target's queue.
 
 use {
     chalkcart_coordination::queue::{FairQueue, QueuedRequest},
@@ -12,7 +12,7 @@
 const STEPS: u32 = 160;
 const STEP: Duration = Duration::from_millis(100);
 
-fn waiting(request: String, group: &str, priority: u8, now: Instant) -> QueuedRequest {
+fn queued_request(request: String, group: &str, priority: u8, now: Instant) -> QueuedRequest {
     QueuedRequest {
         request,
         group: group.to_string(),
@@ -35,23 +35,31 @@
     queue
 }
 
-/// start the first request; give its group
+/// Starts the first request and returns its group.
 fn start_first(queue: &mut FairQueue, now: Instant) -> String {
     let first = queue.order(now).remove(0);
-    queue.start(&first).expect("it waits").group
+    queue
+        .start(&first)
+        .expect("the first request is queued")
+        .group
 }
 
 #[test]
-fn groups_that_all_wait_are_served_by_their_shares_though_one_floods() {
+fn groups_are_served_by_their_shares_although_one_floods_the_queue() {
     let shares = [("one", 1), ("two", 2), ("five", 5)];
     let mut queue = new_queue(&shares);
     let mut now = Instant::now();
     let mut served: HashMap<String, u32> = HashMap::new();
     for step in 0..STEPS {
-        // each group adds more than it gets, the first far more
+        // each group adds more requests than are served, the first far more
         for (group, count) in [("one", 6), ("two", 1), ("five", 1)] {
             for number in 0..count {
-                queue.push(waiting(format!("{group}-{step}-{number}"), group, 1, now));
+                queue.push(queued_request(
+                    format!("{group}-{step}-{number}"),
+                    group,
+                    1,
+                    now,
+                ));
             }
         }
         now += STEP;
@@ -68,13 +76,18 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_patient_work_arrives() {
+fn urgent_requests_go_first_and_patient_requests_age() {
     let mut queue = new_queue(&[("branches", 1)]);
     let mut now = Instant::now();
-    queue.push(waiting("overnight".to_string(), "branches", 2, now));
+    queue.push(queued_request("overnight".to_string(), "branches", 2, now));
     let mut started_after = None;
     for step in 0..400 {
-        queue.push(waiting(format!("counter-{step}"), "branches", 0, now));
+        queue.push(queued_request(
+            format!("counter-{step}"),
+            "branches",
+            0,
+            now,
+        ));
         now += STEP;
         let first = queue.order(now).remove(0);
         queue.start(&first);
@@ -84,7 +97,7 @@
         }
     }
     let steps_to_age = (2 * AGE_AFTER.as_millis() / STEP.as_millis()) as i32;
-    let started_after = started_after.expect("it arrives");
+    let started_after = started_after.expect("the patient request starts");
     assert!(
         (steps_to_age - 2..=steps_to_age + 2).contains(&started_after),
         "{started_after}"
@@ -92,16 +105,16 @@
 }
 
 #[test]
-fn a_group_that_was_idle_gets_no_credit_for_it() {
+fn a_group_gets_no_credit_for_its_idle_time() {
     let mut queue = new_queue(&[("busy", 1), ("idle", 1)]);
     let now = Instant::now();
     for number in 0..100 {
-        queue.push(waiting(format!("busy-{number}"), "busy", 0, now));
+        queue.push(queued_request(format!("busy-{number}"), "busy", 0, now));
         start_first(&mut queue, now);
     }
     for number in 0..20 {
-        queue.push(waiting(format!("busy-x{number}"), "busy", 0, now));
-        queue.push(waiting(format!("idle-{number}"), "idle", 0, now));
+        queue.push(queued_request(format!("busy-x{number}"), "busy", 0, now));
+        queue.push(queued_request(format!("idle-{number}"), "idle", 0, now));
     }
     let first_ten: Vec<String> = (0..10).map(|_| start_first(&mut queue, now)).collect();
     let idle = first_ten.iter().filter(|g| *g == "idle").count();
@@ -109,12 +122,12 @@
 }
 
 #[test]
-fn what_can_no_longer_end_in_time_is_taken_out() {
+fn requests_that_would_miss_their_deadline_are_removed() {
     let mut queue = new_queue(&[("branches", 1)]);
     let now = Instant::now();
-    let mut row = waiting("soon".to_string(), "branches", 0, now);
-    row.deadline = now + Duration::from_secs(1);
-    queue.push(row);
+    let mut request = queued_request("soon".to_string(), "branches", 0, now);
+    request.deadline = now + Duration::from_secs(1);
+    queue.push(request);
     assert!(queue.remove_late(Duration::from_millis(50), now).is_empty());
     assert_eq!(queue.remove_late(Duration::from_millis(150), now).len(), 1);
 }
--- a/coordination/tests/intake_fleet.rs
+++ b/coordination/tests/intake_fleet.rs
@@ -1,17 +1,17 @@
-//! Fleets that share one limited engine by permits of its sidecar, in simulated time.
+//! Simulated fleets that share one rate-limited engine by permits of its sidecar.
 
 mod intake_sim;
 
-use intake_sim::{play, Setting, Trouble, Way};
+use intake_sim::{simulate, Fault, Scenario, SharingMethod};
 
 const SEEDS: u64 = 3;
-/// of what the limit lets be sent, this part may be left while requests wait
-const MOST_UNUSED: f64 = 0.15;
+/// fraction of the limit that may stay unused while requests wait
+const MAX_UNUSED: f64 = 0.15;
 
-fn setting(entries: u32, trouble: Trouble, skew: f64, seed: u64) -> Setting {
-    Setting {
-        way: Way::Permits,
-        trouble,
+fn scenario(entries: u32, fault: Fault, skew: f64, seed: u64) -> Scenario {
+    Scenario {
+        method: SharingMethod::Permits,
+        fault,
         entries,
         per_s: 2.0,
         demand_per_s: 4.0,
@@ -21,51 +21,52 @@
     }
 }
 
-/// Guards against: permits, what is saved of them, and the parts of those that do not hear the
-/// dealer add up to more than the engine takes.
+/// Guards against: permits, accumulated permits and the shares of entries that can't reach the
+/// issuer, which add up to more than the limit.
 #[test]
-fn no_window_has_more_than_is_allowed_whatever_happens() {
-    let troubles = [
-        Trouble::None,
-        Trouble::DealerRestarts,
-        Trouble::HalfCut,
-        Trouble::Freezes,
-        Trouble::LimitChanges,
+fn no_window_has_more_requests_than_allowed_under_any_fault() {
+    let faults = [
+        Fault::None,
+        Fault::IssuerRestarts,
+        Fault::HalfDisconnected,
+        Fault::Freezes,
+        Fault::LimitChanges,
     ];
     for entries in [4, 25, 103] {
-        for trouble in troubles {
+        for fault in faults {
             for (seed, skew) in (0..SEEDS).zip([0.0, 0.8, 0.3]) {
-                let outcome = play(setting(entries, trouble, skew, seed));
-                let most = outcome.most_in_window;
+                let outcome = simulate(scenario(entries, fault, skew, seed));
+                let max_sent = outcome.max_in_window;
                 assert!(
-                    most <= outcome.allowed,
-                    "{most} of {entries} entries, {trouble:?}, seed {seed}"
+                    max_sent <= outcome.allowed,
+                    "{max_sent} of {entries} entries, {fault:?}, seed {seed}"
                 );
             }
         }
     }
 }
 
-/// Guards against: a limit that is kept and wasted, as equal parts waste it: most of it where
-/// the requests come to one entry.
+/// Guards against: a limit that is mostly unused, as with equal shares when the requests arrive
+/// at one entry.
 #[test]
-fn a_limit_is_used_wherever_its_requests_come() {
+fn a_limit_is_used_wherever_the_requests_arrive() {
     for entries in [4, 25, 103] {
         for skew in [0.0, 0.8] {
-            let played = (0..SEEDS).map(|seed| play(setting(entries, Trouble::None, skew, seed)));
-            let unused = played.map(|o| o.unused).sum::<f64>() / SEEDS as f64;
-            assert!(unused <= MOST_UNUSED, "{unused} of {entries} entries");
+            let outcomes =
+                (0..SEEDS).map(|seed| simulate(scenario(entries, Fault::None, skew, seed)));
+            let unused = outcomes.map(|o| o.unused).sum::<f64>() / SEEDS as f64;
+            assert!(unused <= MAX_UNUSED, "{unused} of {entries} entries");
         }
     }
 }
 
-/// Guards against: a dealer that serves one entry and lets others wait for ever.
+/// Guards against: an issuer that starves some of the entries.
 #[test]
-fn the_dealer_serves_all_in_turn() {
+fn the_issuer_serves_all_entries_in_turn() {
     use chalkcart_coordination::backend_admission::PermitIssuer;
     use chalkcart_protocol::peer::IntakeReport;
     use std::time::{Duration, Instant};
-    let mut dealer = PermitIssuer::default();
+    let mut issuer = PermitIssuer::default();
     let mut granted = [0u32; 5];
     let begun = Instant::now();
     for step in 0..6_000u32 {
@@ -80,12 +81,9 @@
             priority: 1,
             unused: 0,
         };
-        granted[number] += dealer.issue(2.0, &report, now).0;
+        granted[number] += issuer.issue(2.0, &report, now).0;
     }
-    let (least, most) = (granted.iter().min(), granted.iter().max());
+    let (min, max) = (granted.iter().min(), granted.iter().max());
     assert_eq!(granted.iter().sum::<u32>(), 119, "{granted:?}");
-    assert!(
-        most.zip(least).is_some_and(|(m, l)| m - l <= 1),
-        "{granted:?}"
-    );
+    assert!(max.zip(min).is_some_and(|(m, l)| m - l <= 1), "{granted:?}");
 }
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -1,4 +1,4 @@
-//! with any mechanism switched off the dispatcher keeps the rules
+//! Dispatching with each of the features switched off.
 
 mod dispatch_fixture;
 
@@ -15,11 +15,11 @@
 const SEED: u64 = 19;
 const STEPS: usize = 120;
 const CASES: u64 = 25;
-/// places for adapters of an engine, and for requests (as the fixture lists it)
+/// adapters that an engine holds, and requests that it runs, as the fixture lists it
 const ADAPTER_SLOTS: usize = 2;
 const SLOTS: usize = 4;
 
-/// each switch off, and all on
+/// Returns the settings with each switch off, and with all on.
 fn variants() -> Vec<FeatureSwitches> {
     let on = FeatureSwitches::default();
     let off: [fn(&mut FeatureSwitches); 10] = [
@@ -36,27 +36,27 @@
     ];
     off.iter()
         .map(|switch| {
-            let mut mechanisms = on;
-            switch(&mut mechanisms);
-            mechanisms
+            let mut switches = on;
+            switch(&mut switches);
+            switches
         })
         .collect()
 }
 
-/// engines that load what is wished for, and requests that run there
-struct World {
+/// Engines that load the requested adapters, and the requests that run there.
+struct Simulation {
     fixture: Fixture,
-    /// adapters of each engine, the oldest first
+    /// adapters that each engine holds, the oldest first
     held: BTreeMap<u8, Vec<String>>,
     running: BTreeMap<Ticket, (String, String)>,
     waiting: BTreeMap<Ticket, String>,
     next: Ticket,
 }
 
-impl World {
-    fn new(mechanisms: FeatureSwitches) -> Self {
+impl Simulation {
+    fn new(switches: FeatureSwitches) -> Self {
         let mut fixture = fixture_with_views();
-        fixture.tune(|settings| settings.mechanisms = mechanisms);
+        fixture.tune(|settings| settings.mechanisms = switches);
         Self {
             fixture,
             held: (1..=3).map(|number| (number, Vec::new())).collect(),
@@ -80,7 +80,7 @@
             _ => {
                 let decided = self.fixture.pass(ms(u64::from(value)));
                 self.check(decided);
-                self.load_wished();
+                self.load_requested();
                 Vec::new()
             }
         };
@@ -98,8 +98,8 @@
         self.fixture.tell(DispatchEvent::Ended { ticket, outcome })
     }
 
-    /// each engine takes up what is wished for there, where a place is free
-    fn load_wished(&mut self) {
+    /// Loads the requested adapters on each engine that has a free slot.
+    fn load_requested(&mut self) {
         for (addr, demand) in self
             .fixture
             .dispatcher
@@ -135,7 +135,10 @@
 
     fn check(&mut self, decided: Vec<(Ticket, Decision)>) {
         for (ticket, decision) in decided {
-            let name = self.waiting.remove(&ticket).expect("one decision each");
+            let name = self
+                .waiting
+                .remove(&ticket)
+                .expect("one decision for each request");
             let Decision::Send(assignment) = decision else {
                 continue;
             };
@@ -145,14 +148,17 @@
                 .trim_start_matches("engines-")
                 .parse()
                 .unwrap();
-            assert!(self.held[&number].contains(&name), "it holds {name}");
+            assert!(
+                self.held[&number].contains(&name),
+                "the engine holds {name}"
+            );
             self.running
                 .insert(ticket, (assignment.backend.to_string(), name));
             let there = self
                 .running
                 .values()
                 .filter(|(b, _)| assignment.backend == b.as_str());
-            assert!(there.count() <= SLOTS, "no more than its places");
+            assert!(there.count() <= SLOTS, "no more requests than slots");
         }
     }
 }
@@ -160,18 +166,18 @@
 #[test]
 fn requests_go_only_where_they_can_run_and_each_gets_one_decision() {
     fn check(steps: Vec<(u8, u8)>) -> bool {
-        for mechanisms in variants() {
-            let mut world = World::new(mechanisms);
-            steps.iter().for_each(|step| world.step(*step));
-            // those that wait get an answer in the end
+        for switches in variants() {
+            let mut simulation = Simulation::new(switches);
+            steps.iter().for_each(|step| simulation.step(*step));
+            // waiting requests get a decision in the end
             for _ in 0..20 {
-                let decided = world.fixture.pass(ms(200));
-                world.check(decided);
+                let decided = simulation.fixture.pass(ms(200));
+                simulation.check(decided);
             }
             assert!(
-                world.waiting.is_empty(),
-                "{mechanisms}: {:?}",
-                world.waiting
+                simulation.waiting.is_empty(),
+                "{switches}: {:?}",
+                simulation.waiting
             );
         }
         true
@@ -183,9 +189,9 @@
 }
 
 #[test]
-fn those_that_are_off_are_named() {
-    let mut mechanisms = FeatureSwitches::default();
-    assert_eq!(mechanisms.to_string(), "all on");
-    mechanisms.copies = false;
-    assert_eq!(mechanisms.to_string(), "off: copies");
+fn switches_that_are_off_are_listed() {
+    let mut switches = FeatureSwitches::default();
+    assert_eq!(switches.to_string(), "all on");
+    switches.copies = false;
+    assert_eq!(switches.to_string(), "off: copies");
 }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -1,4 +1,4 @@
-//! what back ends say of themselves in the heads of their answers
+//! Signals that back ends send in the heads of their responses.
 
 mod dispatch_fixture;
 mod keeper_fixture;
@@ -15,7 +15,7 @@
     std::time::Duration,
 };
 
-const LEAVES: BackendSignals = BackendSignals {
+const LEAVING: BackendSignals = BackendSignals {
     is_leaving: true,
     backoff: None,
     limit: LimitSignal::Absent,
@@ -26,16 +26,16 @@
     vec![backend(PLAIN, 1), backend(PLAIN, 2)]
 }
 
-/// s of rest that back ends ask for here
-const REST_S: u64 = 3;
-const RESTS: BackendSignals = BackendSignals {
+/// back-off that back ends request in these tests, in seconds
+const BACKOFF_S: u64 = 3;
+const BACKING_OFF: BackendSignals = BackendSignals {
     is_leaving: false,
-    backoff: Some(Duration::from_secs(REST_S)),
+    backoff: Some(Duration::from_secs(BACKOFF_S)),
     limit: LimitSignal::Absent,
     slow_start_left: None,
 };
 
-fn say(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
+fn receive_signals(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
     let backend = backend.into();
     let sent = fixture.now;
     fixture.tell(DispatchEvent::Said {
@@ -45,64 +45,69 @@
     });
 }
 
-/// where a request of the plain service goes, if it goes at once
-fn goes_to(fixture: &mut Fixture, ticket: u64) -> Option<String> {
+/// Returns the back end that a request for the plain service is sent to, if it is sent at once.
+fn route_plain_request(fixture: &mut Fixture, ticket: u64) -> Option<String> {
     let ask = fixture.new_ask(PLAIN, None);
     let sent = sent_to(&fixture.ask(ticket, ask));
     fixture.end(ticket, SendOutcome::Answered);
     sent.first().cloned()
 }
 
-fn never_goes_to(fixture: &mut Fixture, backend: &str) {
+fn assert_never_routed_to(fixture: &mut Fixture, backend: &str) {
     for ticket in 100..120 {
-        assert_ne!(goes_to(fixture, ticket).as_deref(), Some(backend));
+        assert_ne!(
+            route_plain_request(fixture, ticket).as_deref(),
+            Some(backend)
+        );
     }
 }
 
 #[test]
-fn a_back_end_that_says_that_it_leaves_gets_nothing_whatever_its_record_says() {
+fn a_leaving_back_end_gets_no_requests_whatever_its_record_says() {
     let mut fixture = Fixture::new(two_plain());
-    say(&mut fixture, "plain-1", LEAVES);
-    never_goes_to(&mut fixture, "plain-1");
-    // a newer record that does not know it yet
+    receive_signals(&mut fixture, "plain-1", LEAVING);
+    assert_never_routed_to(&mut fixture, "plain-1");
+    // a newer record without the state
     let mut newer = two_plain();
     newer[0].slots = 8;
     fixture.list(newer);
-    never_goes_to(&mut fixture, "plain-1");
-    // its record lapses and returns, as records do while the store is down
+    assert_never_routed_to(&mut fixture, "plain-1");
+    // the record expires and returns, as happens while the store is down
     fixture.list(vec![backend(PLAIN, 2)]);
     fixture.pass(ms(30_000));
     fixture.list(two_plain());
-    never_goes_to(&mut fixture, "plain-1");
+    assert_never_routed_to(&mut fixture, "plain-1");
 }
 
 #[test]
-fn nothing_goes_to_the_last_one_either() {
+fn the_last_back_end_gets_no_requests_either_when_it_leaves() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    say(&mut fixture, "plain-1", LEAVES);
-    assert_eq!(goes_to(&mut fixture, 1), None);
+    receive_signals(&mut fixture, "plain-1", LEAVING);
+    assert_eq!(route_plain_request(&mut fixture, 1), None);
     fixture.list(Vec::new());
-    assert_eq!(goes_to(&mut fixture, 2), None);
+    assert_eq!(route_plain_request(&mut fixture, 2), None);
 }
 
 #[test]
-fn its_next_life_is_used() {
+fn the_next_incarnation_of_a_leaving_back_end_is_used() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    say(&mut fixture, "plain-1", LEAVES);
-    let reborn = Backend {
+    receive_signals(&mut fixture, "plain-1", LEAVING);
+    let restarted = Backend {
         id: "plain-9".into(),
         ..backend(PLAIN, 1)
     };
-    fixture.list(vec![reborn]);
-    assert_eq!(goes_to(&mut fixture, 1).as_deref(), Some("plain-9"));
+    fixture.list(vec![restarted]);
+    assert_eq!(
+        route_plain_request(&mut fixture, 1).as_deref(),
+        Some("plain-9")
+    );
 }
 
-/// an adapter that only the leaving engine has is loaded elsewhere, and no more there
 #[test]
-fn adapters_find_another_home() {
+fn an_adapter_of_a_leaving_engine_is_loaded_on_another_engine() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
-    say(&mut fixture, "engines-1", LEAVES);
+    receive_signals(&mut fixture, "engines-1", LEAVING);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert!(fixture.ask(1, ask).is_empty());
     let homes = fixture.homes("a");
@@ -111,19 +116,19 @@
 }
 
 #[test]
-fn a_wish_at_an_engine_that_leaves_is_dropped() {
+fn a_pending_load_on_a_leaving_engine_is_dropped() {
     let mut fixture = fixture_with_views();
     let ask = fixture.new_ask(ENGINES, Some("a"));
     fixture.ask(1, ask);
     let homes = fixture.homes("a");
-    say(&mut fixture, &homes[0], LEAVES);
+    receive_signals(&mut fixture, &homes[0], LEAVING);
     fixture.pass(ms(25));
     let after = fixture.homes("a");
     assert_eq!(after.len(), 1);
     assert_ne!(after, homes);
 }
 
-/// back ends to which these decisions send, and causes of refusal with the time to come back
+/// Returns the causes and the retry times of the rejected requests.
 fn refusals(decisions: &[(Ticket, Decision)]) -> Vec<(RefusalCause, Duration)> {
     let refused = decisions.iter().filter_map(|(_, d)| match d {
         Decision::Refuse {
@@ -135,88 +140,91 @@
 }
 
 #[test]
-fn a_back_end_that_asks_for_rest_gets_nothing_until_its_end() {
+fn a_back_end_gets_no_requests_during_its_requested_backoff() {
     let mut fixture = Fixture::new(two_plain());
-    say(&mut fixture, "plain-1", RESTS);
-    never_goes_to(&mut fixture, "plain-1");
-    fixture.pass(ms(REST_S * 1_000 - 1));
-    never_goes_to(&mut fixture, "plain-1");
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
+    assert_never_routed_to(&mut fixture, "plain-1");
+    fixture.pass(ms(BACKOFF_S * 1_000 - 1));
+    assert_never_routed_to(&mut fixture, "plain-1");
     fixture.pass(ms(1));
-    assert_eq!(goes_to(&mut fixture, 1).as_deref(), Some("plain-1"));
+    assert_eq!(
+        route_plain_request(&mut fixture, 1).as_deref(),
+        Some("plain-1")
+    );
 }
 
-/// a shorter rest that is asked for later does not end a longer one
+/// Guards against: a later, shorter back-off that ends a longer one.
 #[test]
-fn the_longest_rest_holds() {
+fn the_longest_backoff_applies() {
     let mut fixture = Fixture::new(two_plain());
-    say(&mut fixture, "plain-1", RESTS);
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
     let shorter = BackendSignals {
         backoff: Some(ms(10)),
         ..BackendSignals::default()
     };
-    say(&mut fixture, "plain-1", shorter);
+    receive_signals(&mut fixture, "plain-1", shorter);
     fixture.pass(ms(100));
-    never_goes_to(&mut fixture, "plain-1");
+    assert_never_routed_to(&mut fixture, "plain-1");
 }
 
 #[test]
-fn a_rest_outlives_the_record_of_its_back_end() {
+fn a_backoff_is_kept_while_its_back_end_is_not_listed() {
     let mut fixture = Fixture::new(two_plain());
-    say(&mut fixture, "plain-1", RESTS);
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
     fixture.list(vec![backend(PLAIN, 2)]);
     fixture.pass(ms(500));
     fixture.list(two_plain());
-    never_goes_to(&mut fixture, "plain-1");
+    assert_never_routed_to(&mut fixture, "plain-1");
 }
 
 #[test]
-fn what_only_resting_ones_could_serve_is_refused_at_once_until_the_first_is_back() {
+fn requests_are_rejected_until_the_first_backoff_ends_if_all_back_ends_are_backing_off() {
     let mut fixture = Fixture::new(two_plain());
-    say(&mut fixture, "plain-1", RESTS);
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
     fixture.pass(ms(1_000));
-    say(&mut fixture, "plain-2", RESTS);
+    receive_signals(&mut fixture, "plain-2", BACKING_OFF);
     let ask = fixture.new_ask(PLAIN, None);
     let decided = fixture.ask(1, ask);
-    let left = ms(REST_S * 1_000 - 1_000);
+    let left = ms(BACKOFF_S * 1_000 - 1_000);
     assert_eq!(refusals(&decided), [(RefusalCause::Resting, left)]);
 }
 
 #[test]
-fn a_rest_that_ends_within_the_wait_is_waited_for() {
+fn a_request_waits_for_a_backoff_that_ends_in_time() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
     let short = BackendSignals {
         backoff: Some(ms(100)),
         ..BackendSignals::default()
     };
-    say(&mut fixture, "plain-1", short);
+    receive_signals(&mut fixture, "plain-1", short);
     let ask = fixture.new_ask(PLAIN, None);
     assert!(fixture.ask(1, ask).is_empty());
     assert_eq!(sent_to(&fixture.pass(ms(100))), ["plain-1"]);
 }
 
-/// the only engines with the base model rest: no other gets one within their rest
+/// Guards against: a base model that is loaded because the only engines with it are backing off.
 #[test]
-fn a_base_model_is_not_loaded_elsewhere_for_a_rest() {
+fn a_base_model_is_not_loaded_on_another_engine_during_a_backoff() {
     let mut fixture = fixture_with_views();
     for number in [2, 3] {
         let mut bare = view(&format!("engines-{number}"), &[]);
         bare.models.clear();
         fixture.view(number, bare);
     }
-    say(&mut fixture, "engines-1", RESTS);
+    receive_signals(&mut fixture, "engines-1", BACKING_OFF);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     let decided = fixture.ask(1, ask);
-    let left = ms(REST_S * 1_000);
+    let left = ms(BACKOFF_S * 1_000);
     assert_eq!(refusals(&decided), [(RefusalCause::Resting, left)]);
     assert!(fixture.homes("a").is_empty());
 }
 
-/// what waited for the end of a rest does not come at once
+/// Guards against: waiting requests that are all sent when a back-off ends.
 #[test]
-fn one_request_shows_whether_a_rest_is_over() {
+fn a_single_probe_request_follows_a_backoff() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    say(&mut fixture, "plain-1", RESTS);
-    fixture.pass(ms(REST_S * 1_000));
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
+    fixture.pass(ms(BACKOFF_S * 1_000));
     let decided: Vec<_> = (1..=3)
         .flat_map(|ticket| {
             let ask = fixture.new_ask(PLAIN, None);
@@ -224,22 +232,22 @@
         })
         .collect();
     assert_eq!(sent_to(&decided).len(), 1);
-    // turned away without a time: the next one shows it
+    // refused without a new back-off: the next request is the probe
     fixture.end(1, SendOutcome::Shed);
     assert_eq!(sent_to(&fixture.pass(ms(100))).len(), 1);
-    // it has begun to run: all others follow
+    // the probe has started to run: all others are sent
     fixture.tell(DispatchEvent::Started(2));
     assert_eq!(sent_to(&fixture.pass(ms(1))).len(), 1);
     let ask = fixture.new_ask(PLAIN, None);
     assert_eq!(sent_to(&fixture.ask(4, ask)).len(), 1);
 }
 
-/// a client that leaves does not keep others from it
+/// Guards against: a client disconnect that blocks the requests of others.
 #[test]
-fn a_trial_that_is_abandoned_is_followed_by_another() {
+fn an_abandoned_probe_is_followed_by_another() {
     let mut fixture = Fixture::new(vec![backend(PLAIN, 1)]);
-    say(&mut fixture, "plain-1", RESTS);
-    fixture.pass(ms(REST_S * 1_000));
+    receive_signals(&mut fixture, "plain-1", BACKING_OFF);
+    fixture.pass(ms(BACKOFF_S * 1_000));
     for ticket in 1..=3 {
         let ask = fixture.new_ask(PLAIN, None);
         assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
@@ -247,7 +255,7 @@
     }
 }
 
-/// a sidecar whose engine holds its base model and is known by name
+/// Returns a sidecar that knows the identity of its engine, which holds the base model.
 fn keeper() -> Keeper {
     let mut keeper = Keeper::new();
     keeper.demand(&["a"], &[]);
@@ -257,16 +265,16 @@
     keeper
 }
 
-/// neither orders nor reports nor questions for its identity
+/// Guards against: orders, report requests and identity requests to an engine that is backing off.
 #[test]
-fn a_sidecar_whose_order_was_turned_away_asks_nothing_of_its_engine_until_the_end_of_its_rest() {
+fn a_sidecar_makes_no_calls_to_its_engine_during_a_backoff() {
     let mut keeper = keeper();
     let order = keeper.order().expect("a load");
     keeper
         .control
-        .handle(PlacementEvent::Said(RESTS), keeper.now);
+        .handle(PlacementEvent::Said(BACKING_OFF), keeper.now);
     keeper.answer(order, OrderAnswer::Refused);
-    for _ in 0..REST_S * 10 {
+    for _ in 0..BACKOFF_S * 10 {
         let step = keeper.step();
         assert!(matches!(step, PlacementStep::Rest { .. }), "{step:?}");
         keeper.demand(&["a"], &[]);
@@ -275,35 +283,35 @@
     assert!(!matches!(keeper.step(), PlacementStep::Rest { .. }));
 }
 
-/// an entry names a later life than the one that asked for rest
+/// An entry reports a later incarnation than the one that requested the back-off.
 #[test]
-fn the_rest_of_a_former_life_is_not_kept() {
+fn the_backoff_of_a_previous_incarnation_is_not_kept() {
     let mut keeper = keeper();
     keeper
         .control
-        .handle(PlacementEvent::Said(RESTS), keeper.now);
+        .handle(PlacementEvent::Said(BACKING_OFF), keeper.now);
     assert!(matches!(keeper.step(), PlacementStep::Rest { .. }));
     keeper.demand_of(&format!("{ENGINE}-again"), &["a"], &[]);
     assert!(!matches!(keeper.step(), PlacementStep::Rest { .. }));
 }
 
-/// other entries have had no answer of it, and the store is silent
+/// Guards against: entries that don't know of it, without a response of the engine or a list.
 #[test]
-fn a_sidecar_tells_entries_that_its_engine_leaves() {
+fn a_sidecar_reports_to_entries_that_its_engine_is_leaving() {
     let mut keeper = keeper();
     keeper
         .control
-        .handle(PlacementEvent::Said(LEAVES), keeper.now);
-    assert!(keeper.order().is_none(), "a load in vain");
+        .handle(PlacementEvent::Said(LEAVING), keeper.now);
+    assert!(keeper.order().is_none(), "no load on a leaving engine");
     assert!(keeper.view().figures.is_leaving);
     let mut fixture = fixture_with_views();
-    let mut told = view("engines-1", &[("a", 1)]);
-    told.figures.is_leaving = true;
-    fixture.view(1, told);
+    let mut reported = view("engines-1", &[("a", 1)]);
+    reported.figures.is_leaving = true;
+    fixture.view(1, reported);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert!(fixture.ask(1, ask).is_empty());
     assert_ne!(fixture.homes("a"), ["engines-1"]);
-    // with figures alone
+    // from engine stats without a view
     let mut figures = view("engines-2", &[]).figures;
     figures.is_leaving = true;
     let backend = "engines-2".into();
@@ -313,10 +321,10 @@
     assert!(fixture.ask(2, ask).is_empty());
 }
 
-/// Guards against: a sidecar that keeps to itself that its engine names a limit or is cold, and
-/// one that says it of the next life.
+/// Guards against: a sidecar that doesn't report its engine's limit or slow start, and one that
+/// reports them for the next incarnation.
 #[test]
-fn a_sidecar_passes_on_what_its_engine_takes_and_forgets_it_with_its_life() {
+fn a_sidecar_reports_the_limit_and_slow_start_of_one_incarnation_only() {
     let mut keeper = Keeper::new();
     keeper.demand(&[], &[]);
     keeper.identify();
--- a/coordination/tests/permits.rs
+++ b/coordination/tests/permits.rs
@@ -1,4 +1,4 @@
-//! the giver of load permits
+//! The issuer of permits to load from the weight store.
 
 use {
     chalkcart_coordination::permits::{LoadPermitIssuer, LoadPermitSettings},
@@ -6,7 +6,7 @@
     std::time::{Duration, Instant},
 };
 
-fn ask(target: &str, priority: u8, waited: u64) -> PermitAsk {
+fn request_of(target: &str, priority: u8, waited: u64) -> PermitAsk {
     PermitAsk {
         purpose: PermitPurpose::Ask,
         target: target.to_string(),
@@ -21,23 +21,23 @@
 }
 
 #[test]
-fn no_more_than_the_stores_limits_are_out() {
+fn permits_stay_within_the_stores_limits() {
     let start = Instant::now();
     let settings = LoadPermitSettings::default();
-    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
+    let mut issuer = LoadPermitIssuer::new(settings.clone(), start);
     let mut granted = 0;
     let mut now = start;
-    // ten targets that come back until they get one, then wish for another
-    let mut wished = [start; 10];
+    // ten targets that repeat their request until it is granted, then request another
+    let mut requested_at = [start; 10];
     for step in 0..400 {
         now = start + Duration::from_millis(25 * step);
-        let index = step as usize % wished.len();
-        let mut ask = ask(&format!("t{index}"), 0, 0);
-        ask.waited = now - wished[index];
-        if is_granted(giver.request(&ask, now)) {
+        let index = step as usize % requested_at.len();
+        let mut request = request_of(&format!("t{index}"), 0, 0);
+        request.waited = now - requested_at[index];
+        if is_granted(issuer.request(&request, now)) {
             granted += 1;
-            giver.release(&ask);
-            wished[index] = now;
+            issuer.release(&request);
+            requested_at[index] = now;
         }
     }
     let seconds = (now - start).as_secs_f64();
@@ -47,13 +47,15 @@
 }
 
 #[test]
-fn the_most_urgent_then_the_longest_wait_goes_first() {
+fn the_most_urgent_then_the_longest_waiting_load_is_permitted_first() {
     let start = Instant::now();
-    let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), start);
-    assert!(is_granted(giver.request(&ask("first", 2, 0), start)));
+    let mut issuer = LoadPermitIssuer::new(LoadPermitSettings::default(), start);
+    assert!(is_granted(
+        issuer.request(&request_of("first", 2, 0), start)
+    ));
     for (target, priority, waited) in [("late", 0, 1), ("patient", 2, 9), ("early", 0, 5)] {
         assert!(!is_granted(
-            giver.request(&ask(target, priority, waited), start)
+            issuer.request(&request_of(target, priority, waited), start)
         ));
     }
     let now = start + Duration::from_millis(400);
@@ -63,41 +65,43 @@
             "late" => (0, 1),
             _ => (0, 5),
         };
-        is_granted(giver.request(&ask(target, priority, waited), now))
+        is_granted(issuer.request(&request_of(target, priority, waited), now))
     });
     assert_eq!(order, [false, false, true]);
 }
 
 #[test]
-fn a_lease_that_is_not_given_back_ends() {
+fn a_permit_that_is_not_released_expires() {
     let start = Instant::now();
     let settings = LoadPermitSettings {
         loads_at_once: 1,
         ..LoadPermitSettings::default()
     };
-    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
-    assert!(is_granted(giver.request(&ask("dead", 0, 0), start)));
+    let mut issuer = LoadPermitIssuer::new(settings.clone(), start);
+    assert!(is_granted(issuer.request(&request_of("dead", 0, 0), start)));
     let later = start + settings.lease / 2;
-    assert!(!is_granted(giver.request(&ask("next", 0, 0), later)));
+    assert!(!is_granted(
+        issuer.request(&request_of("next", 0, 0), later)
+    ));
     assert!(
-        is_granted(giver.request(&ask("dead", 0, 0), later)),
-        "asked again after a lost answer"
+        is_granted(issuer.request(&request_of("dead", 0, 0), later)),
+        "requested again after a lost response"
     );
     let after = start + settings.lease;
-    assert!(is_granted(giver.request(&ask("next", 0, 0), after)));
+    assert!(is_granted(issuer.request(&request_of("next", 0, 0), after)));
 }
 
 #[test]
-fn those_far_behind_come_back_later_but_before_they_are_forgotten() {
+fn loads_at_a_low_rank_retry_later_but_before_their_request_expires() {
     let start = Instant::now();
     let settings = LoadPermitSettings::default();
-    let mut giver = LoadPermitIssuer::new(settings.clone(), start);
+    let mut issuer = LoadPermitIssuer::new(settings.clone(), start);
     let retry = |answer| match answer {
         PermitAnswer::Wait { retry_after } => retry_after,
         PermitAnswer::Granted { .. } => Duration::ZERO,
     };
     let pauses: Vec<Duration> = (0..50)
-        .map(|number| giver.request(&ask(&format!("t{number}"), number, 0), start))
+        .map(|number| issuer.request(&request_of(&format!("t{number}"), number, 0), start))
         .map(retry)
         .collect();
     assert!(pauses.is_sorted(), "{pauses:?}");
