--- a/coordination/src/dispatch/backend_signal_tracker.rs
+++ b/coordination/src/dispatch/backend_signal_tracker.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{intake::NamedLimit, own_word::OwnWord},
+    crate::{backend_admission::AdvertisedLimit, backend_signals::BackendSignals},
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -22,15 +22,15 @@
     /// Ends of requested back-offs.
     backoffs: HashMap<BackendId, Instant>,
     /// Rate limits of back ends whose records are gone.
-    limits: HashMap<BackendId, (NamedLimit, Instant)>,
+    limits: HashMap<BackendId, (AdvertisedLimit, Instant)>,
 }
 
 impl BackendSignalTracker {
-    pub fn on_signal(&mut self, backend: &BackendId, signal: OwnWord, now: Instant) {
+    pub fn on_signal(&mut self, backend: &BackendId, signal: BackendSignals, now: Instant) {
         if signal.is_leaving {
             self.leaving.insert(backend.clone(), now);
         }
-        if let Some(backoff) = signal.rest {
+        if let Some(backoff) = signal.backoff {
             let until = now + backoff;
             let known = self.backoffs.entry(backend.clone()).or_insert(until);
             *known = until.max(*known);
@@ -46,12 +46,12 @@
         until.filter(|until| *until > now)
     }
     /// Keeps the rate limit of a back end whose record is gone, in case it returns.
-    pub fn save_limit(&mut self, backend: &BackendId, limit: &NamedLimit, now: Instant) {
-        if limit.named().is_some() {
+    pub fn save_limit(&mut self, backend: &BackendId, limit: &AdvertisedLimit, now: Instant) {
+        if limit.effective_rate().is_some() {
             self.limits.insert(backend.clone(), (limit.clone(), now));
         }
     }
-    pub fn take_limit(&mut self, backend: &BackendId) -> NamedLimit {
+    pub fn take_limit(&mut self, backend: &BackendId) -> AdvertisedLimit {
         let saved = self.limits.remove(backend);
         saved.map(|(limit, _)| limit).unwrap_or_default()
     }
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -1,8 +1,9 @@
 use {
     super::{backend_signal_tracker::BackendSignalTracker, DispatchRequest, EngineObservations},
     crate::{
-        intake::{
-            AskedRest, ColdBound, ColdPace, FullPause, Health, IntakeReason, NamedLimit, Sharers,
+        backend_admission::{
+            AdmissionGate, AdvertisedLimit, Health, LimitSharing, RequestedBackoff,
+            SaturationPause, SlowStart, SlowStartSettings,
         },
         membership::{rendezvous_weight, stable_hash},
         placement::{adapter_hash, AdapterHash, RecentAdapters},
@@ -69,9 +70,9 @@
     /// Whether the back end itself announced that it is leaving.
     pub has_announced_leaving: bool,
     /// The back-off that the back end requested.
-    pub backoff: AskedRest,
+    pub backoff: RequestedBackoff,
     /// The rate limit that the back end advertises.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// What this entry observed while the sidecar didn't report.
     pub observations: EngineObservations,
     /// Whether it left the list; it is used only if the service has no other back end.
@@ -106,9 +107,9 @@
     pub is_last_demand_empty: bool,
     /// Adapters that the engine refused since the last view.
     refused_adapters: HashSet<AdapterRef>,
-    saturation: FullPause,
+    saturation: SaturationPause,
     /// Present while the engine is in slow start, or was at the last check.
-    pub slow_start: Option<ColdBound>,
+    pub slow_start: Option<SlowStart>,
 }
 
 impl BackendState {
@@ -119,8 +120,8 @@
             recently_held: RecentAdapters::default(),
             listed,
             has_announced_leaving: false,
-            backoff: AskedRest::default(),
-            limit: NamedLimit::default(),
+            backoff: RequestedBackoff::default(),
+            limit: AdvertisedLimit::default(),
             observations: EngineObservations::default(),
             is_unlisted: false,
             is_ahead_of_list: false,
@@ -139,7 +140,7 @@
             used_adapters: HashSet::new(),
             is_last_demand_empty: false,
             refused_adapters: HashSet::new(),
-            saturation: FullPause::default(),
+            saturation: SaturationPause::default(),
             slow_start: None,
         }
     }
@@ -153,12 +154,12 @@
     }
     /// Returns how the limit of the back end is shared by `entries` entries, one of which
     /// is `entry`.
-    pub fn limit_sharing(&self, entry: &str, entries: u32, is_engine: bool) -> Sharers {
+    pub fn limit_sharing(&self, entry: &str, entries: u32, is_engine: bool) -> LimitSharing {
         let weight = rendezvous_weight(stable_hash(entry), self.home_hash);
-        Sharers {
+        LimitSharing {
             entries,
             phase: weight as f64 / u64::MAX as f64,
-            has_dealer: self.view.is_some(),
+            has_issuer: self.view.is_some(),
             is_engine,
         }
     }
@@ -166,20 +167,20 @@
     /// Sets the time left of the slow start; `entry` is the entry that sends.
     pub fn set_slow_start(&mut self, entry: &str, left: Duration, now: Instant) {
         match &mut self.slow_start {
-            Some(slow_start) => slow_start.set_left(left, now),
+            Some(slow_start) => slow_start.set_remaining(left, now),
             None if left.is_zero() => {}
-            None => self.slow_start = Some(ColdBound::new(entry, &self.listed.id, left, now)),
+            None => self.slow_start = Some(SlowStart::new(entry, &self.listed.id, left, now)),
         }
     }
-    pub fn advance_slow_start(&mut self, pace: ColdPace, entries: u32, now: Instant) {
+    pub fn advance_slow_start(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
         self.slow_start = self
             .slow_start
             .take()
-            .filter(|slow_start| slow_start.is_cold(now));
+            .filter(|slow_start| slow_start.is_active(now));
         // slow start is not limited in services without a rate for it
-        self.slow_start = self.slow_start.take().filter(|_| pace.per_s > 0.0);
+        self.slow_start = self.slow_start.take().filter(|_| pace.requests_per_s > 0.0);
         if let Some(slow_start) = &mut self.slow_start {
-            slow_start.pass(pace, entries, now);
+            slow_start.refill(pace, entries, now);
         }
     }
 
@@ -241,9 +242,9 @@
     }
     pub fn on_sent(&mut self, sent: &InFlightRequest) {
         if let Some(slow_start) = &mut self.slow_start {
-            slow_start.on_sent();
+            slow_start.on_request_sent();
         }
-        self.limit.on_sent(sent.sent_at);
+        self.limit.on_request_sent(sent.sent_at);
         self.in_flight += 1;
         self.crash_suspects += u32::from(sent.is_crash_suspect);
         self.waiting_prefills += 1;
@@ -282,7 +283,7 @@
         self.running_by_adapter.is_empty() && self.used_adapters.is_empty()
     }
     pub fn on_saturated(&mut self, now: Instant) {
-        self.saturation.on_full(now);
+        self.saturation.on_saturated(now);
     }
     /// Records that the engine lacks an adapter or has another version of it. Returns
     /// whether the sidecar doesn't report and the adapter had not been seen there before:
@@ -341,7 +342,7 @@
         self.view.as_ref().map_or(0, |v| v.figures.spare_slots)
     }
     pub fn is_available(&self, now: Instant) -> bool {
-        let is_paused = self.health.is_resting(now) || self.backoff.is_on(now);
+        let is_paused = self.health.is_ejected(now) || self.backoff.is_active(now);
         self.may_receive_requests() && !self.is_unlisted && !is_paused
     }
     /// Returns whether the back end takes no new requests, by its record or its own signal.
@@ -389,9 +390,9 @@
         let slow_start = self
             .slow_start
             .as_ref()
-            .map(|slow_start| slow_start as &dyn IntakeReason);
+            .map(|slow_start| slow_start as &dyn AdmissionGate);
         let reasons = [
-            Some(&self.backoff as &dyn IntakeReason),
+            Some(&self.backoff as &dyn AdmissionGate),
             slow_start,
             Some(&self.saturation),
         ];
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -6,7 +6,7 @@
         dispatcher::Dispatcher,
         BackendState,
     },
-    crate::own_word::OwnWord,
+    crate::backend_signals::BackendSignals,
     chalkcart_protocol::peer::{EngineFigures, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId, BackendList, BackendName},
@@ -64,7 +64,7 @@
                     self.urgent_demands.insert(id.clone());
                     let mut state = BackendState::new(backend, now);
                     state.restore_signals(&mut self.signals, now);
-                    if state.limit.named().is_some() {
+                    if state.limit.effective_rate().is_some() {
                         self.limited_backends.insert(id.clone());
                     }
                     state.set_slow_start(entry, cold_left, now);
@@ -209,7 +209,7 @@
             self.on_slow_start(backend, left.saturating_sub(age), now);
         }
         if stats.is_leaving {
-            self.record_signal(backend, OwnWord::new(true, None), now);
+            self.record_signal(backend, BackendSignals::new(true, None), now);
         }
     }
 
@@ -255,7 +255,7 @@
         };
         let mut state = BackendState::new(listed, now);
         state.restore_signals(&mut self.signals, now);
-        if state.limit.named().is_some() {
+        if state.limit.effective_rate().is_some() {
             self.limited_backends.insert(id.clone());
         }
         state.is_ahead_of_list = true;
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -49,7 +49,7 @@
         let others: Vec<&BackendState> = candidates
             .into_iter()
             .filter(|b| !is_holder(&b.listed.id) && !b.is_loading(adapter))
-            .filter(|b| b.limit.named().is_none())
+            .filter(|b| b.limit.effective_rate().is_none())
             .filter(|b| {
                 self.utilization(b, now) < (utilization * COPY_TARGET_UTILIZATION_RATIO).min(1.0)
             })
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -8,8 +8,8 @@
         RequestedLoad, SendOutcome, SharedRetryBudget, Ticket,
     },
     crate::{
+        backend_signals::BackendSignals,
         crashes::{Crash, CrashEvidence},
-        own_word::OwnWord,
     },
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId},
@@ -265,7 +265,12 @@
     /// Records what a back end reports about itself. It may announce that it is leaving
     /// before its record in the registry does, and it alone knows how long it needs to
     /// recover.
-    pub(super) fn record_signal(&mut self, backend: &BackendId, signal: OwnWord, now: Instant) {
+    pub(super) fn record_signal(
+        &mut self,
+        backend: &BackendId,
+        signal: BackendSignals,
+        now: Instant,
+    ) {
         self.signals.on_signal(backend, signal, now);
         let backoff_until = self.signals.backoff_until(backend, now);
         if let Some(state) = self.backends.get_mut(backend) {
@@ -275,10 +280,16 @@
     }
 
     /// Handles a signal in the response to a request that was sent at `sent_at`.
-    fn on_signal(&mut self, backend: &BackendId, signal: OwnWord, sent_at: Instant, now: Instant) {
+    fn on_signal(
+        &mut self,
+        backend: &BackendId,
+        signal: BackendSignals,
+        sent_at: Instant,
+        now: Instant,
+    ) {
         self.record_signal(backend, signal, now);
         self.on_limit_signal(backend, (signal.limit, sent_at), now);
-        if let Some(left) = signal.cold {
+        if let Some(left) = signal.slow_start_left {
             self.on_slow_start(backend, left, now);
         }
     }
@@ -293,7 +304,7 @@
         if let Some(state) = self.backends.get_mut(backend) {
             state.on_response_started(sent);
             if sent.is_trial {
-                state.backoff.on_trial_started(now);
+                state.backoff.on_probe_started(now);
             }
         }
         if sent.is_sole_prefill {
@@ -322,7 +333,7 @@
         };
         state.on_request_ended(&sent);
         if sent.is_trial {
-            state.backoff.on_trial_ended(outcome, now);
+            state.backoff.on_probe_ended(outcome, now);
         }
         match outcome {
             SendOutcome::Answered => {
@@ -412,7 +423,7 @@
             rate.on_sent(request.prompt_tokens);
         }
         let state = self.backends.get_mut(&assignment.backend);
-        let is_trial = state.is_some_and(|state| state.backoff.on_sent());
+        let is_trial = state.is_some_and(|state| state.backoff.on_request_sent());
         let sent = InFlightRequest {
             is_trial,
             digest: request.digest,
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -1,6 +1,6 @@
 use {
     super::{DispatchRequest, DispatchSettings, PermitError, Ticket},
-    crate::own_word::OwnWord,
+    crate::backend_signals::BackendSignals,
     chalkcart_protocol::peer::{EngineFigures, EngineView, IntakeAnswer},
     chalkcart_state::{
         backends::{AdapterRef, BackendId, BackendList},
@@ -66,7 +66,7 @@
     /// A back end sent signals about itself in a response head.
     SignalReceived {
         backend: BackendId,
-        signal: OwnWord,
+        signal: BackendSignals,
         /// When the request of that response was sent.
         sent_at: Instant,
     },
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -3,8 +3,8 @@
 use {
     super::dispatcher::Dispatcher,
     crate::{
-        intake::{NamedLimit, Sharers},
-        own_word::{LimitWord, RequestRate},
+        backend_admission::{AdvertisedLimit, LimitSharing},
+        backend_signals::{LimitSignal, RequestRate},
     },
     chalkcart_protocol::peer::{EngineFigures, IntakeAnswer, IntakeReport},
     chalkcart_state::backends::BackendId,
@@ -39,11 +39,11 @@
     pub(super) fn on_limit_signal(
         &mut self,
         backend: &BackendId,
-        (signal, sent_at): (LimitWord, Instant),
+        (signal, sent_at): (LimitSignal, Instant),
         now: Instant,
     ) {
         self.update_limit(backend, now, |limit, sharing| {
-            limit.on_word(signal, sent_at, sharing, now);
+            limit.on_signal(signal, sent_at, sharing, now);
         });
     }
 
@@ -54,12 +54,12 @@
         figures: &EngineFigures,
         now: Instant,
     ) {
-        let reported = figures.limit_milli_per_s.map(RequestRate::of_milli);
+        let reported = figures.limit_milli_per_s.map(RequestRate::from_milli_per_s);
         if reported.is_none() && !self.limited_backends.contains(backend) {
             return;
         }
         self.update_limit(backend, now, |limit, sharing| {
-            limit.on_told(reported, sharing, now);
+            limit.on_sidecar_report(reported, sharing, now);
         });
     }
 
@@ -73,11 +73,11 @@
     ) {
         self.update_limit(backend, now, |limit, sharing| match &response {
             Ok(response) if response.backend == *backend => {
-                limit.on_dealt(response, requested_at, sharing, now);
+                limit.on_permit_response(response, requested_at, sharing, now);
             }
             // the response is about another incarnation, possibly the next one
-            Ok(_) => limit.on_no_deal(false, now),
-            Err(cause) => limit.on_no_deal(*cause == PermitError::Unsupported, now),
+            Ok(_) => limit.on_permit_request_failed(false, now),
+            Err(cause) => limit.on_permit_request_failed(*cause == PermitError::Unsupported, now),
         });
     }
 
@@ -85,17 +85,17 @@
         &mut self,
         backend: &BackendId,
         now: Instant,
-        change: impl FnOnce(&mut NamedLimit, Sharers),
+        change: impl FnOnce(&mut AdvertisedLimit, LimitSharing),
     ) {
         let sharing = self.limit_sharing(backend, now);
         let (Some(sharing), Some(state)) = (sharing, self.backends.get_mut(backend)) else {
             return;
         };
         change(&mut state.limit, sharing);
-        match state.limit.named() {
+        match state.limit.effective_rate() {
             Some(_) => self.limited_backends.insert(backend.clone()),
             // the permit issuer has yet to learn that the limit is gone
-            None if state.limit.is_question_due(now) => {
+            None if state.limit.is_permit_request_due(now) => {
                 self.limited_backends.insert(backend.clone())
             }
             None => self.limited_backends.remove(backend),
@@ -124,12 +124,12 @@
         for id in self.limited_backends.clone() {
             let sharing = self.limit_sharing(&id, now);
             if let (Some(sharing), Some(state)) = (sharing, self.backends.get_mut(&id)) {
-                state.limit.share_among(sharing, now);
+                state.limit.update_sharing(sharing, now);
             }
         }
     }
 
-    fn limit_sharing(&self, backend: &BackendId, now: Instant) -> Option<Sharers> {
+    fn limit_sharing(&self, backend: &BackendId, now: Instant) -> Option<LimitSharing> {
         let state = self.backends.get(backend)?;
         let service = self.table.services.get(&state.listed.service);
         let is_engine = service.is_some_and(|service| service.engine.is_some());
@@ -148,8 +148,8 @@
                 continue;
             };
             match waiting.get(id) {
-                Some((wanted, priority)) => state.limit.set_wanted(*wanted, *priority),
-                None if is_complete => state.limit.set_wanted(0, 0),
+                Some((wanted, priority)) => state.limit.set_waiting(*wanted, *priority),
+                None if is_complete => state.limit.set_waiting(0, 0),
                 None => {}
             }
         }
@@ -163,12 +163,12 @@
             let Some(state) = self.backends.get_mut(id) else {
                 continue;
             };
-            if !state.limit.is_question_due(now) {
+            if !state.limit.is_permit_request_due(now) {
                 continue;
             }
-            let (wanted, priority) = state.limit.wanted();
-            let (update, unused) = state.limit.on_asked(now);
-            if state.limit.named().is_none() {
+            let (wanted, priority) = state.limit.waiting();
+            let (update, unused) = state.limit.on_permits_requested(now);
+            if state.limit.effective_rate().is_none() {
                 released.push(id.clone());
             }
             queries.push(PermitQuery {
@@ -176,8 +176,8 @@
                 report: IntakeReport {
                     entry: self.settings.entry.clone(),
                     backend: id.clone(),
-                    named: update.named,
-                    freed_ago_ms: update.freed_ago_ms,
+                    named: update.limit,
+                    freed_ago_ms: update.lifted_ago_ms,
                     wanted,
                     priority,
                     unused,
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -96,7 +96,7 @@
             return;
         }
         let return_in = self.backends.get_mut(&backend);
-        let return_in = return_in.map_or(opens_in, |b| b.limit.return_in(now));
+        let return_in = return_in.map_or(opens_in, |b| b.limit.next_retry_after(now));
         let inputs = self.decision_inputs(&request, now);
         self.on_not_sent(&request);
         let retry_after = return_in.max(MIN_RETRY_AFTER);
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -93,8 +93,8 @@
         let listed = self.backends.values().filter(|b| !b.is_unlisted);
         for state in listed.filter(|b| b.listed.service == request.service) {
             leaving += u32::from(state.is_leaving());
-            backed_off += u32::from(state.health.is_resting(now) || state.backoff.is_on(now));
-            limited += u32::from(state.limit.named().is_some());
+            backed_off += u32::from(state.health.is_ejected(now) || state.backoff.is_active(now));
+            limited += u32::from(state.limit.effective_rate().is_some());
         }
         (leaving, backed_off, limited)
     }
@@ -249,7 +249,7 @@
         let may_serve = may_serve.filter(|b| self.is_region_allowed(request, b));
         let with_model =
             may_serve.filter(|b| request.model.as_ref().is_none_or(|m| b.has_model(m)));
-        with_model.filter_map(|b| b.backoff.left(now)).min()
+        with_model.filter_map(|b| b.backoff.remaining(now)).min()
     }
 
     /// Returns the back end that accepts the request first, among those that only their
@@ -270,7 +270,7 @@
         let limited = states.iter().filter(|b| b.can_accept_beyond_limit(now));
         let openings = limited.map(|b| {
             let ahead = ahead.get(&b.listed.id).map_or(0, |(waiting, _)| *waiting);
-            (b.listed.id.clone(), b.limit.opens_after(ahead, now))
+            (b.listed.id.clone(), b.limit.wait_time_behind(ahead, now))
         });
         openings.min_by_key(|(_, opens_in)| *opens_in)
     }
@@ -307,12 +307,12 @@
             return available;
         }
         let listed = filter_backends(&|b| {
-            b.may_receive_requests() && !b.is_unlisted && !b.backoff.is_on(now)
+            b.may_receive_requests() && !b.is_unlisted && !b.backoff.is_active(now)
         });
         if !listed.is_empty() || self.has_listed(&request.service) {
             return listed;
         }
-        filter_backends(&|b| b.may_receive_requests() && !b.backoff.is_on(now))
+        filter_backends(&|b| b.may_receive_requests() && !b.backoff.is_active(now))
     }
 
     /// Returns the candidates that hold the adapter in a usable version.
@@ -353,7 +353,7 @@
             version: adapter.and_then(|a| self.required_version(cheapest, a, now)),
             urgency: self.urgency(request, now),
             utilization: self.utilization(cheapest, now),
-            is_limited: cheapest.limit.named().is_some(),
+            is_limited: cheapest.limit.effective_rate().is_some(),
             inputs: self.decision_inputs_for(request, candidates, holders, Some(cheapest), now),
         })
     }
@@ -431,7 +431,7 @@
         } else {
             0.0
         };
-        let limited = match state.limit.named() {
+        let limited = match state.limit.effective_rate() {
             Some(_) => RATE_LIMIT_COST_MS,
             None => 0.0,
         };
--- a/coordination/src/dispatch/settings.rs
+++ b/coordination/src/dispatch/settings.rs
@@ -1,6 +1,6 @@
 use {
     super::RetryBudgetSettings,
-    crate::mechanisms::Mechanisms,
+    crate::features::FeatureSwitches,
     chalkcart_state::ids::{BoxName, RegionName, ZoneName},
     std::{
         collections::HashMap,
@@ -35,7 +35,7 @@
     pub disconnected_after: Duration,
     /// How long requests may start on the previous version of an adapter.
     pub version_grace: Duration,
-    pub features: Mechanisms,
+    pub features: FeatureSwitches,
 }
 
 impl Default for DispatchSettings {
@@ -58,7 +58,7 @@
             copy_load_threshold: 0.5,
             disconnected_after: Duration::from_millis(1_200),
             version_grace: Duration::from_millis(2_500),
-            features: Mechanisms::default(),
+            features: FeatureSwitches::default(),
         }
     }
 }
--- a/coordination/src/dispatch/slow_start.rs
+++ b/coordination/src/dispatch/slow_start.rs
@@ -3,7 +3,7 @@
 
 use {
     super::dispatcher::Dispatcher,
-    crate::intake::ColdPace,
+    crate::backend_admission::SlowStartSettings,
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -34,8 +34,8 @@
             .filter(|b| b.slow_start.is_some())
         {
             let service = self.table.services.get(&state.listed.service);
-            let pace = service.map_or(ColdPace::default(), |s| ColdPace {
-                per_s: s.cold_per_s,
+            let pace = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
+                requests_per_s: s.cold_per_s,
             });
             state.advance_slow_start(pace, entries, now);
         }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,20 +1,19 @@
-//! every decision of chalkcart.
+//! The decision logic of chalkcart.
 //!
-//! Nothing here does I/O or reads a clock: an event and the time go in,
-//! actions come out. So each decision is tested without a socket.
+//! This crate does no I/O and reads no clock: it takes events and the current time, and returns
+//! actions, so that every decision can be tested without a socket.
 
+pub mod backend_admission;
+pub mod backend_signals;
 pub mod config;
 pub mod crashes;
 pub mod dispatch;
 pub mod drain;
+pub mod features;
 pub mod fence;
-pub mod following;
-pub mod intake;
 pub mod limits;
-pub mod mechanisms;
 pub mod membership;
 pub mod once;
-pub mod own_word;
 pub mod permits;
 pub mod placement;
 pub mod queue;
@@ -24,3 +23,4 @@
 pub mod sidecar;
 pub mod slots;
 pub mod stream;
+pub mod watch;
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -4,8 +4,8 @@
         OrderAnswer, OrderKind, PlacementSettings, RecentAdapters,
     },
     crate::{
-        intake::EngineLimit,
-        own_word::{OwnWord, RequestRate},
+        backend_admission::EngineLimit,
+        backend_signals::{BackendSignals, RequestRate},
     },
     chalkcart_protocol::peer::{
         AdapterDemand, EngineFigures, EngineView, IntakeAnswer, IntakeReport,
@@ -44,7 +44,7 @@
         answer: OrderAnswer,
     },
     /// Signals about the engine's state, received with any of its responses.
-    Signals(OwnWord),
+    Signals(BackendSignals),
 }
 
 /// What the process must do next.
@@ -191,7 +191,7 @@
             entries: self.demands.entry_count(),
             is_down: Some(self.ended.as_ref() == Some(&self.backend)),
             is_leaving: self.is_engine_leaving,
-            limit_milli_per_s: self.limit.named(now).map(RequestRate::milli),
+            limit_milli_per_s: self.limit.effective_rate(now).map(RequestRate::milli_per_s),
             cold_left_ms: self.slow_start_left_ms(now),
             ..EngineFigures::default()
         };
@@ -219,13 +219,13 @@
 
     /// Applies the engine's signals. A requested back-off holds for everything that this
     /// machine sends to the engine: orders, reads and identity requests.
-    fn on_signals(&mut self, signals: OwnWord, now: Instant) {
+    fn on_signals(&mut self, signals: BackendSignals, now: Instant) {
         self.is_engine_leaving |= signals.is_leaving;
-        self.limit.on_engine_word(signals.limit, now);
-        if let Some(left) = signals.cold {
+        self.limit.on_engine_signal(signals.limit, now);
+        if let Some(left) = signals.slow_start_left {
             self.slow_start_until = Some(now + left);
         }
-        if let Some(backoff) = signals.rest {
+        if let Some(backoff) = signals.backoff {
             let until = now + backoff;
             self.backoff_until = Some(self.backoff_until.map_or(until, |known| known.max(until)));
         }
--- a/coordination/src/placement/settings.rs
+++ b/coordination/src/placement/settings.rs
@@ -1,4 +1,4 @@
-use {crate::mechanisms::Mechanisms, std::time::Duration};
+use {crate::features::FeatureSwitches, std::time::Duration};
 
 /// Limits and delays of the orders that a sidecar gives to its engine.
 #[derive(Debug, Clone)]
@@ -17,7 +17,7 @@
     pub identify_interval: Duration,
     /// Minimum interval between loads of a base model.
     pub model_load_interval: Duration,
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureSwitches,
 }
 
 impl Default for PlacementSettings {
@@ -30,7 +30,7 @@
             order_retry_delay: Duration::from_millis(300),
             identify_interval: Duration::from_millis(200),
             model_load_interval: Duration::from_secs(5),
-            mechanisms: Mechanisms::default(),
+            mechanisms: FeatureSwitches::default(),
         }
     }
 }
--- a/coordination/src/relay/relay_pacing.rs
+++ b/coordination/src/relay/relay_pacing.rs
@@ -1,4 +1,4 @@
-use {crate::following::FollowPacing, std::time::Duration};
+use {crate::watch::WatchPacing, std::time::Duration};
 
 // Fractions of the propagation limit. What remains after `STALE_FRACTION` is left for the
 // entry's direct call to the store.
@@ -21,8 +21,8 @@
     pub fn watch_wait(&self) -> Duration {
         self.propagation_limit.mul_f64(WATCH_WAIT_FRACTION)
     }
-    pub fn watch_pacing(&self) -> FollowPacing {
-        FollowPacing::holding(self.watch_wait())
+    pub fn watch_pacing(&self) -> WatchPacing {
+        WatchPacing::with_hold(self.watch_wait())
     }
     /// Returns the pause of the watch after a change of the back ends.
     pub fn pause_after_change(&self) -> Duration {
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -197,7 +197,7 @@
     /// policy allows.
     fn drain_slot_if_overtaken(&mut self, key: &AdapterKey, now: Instant) {
         let limit = self.policy.batch_ahead_tokens;
-        let needs_adapter = |w: &&crate::queue::Waiting| w.adapter.as_ref() == Some(key);
+        let needs_adapter = |w: &&crate::queue::QueuedRequest| w.adapter.as_ref() == Some(key);
         let queued = self.queue.iter().filter(needs_adapter);
         let overtaken = queued.map(|w| w.overtaken).max();
         if overtaken.is_some_and(|tokens| tokens > limit) {
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -4,7 +4,7 @@
     super::{PermitMode, ReplyId, SidecarAction, SidecarControl},
     crate::{
         once::{Admission, Phase},
-        queue::Waiting,
+        queue::QueuedRequest,
         slots::AdapterKey,
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, ReserveAnswer, Step, Work, WorkOrder},
@@ -167,7 +167,7 @@
         if self.queue.tokens() + tokens <= limit {
             return false;
         }
-        let fair_share = self.queue.fair_part(&work.group) * limit as f64;
+        let fair_share = self.queue.fraction_among_queued(&work.group) * limit as f64;
         let group_tokens = self.queue.group_tokens(&work.group) + tokens;
         group_tokens as f64 > fair_share
     }
@@ -184,7 +184,7 @@
                 group + if is_same_group { w.tokens } else { 0 },
             )
         });
-        let group_at_share = group as f64 / self.queue.fair_part(&work.group);
+        let group_at_share = group as f64 / self.queue.fraction_among_queued(&work.group);
         self.time_for_tokens(group_at_share.min(all as f64))
     }
 
@@ -237,7 +237,7 @@
             self.slots
                 .record_use(key, f64::from(class.stall_cost.max(1)), now);
         }
-        self.queue.push(Waiting {
+        self.queue.push(QueuedRequest {
             request: work.request.clone(),
             group: work.group.clone(),
             priority: class.priority,
@@ -245,7 +245,7 @@
             arrived: now,
             deadline: now + work.remaining,
             tokens: work.work.tokens(),
-            output_tokens: work.work.output_tokens(),
+            max_output_tokens: work.work.output_tokens(),
             adapter,
             overtaken: 0,
             head_since: None,
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{RunEnd, SidecarAction, SidecarControl},
-    crate::{fence::EngineStatus, queue::Waiting, slots::AdapterKey},
+    crate::{fence::EngineStatus, queue::QueuedRequest, slots::AdapterKey},
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, Step},
     chalkcart_state::ids::{GroupName, Incarnation, RequestId, ReservedId},
     std::{
@@ -110,7 +110,7 @@
         self.advance_loads(now);
     }
 
-    pub(super) fn is_stalled(&self, queued: &Waiting) -> bool {
+    pub(super) fn is_stalled(&self, queued: &QueuedRequest) -> bool {
         let adapter = queued.adapter.as_ref();
         adapter.is_some_and(|key| !self.slots.is_ready(key))
     }
@@ -183,7 +183,7 @@
         if self.runs.len() < open_places as usize {
             return false;
         }
-        let fair_share = self.queue.active_part(group, now) * f64::from(self.max_running);
+        let fair_share = self.queue.fraction_among_active(group, now) * f64::from(self.max_running);
         self.runs.count_of_group(group) as f64 >= fair_share
     }
 
@@ -257,10 +257,10 @@
 
     /// Charges the started request's tokens to the requests that wait for a load and rank
     /// before it.
-    fn record_overtaken(&mut self, started: &Waiting, now: Instant) {
+    fn record_overtaken(&mut self, started: &QueuedRequest, now: Instant) {
         let slots = &self.slots;
         let priority = started.priority_at(now);
-        self.queue.note_overtaken(started.tokens, |w| {
+        self.queue.record_overtaken(started.tokens, |w| {
             let is_stalled = w.adapter.as_ref().is_some_and(|key| !slots.is_ready(key));
             is_stalled && (w.priority_at(now), w.arrived) < (priority, started.arrived)
         });
--- a/coordination/tests/dispatch_reading.rs
+++ b/coordination/tests/dispatch_reading.rs
@@ -5,7 +5,7 @@
 use {
     chalkcart_coordination::{
         dispatch::{urgency, Decision, DispatchEvent, LoadCause, PrefillRate},
-        mechanisms::Mechanisms,
+        features::FeatureSwitches,
     },
     dispatch_fixture::*,
     quickcheck::{Gen, QuickCheck},
@@ -118,9 +118,9 @@
 #[test]
 fn requests_go_to_the_holder_while_reloads_are_switched_off() {
     let mut fixture = fixture_with_reload(12);
-    let mechanisms = Mechanisms {
+    let mechanisms = FeatureSwitches {
         return_home: false,
-        ..Mechanisms::default()
+        ..FeatureSwitches::default()
     };
     fixture.update_settings(|settings| settings.features = mechanisms);
     let request = fixture.new_request(ENGINES, Some("a"));
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -6,7 +6,7 @@
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::{
         retry::{may_retry, Attempt as FailedAttempt, Backoff},
-        routing::{Route, RouteAsk},
+        routing::{Route, RouteRequest},
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, Step},
     chalkcart_state::ids::{BoxName, RequestId, ReservedId},
@@ -93,7 +93,7 @@
             }
             log::debug!("traffic: {} again after: {refusal}", self.job.request);
             if refusal.reason != Reason::Overloaded {
-                let pause = backoff.pause(tries, rand::random());
+                let pause = backoff.delay(tries, rand::random());
                 sleep(pause.min(self.job.remaining())).await;
             }
         }
@@ -126,8 +126,8 @@
         // each try has its own id, so that a target never takes a new try
         // for a copy of an earlier one
         self.job.request = format!("{}-{}", self.request, self.failed.len());
-        let ask = RouteAsk {
-            need: self.job.need.clone(),
+        let ask = RouteRequest {
+            requirement: self.job.need.clone(),
             tokens: self.job.work.tokens(),
             excluded: self.failed.clone(),
         };
--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::{
-        config::{judge_root, Verdict},
+        config::{decide_offer, OfferDecision},
         sidecar::SidecarEvent,
     },
     chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
@@ -71,21 +71,21 @@
         let Some(root) = answer.root else {
             return;
         };
-        match judge_root(self.root.as_deref(), &root) {
-            Verdict::Take => {
+        match decide_offer(self.root.as_deref(), &root) {
+            OfferDecision::Accept => {
                 log::info!("config: generation {} in force", root.generation);
                 self.shared.metrics.on_generation(root.generation);
                 let root = Arc::new(root);
                 self.root = Some(root.clone());
                 self.shared.tell(SidecarEvent::Configured(root));
             }
-            Verdict::Conflict => {
+            OfferDecision::Conflict => {
                 log::error!(
                     "config: another content under generation {}",
                     root.generation
                 )
             }
-            Verdict::Same | Verdict::Older { .. } => {}
+            OfferDecision::Unchanged | OfferDecision::Stale { .. } => {}
         }
     }
 }
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::{
-        own_word::{OwnWord, RequestRate},
+        backend_signals::{BackendSignals, RequestRate},
         placement::{EngineOrder, OrderAnswer, PlacementAction, PlacementEvent},
     },
     chalkcart_protocol::peer::EngineView,
@@ -32,7 +32,7 @@
     is_reachable: bool,
     read_at: Option<Instant>,
     /// what the engine said of itself last, but for rests
-    said: OwnWord,
+    said: BackendSignals,
 }
 
 impl Keeper {
@@ -43,7 +43,7 @@
             published: None,
             is_reachable: true,
             read_at: None,
-            said: OwnWord::default(),
+            said: BackendSignals::default(),
         }
     }
 
@@ -88,19 +88,19 @@
         let Some(word) = word else {
             return value;
         };
-        let lasting = OwnWord {
-            rest: None,
-            cold: None,
+        let lasting = BackendSignals {
+            backoff: None,
+            slow_start_left: None,
             ..word
         };
-        let is_news = word.rest.is_some() || word.is_cold() || lasting != self.said;
+        let is_news = word.backoff.is_some() || word.is_in_slow_start() || lasting != self.said;
         // what lasts is said in each answer
         if is_news {
             log::info!(
                 leaving = word.is_leaving,
-                rest_ms = word.rest.map_or(0, |rest| rest.as_millis() as u64),
-                limit_per_s = word.limit.named().map_or(-1.0, RequestRate::per_s),
-                cold_ms = word.cold.map_or(-1, |left| left.as_millis() as i64);
+                rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
+                limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
+                cold_ms = word.slow_start_left.map_or(-1, |left| left.as_millis() as i64);
                 "engine: says of itself"
             );
             self.said = lasting;
@@ -113,7 +113,7 @@
 
     async fn identify(&mut self, health_path: &str) {
         // another engine may answer, whose own word is news
-        self.said = OwnWord::default();
+        self.said = BackendSignals::default();
         let told = self.engine.identity(health_path).await;
         let Told { value, word } = told;
         log::info!("engine: it is {value:?}");
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -8,8 +8,8 @@
     anyhow::Result,
     chalkcart_coordination::{
         membership::{permit_giver, watchers},
-        permits::{PermitGiver, PermitSettings},
-        routing::{Need, PolicyName, RouteAsk},
+        permits::{LoadPermitIssuer, LoadPermitSettings},
+        routing::{PolicyName, RouteRequest, TargetRequirement},
     },
     chalkcart_protocol::peer::{PermitAsk, PermitPurpose},
     chalkcart_state::{
@@ -66,8 +66,8 @@
     let now = Instant::now();
     let started = Instant::now();
     for number in 0..ROUTES {
-        let ask = RouteAsk {
-            need: Need::Adapter {
+        let ask = RouteRequest {
+            requirement: TargetRequirement::Adapter {
                 adapter: format!("adapter-{number}"),
                 version: 1,
                 base_model: format!("model-{}", number % 5),
@@ -102,7 +102,7 @@
 
 fn permit_micros(askers: usize) -> f64 {
     let now = Instant::now();
-    let mut giver = PermitGiver::new(PermitSettings::default(), now);
+    let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), now);
     let started = Instant::now();
     for number in 0..askers {
         let ask = PermitAsk {
@@ -112,7 +112,7 @@
             priority: 1,
             waited: Duration::from_millis(number as u64),
         };
-        black_box(giver.ask(&ask, now));
+        black_box(giver.request(&ask, now));
     }
     micros(started.elapsed(), askers as u32)
 }
--- a/transport/src/metadata/follower.rs
+++ b/transport/src/metadata/follower.rs
@@ -1,7 +1,7 @@
 use {
     super::{Heard, MetadataSource, SourceError, Watched},
     crate::clock,
-    chalkcart_coordination::following::FollowPacing,
+    chalkcart_coordination::watch::WatchPacing,
     chalkcart_state::published::Topic,
     std::{
         sync::Arc,
@@ -24,7 +24,7 @@
     source: Arc<dyn MetadataSource>,
     sink: Arc<dyn RecordSink>,
     topic: Topic,
-    pacing: FollowPacing,
+    pacing: WatchPacing,
     /// revision up to which changes are known, none if a snapshot is needed
     known: Option<u64>,
     /// calls that failed in a row
@@ -38,7 +38,7 @@
         source: Arc<dyn MetadataSource>,
         sink: Arc<dyn RecordSink>,
         topic: Topic,
-        pacing: FollowPacing,
+        pacing: WatchPacing,
     ) -> Self {
         Self {
             source,
@@ -109,7 +109,7 @@
             self.sink.take_in(self.topic, heard, true);
             return Ok(Duration::ZERO);
         };
-        let times = self.pacing.watch(self.failures);
+        let times = self.pacing.next_call(self.failures);
         match self.source.watch(self.topic, after, times).await? {
             Watched::Records(heard) if heard.snapshot.at < after => {
                 // an answer of an earlier state says nothing new
