--- a/coordination/src/limits/limit_book.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        shared_bucket::{SharedBucket, Youth},
-        usage_keeper::AMPLE_PART,
+        shared_bucket::{SharedBucket, StartupState},
+        usage_aggregator::AMPLE_PART,
         LimitBounds, LimitSettings,
     },
     crate::membership::{rendezvous_weight, stable_hash},
@@ -41,7 +41,7 @@
 
 /// what a decision on a limit was made from, for logs
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct LimitBasis {
+pub struct LimitDecisionInputs {
     /// units that the fleet may run at once; none without a keeper's word
     pub level: Option<f64>,
     /// age of the keeper's word
@@ -59,16 +59,16 @@
 
 /// a request beyond its account's limit
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OverLimit {
+pub struct LimitExceeded {
     /// when its units are due
     pub retry_after: Duration,
-    pub basis: LimitBasis,
+    pub basis: LimitDecisionInputs,
 }
 
 /// The limits of client accounts at one entry. A keeper sums up what all entries let
 /// run; each draws on the whole limit by the keeper's last word.
 #[derive(Debug)]
-pub struct LimitBook {
+pub struct AccountLimiter {
     settings: LimitSettings,
     entry: BoxName,
     incarnation: Incarnation,
@@ -81,7 +81,7 @@
     accounts: HashMap<AccountMark, SharedBucket>,
 }
 
-impl LimitBook {
+impl AccountLimiter {
     pub fn new(
         settings: LimitSettings,
         entry: BoxName,
@@ -164,7 +164,7 @@
         limit: &RateLimit,
         charge: u64,
         now: Instant,
-    ) -> Result<(), OverLimit> {
+    ) -> Result<(), LimitExceeded> {
         let (bounds, entries) = (self.settings.bounds(limit), self.entries());
         let youth = self.youth(now);
         let bucket = self.bucket(account, limit, now);
@@ -178,12 +178,12 @@
         let each =
             Duration::from_secs_f64((charge as f64 / own_per_s).min(MAX_RETRY.as_secs_f64()));
         bucket.returns_at = (at + each).min(now + MAX_RETRY);
-        let basis = LimitBasis {
+        let basis = LimitDecisionInputs {
             level: bucket.fleet_level(now),
             age: bucket.word_age(now),
             entries,
         };
-        Err(OverLimit {
+        Err(LimitExceeded {
             retry_after: at
                 .saturating_duration_since(now)
                 .clamp(MIN_RETRY, MAX_RETRY),
@@ -266,15 +266,15 @@
     pub fn knows_asked(&self, account: AccountMark, now: Instant) -> bool {
         let bucket = self.accounts.get(&account);
         let is_asked = bucket.is_some_and(|bucket| bucket.asked_per_s(now).is_some());
-        is_asked && self.youth(now) != Youth::Ignorant
+        is_asked && self.youth(now) != StartupState::Unsynced
     }
 
-    fn youth(&self, now: Instant) -> Youth {
+    fn youth(&self, now: Instant) -> StartupState {
         let is_young = now.saturating_duration_since(self.started) < YOUNG_FOR;
         match is_young {
-            true if self.words < ENOUGH_WORDS => Youth::Ignorant,
-            true => Youth::Careful,
-            false => Youth::Over,
+            true if self.words < ENOUGH_WORDS => StartupState::Unsynced,
+            true => StartupState::Warmup,
+            false => StartupState::Ready,
         }
     }
 }
--- a/coordination/src/limits/mod.rs
+++ b/coordination/src/limits/mod.rs
@@ -1,17 +1,17 @@
 //! limits of client accounts that all entries share: what an entry may let run by
 //! what it knows of the others
 
-mod limit_book;
+mod account_limiter;
 mod settings;
 mod shared_bucket;
 mod token_bucket;
-mod usage_keeper;
+mod usage_aggregator;
 mod window_sum;
 
 pub use {
-    limit_book::{LimitBasis, LimitBook, LimitChange, OverLimit},
+    account_limiter::{AccountLimiter, LimitChange, LimitDecisionInputs, LimitExceeded},
     settings::{LimitBounds, LimitSettings},
     token_bucket::TokenBucket,
-    usage_keeper::UsageKeeper,
+    usage_aggregator::UsageAggregator,
     window_sum::WindowSum,
 };
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -1,5 +1,5 @@
 use {
-    super::{usage_keeper::AMPLE_PART, LimitBounds, TokenBucket},
+    super::{usage_aggregator::AMPLE_PART, LimitBounds, TokenBucket},
     chalkcart_protocol::peer::{AccountLevel, AccountUsage},
     chalkcart_state::{accounts::AccountMark, ids::Incarnation},
     std::time::{Duration, Instant},
@@ -19,12 +19,12 @@
 
 /// how far an entry that has just started may rely on its keeper
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Youth {
+pub(super) enum StartupState {
     /// the keeper may not have heard the other entries
-    Ignorant,
+    Unsynced,
     /// it has, but it may not know what ran before
-    Careful,
-    Over,
+    Warmup,
+    Ready,
 }
 
 /// what one entry knows of the limit of one account
@@ -130,10 +130,12 @@
     /// stops. Without a keeper's word an entry keeps to its equal part.
     ///
     /// While it is young nothing counts as much: the keeper may be young as well.
-    pub fn take(&mut self, charge: u64, youth: Youth, now: Instant) -> bool {
+    pub fn take(&mut self, charge: u64, youth: StartupState, now: Instant) -> bool {
         let units = charge as f64;
-        let word = self.fleet_level(now).filter(|_| youth != Youth::Ignorant);
-        let is_young = youth != Youth::Over;
+        let word = self
+            .fleet_level(now)
+            .filter(|_| youth != StartupState::Unsynced);
+        let is_young = youth != StartupState::Ready;
         let may_run = match (word, self.asked_per_s(now)) {
             (Some(level), _) if level >= self.bounds.at_once * AMPLE_PART && !is_young => true,
             // a young keeper's bucket is no evidence that much is left
--- a/coordination/src/limits/usage_keeper.rs
+++ b/coordination/src/limits/usage_aggregator.rs
@@ -27,7 +27,7 @@
 /// It gives out the part of each limit that belongs to the entries that report to
 /// it, so that two keepers at a time give out no more than one limit.
 #[derive(Debug)]
-pub struct UsageKeeper {
+pub struct UsageAggregator {
     incarnation: Incarnation,
     entries: HashMap<BoxName, EntryRow>,
     accounts: HashMap<AccountMark, AccountRow>,
@@ -51,7 +51,7 @@
     asked: WindowSum,
 }
 
-impl UsageKeeper {
+impl UsageAggregator {
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -5,7 +5,7 @@
 use {
     chalkcart_coordination::{
         config::ConfigLease,
-        limits::{LimitBook, LimitSettings, UsageKeeper},
+        limits::{AccountLimiter, LimitSettings, UsageAggregator},
         membership::{rendezvous_weight, KeeperChoice, KeptMatter},
     },
     chalkcart_protocol::peer::{UsageAnswer, UsageReport},
@@ -98,7 +98,7 @@
 }
 
 struct Entry {
-    book: LimitBook,
+    book: AccountLimiter,
     started: u64,
     /// requests that came before the first word of a keeper: account, units
     held: Vec<(usize, u64)>,
@@ -116,7 +116,7 @@
 impl Entry {
     /// it knows how many entries there are after a while
     fn new(number: usize, incarnation: u64, started: u64, now: Instant) -> Self {
-        let mut book = LimitBook::new(settings(), format!("e{number}"), incarnation, now);
+        let mut book = AccountLimiter::new(settings(), format!("e{number}"), incarnation, now);
         let accounts: Vec<ClientAccount> = (0..ACCOUNTS.len()).map(account).collect();
         book.set_accounts(accounts.iter(), now);
         Self {
@@ -148,7 +148,7 @@
     /// at this step all processes are killed; 0 if never
     herd_at: u64,
     entries: Vec<Entry>,
-    keepers: BTreeMap<SocketAddr, (UsageKeeper, u64)>,
+    keepers: BTreeMap<SocketAddr, (UsageAggregator, u64)>,
     on_their_way: BTreeMap<(u64, u64), Message>,
     sent: u64,
     /// units run, by account, with their steps
@@ -164,7 +164,7 @@
     fn new(seed: u64, entries: usize, has_faults: bool) -> Self {
         let start = Instant::now();
         let keeper = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
-        let keepers = (0..KEEPERS).map(|n| (keeper(n), (UsageKeeper::new(u64::from(n)), 0)));
+        let keepers = (0..KEEPERS).map(|n| (keeper(n), (UsageAggregator::new(u64::from(n)), 0)));
         let entry = |n| Entry::new(n, n as u64, 0, start);
         Self {
             draw: Draw(seed, 0),
@@ -229,7 +229,10 @@
             self.known_version[number] = 0;
         }
         for row in self.keepers.values_mut() {
-            *row = (UsageKeeper::new(self.draw.next()), step + KEEPER_DOWN_STEPS);
+            *row = (
+                UsageAggregator::new(self.draw.next()),
+                step + KEEPER_DOWN_STEPS,
+            );
         }
     }
 
@@ -255,7 +258,7 @@
             let dead_until = step + self.draw.below(160);
             let incarnation = self.draw.next();
             if let Some(row) = self.keepers.values_mut().nth(keeper) {
-                *row = (UsageKeeper::new(incarnation), dead_until);
+                *row = (UsageAggregator::new(incarnation), dead_until);
             }
         }
     }
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -2,7 +2,9 @@
 
 use {
     chalkcart_coordination::{
-        limits::{LimitBook, LimitSettings, OverLimit, TokenBucket, UsageKeeper, WindowSum},
+        limits::{
+            AccountLimiter, LimitExceeded, LimitSettings, TokenBucket, UsageAggregator, WindowSum,
+        },
         membership::{KeeperChoice, KeptMatter},
     },
     chalkcart_state::accounts::{ClientAccount, LimitUnit, RateLimit},
@@ -34,26 +36,30 @@
     }
 }
 
-fn book(name: &str, entries: u32, now: Instant) -> LimitBook {
-    let mut book = LimitBook::new(settings(), name.to_string(), 1, now);
+fn book(name: &str, entries: u32, now: Instant) -> AccountLimiter {
+    let mut book = AccountLimiter::new(settings(), name.to_string(), 1, now);
     book.set_entries(Some(entries), now);
     book.set_accounts([&account()].into_iter(), now);
     book
 }
 
-fn charge(book: &mut LimitBook, units: u64, now: Instant) -> Result<(), OverLimit> {
+fn charge(book: &mut AccountLimiter, units: u64, now: Instant) -> Result<(), LimitExceeded> {
     book.ask(account().mark, &limit(), units, now);
     book.charge(account().mark, &limit(), units, now)
 }
 
-fn report(book: &mut LimitBook, keeper: &mut UsageKeeper, now: Instant) {
+fn report(book: &mut AccountLimiter, keeper: &mut UsageAggregator, now: Instant) {
     let report = book.report(now).expect("a report");
     let answer = keeper.on_report(report.clone(), now);
     book.on_answer(&report, &answer, now);
 }
 
 /// nothing runs until the limits are whole; gives the time then
-fn calm_down(books: &mut [LimitBook], keeper: &mut UsageKeeper, start: Instant) -> Instant {
+fn calm_down(
+    books: &mut [AccountLimiter],
+    keeper: &mut UsageAggregator,
+    start: Instant,
+) -> Instant {
     let mut now = start;
     for _ in 0..10 {
         now += Duration::from_millis(250);
@@ -63,7 +69,7 @@
 }
 
 /// units that an entry lets run at once
-fn run_out(book: &mut LimitBook, now: Instant) -> u64 {
+fn run_out(book: &mut AccountLimiter, now: Instant) -> u64 {
     let mut units = 0;
     while charge(book, 100, now).is_ok() {
         units += 100;
@@ -120,9 +126,9 @@
 #[test]
 fn with_a_keeper_one_entry_may_use_the_whole_limit() {
     let start = Instant::now();
-    let mut keeper = UsageKeeper::new(7);
+    let mut keeper = UsageAggregator::new(7);
     let new = |n| book(&format!("e{n}"), 10, start);
-    let mut books: Vec<LimitBook> = (0..10).map(new).collect();
+    let mut books: Vec<AccountLimiter> = (0..10).map(new).collect();
     let now = calm_down(&mut books, &mut keeper, start);
     let units = run_out(&mut books[3], now);
     assert!((500..=1_400).contains(&units), "most of the burst: {units}");
@@ -141,7 +147,7 @@
 #[test]
 fn what_did_not_run_is_given_back() {
     let start = Instant::now();
-    let mut keeper = UsageKeeper::new(7);
+    let mut keeper = UsageAggregator::new(7);
     let mut books = [book("e", 1, start)];
     let now = calm_down(&mut books, &mut keeper, start);
     let [mut one] = books;
@@ -165,8 +171,9 @@
 #[test]
 fn two_keepers_give_out_no_more_than_one_limit() {
     let start = Instant::now();
-    let mut keepers = [UsageKeeper::new(1), UsageKeeper::new(2)];
-    let mut books: Vec<LimitBook> = (0..10).map(|n| book(&format!("e{n}"), 10, start)).collect();
+    let mut keepers = [UsageAggregator::new(1), UsageAggregator::new(2)];
+    let mut books: Vec<AccountLimiter> =
+        (0..10).map(|n| book(&format!("e{n}"), 10, start)).collect();
     let mut units = 0;
     for step in 0..320 {
         let now = start + Duration::from_millis(25 * step);
@@ -239,10 +246,10 @@
 #[test]
 fn an_entry_that_has_just_started_takes_nothing_from_the_others() {
     let start = Instant::now();
-    let mut keeper = UsageKeeper::new(7);
-    let mut books: Vec<LimitBook> = (0..4).map(|n| book(&format!("e{n}"), 4, start)).collect();
+    let mut keeper = UsageAggregator::new(7);
+    let mut books: Vec<AccountLimiter> = (0..4).map(|n| book(&format!("e{n}"), 4, start)).collect();
     let now = calm_down(&mut books, &mut keeper, start);
-    let mut restarted = LimitBook::new(settings(), "e0".to_string(), 2, now);
+    let mut restarted = AccountLimiter::new(settings(), "e0".to_string(), 2, now);
     restarted.set_accounts([&account()].into_iter(), now);
     report(&mut restarted, &mut keeper, now);
     report(&mut books[1], &mut keeper, now);
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -1,7 +1,7 @@
 use {
     chalkcart_coordination::{
         config::ConfigLease,
-        limits::{LimitBook, LimitSettings, OverLimit},
+        limits::{AccountLimiter, LimitExceeded, LimitSettings},
     },
     chalkcart_state::{
         accounts::{AccountMark, ApiKeyDigest, ApiKeyError, ClientAccount, RateLimit},
@@ -40,7 +40,7 @@
 /// limit of its account
 pub struct Admission {
     lease: Mutex<ConfigLease>,
-    limits: Mutex<LimitBook>,
+    limits: Mutex<AccountLimiter>,
 }
 
 impl Admission {
@@ -50,7 +50,7 @@
         let incarnation = rand::random();
         Self {
             lease: Mutex::new(ConfigLease::new(revoked_within)),
-            limits: Mutex::new(LimitBook::new(
+            limits: Mutex::new(AccountLimiter::new(
                 limits,
                 entry.clone(),
                 incarnation,
@@ -63,7 +63,7 @@
         // no holder panics halfway through a change
         self.lease.lock().unwrap_or_else(|e| e.into_inner())
     }
-    pub fn limits(&self) -> MutexGuard<'_, LimitBook> {
+    pub fn limits(&self) -> MutexGuard<'_, AccountLimiter> {
         // no holder panics halfway through a change
         self.limits.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -158,7 +158,7 @@
         account: &ClientAccount,
         limit: &RateLimit,
         units: u64,
-    ) -> Result<Charge, OverLimit> {
+    ) -> Result<Charge, LimitExceeded> {
         let now = clock::now();
         self.limits().charge(account.mark, limit, units, now)?;
         Ok(Charge {
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -7,7 +7,7 @@
     },
     async_trait::async_trait,
     bytes::Bytes,
-    chalkcart_coordination::limits::OverLimit,
+    chalkcart_coordination::limits::LimitExceeded,
     chalkcart_state::{
         accounts::ApiKeyError,
         ingress::{IngressLimits, RequestDigest, Route, RouteTable},
@@ -125,7 +125,7 @@
         &self,
         caller: Option<&Caller>,
         head: &RequestHead,
-    ) -> Result<Option<Charge>, OverLimit> {
+    ) -> Result<Option<Charge>, LimitExceeded> {
         let Some(account) = caller.map(|caller| &caller.account) else {
             return Ok(None);
         };
--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -4,7 +4,7 @@
         crashes::{crash_words, CrashKeeper},
         relay::{relay_demands, relay_published, relay_views, RelayHub},
     },
-    chalkcart_coordination::{limits::UsageKeeper, placement::PlacementEvent},
+    chalkcart_coordination::{limits::UsageAggregator, placement::PlacementEvent},
     chalkcart_protocol::peer::{path, AdapterDemand, IntakeReport, UsageReport},
     chalkcart_transport::{
         clock,
@@ -24,7 +24,7 @@
 };
 
 /// what entries let client accounts run, while this sidecar keeps the sums
-pub type UsageSums = Mutex<UsageKeeper>;
+pub type UsageSums = Mutex<UsageAggregator>;
 
 /// the routes of a sidecar that places adapters, and may be a relay
 pub fn new_router(
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -11,7 +11,7 @@
     },
     anyhow::{Context, Result},
     chalkcart_coordination::{
-        limits::UsageKeeper,
+        limits::UsageAggregator,
         placement::{self, PlacementControl},
     },
     chalkcart_node::{
@@ -67,7 +67,7 @@
     let published = Arc::new(Published::new(store, settings.relay_pacing()));
     let relay = Arc::new(RelayHub::new(settings.name.clone(), published));
     tokio::spawn(run_pump(relay.clone(), settings.listen.port()));
-    let usage = Arc::new(UsageSums::new(UsageKeeper::new(rand::random())));
+    let usage = Arc::new(UsageSums::new(UsageAggregator::new(rand::random())));
     let crashes = Arc::new(CrashKeeper::new(rand::random()));
     let (_stop, stopped) = watch::channel(false);
     tokio::spawn(server::serve(
