--- a/coordination/src/crashes/crash_evidence.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -20,14 +20,14 @@
 
 /// the end of an engine's life, with the requests that it ran for this entry
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Crash {
+pub struct EngineCrash {
     pub life: BackendId,
-    pub runs: Vec<BrokenRun>,
+    pub runs: Vec<InterruptedRun>,
 }
 
 /// a run whose connection ended before its answer did
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenRun {
+pub struct InterruptedRun {
     pub digest: RequestDigest,
     pub at: Instant,
 }
@@ -39,20 +39,20 @@
 /// is over: its sidecar, which is refused on its own machine or reads another life, or the
 /// list. One of the requests that it ran did it, so all of them are suspected alike.
 #[derive(Debug, Default)]
-pub struct CrashEvidence {
+pub struct CrashDetector {
     /// runs whose connection broke, by the life that ran them
-    broken: HashMap<BackendId, Vec<BrokenRun>>,
+    broken: HashMap<BackendId, Vec<InterruptedRun>>,
     ended: HashMap<BackendId, Instant>,
-    crashes: Vec<Crash>,
+    crashes: Vec<EngineCrash>,
 }
 
-impl CrashEvidence {
+impl CrashDetector {
     /// a run's connection ended before its answer did
     pub fn on_broken(&mut self, life: &BackendId, digest: RequestDigest, now: Instant) {
         self.expire(now);
         let runs = self.broken.entry(life.clone()).or_default();
         if runs.len() < MOST_RUNS {
-            runs.push(BrokenRun { digest, at: now });
+            runs.push(InterruptedRun { digest, at: now });
         }
         if self.ended.contains_key(life) {
             self.prove(life);
@@ -88,14 +88,14 @@
     }
 
     /// ends that were proved since the last call
-    pub fn take_crashes(&mut self) -> Vec<Crash> {
+    pub fn take_crashes(&mut self) -> Vec<EngineCrash> {
         std::mem::take(&mut self.crashes)
     }
 
     fn prove(&mut self, life: &BackendId) {
         if let Some(runs) = self.broken.remove(life) {
             let life = life.clone();
-            self.crashes.push(Crash { life, runs });
+            self.crashes.push(EngineCrash { life, runs });
         }
     }
 
--- a/coordination/src/crashes/crash_book.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -12,29 +12,29 @@
 /// there are suspected; that an innocent one stood beside the cause three times in a row and
 /// was never served is what a retry or two of its client can't bring about. The users' rule
 /// counts from the third end on.
-pub const CONDEMNED_AFTER: usize = 3;
+pub const BLOCKED_AFTER_CRASHES: usize = 3;
 /// Requests that are remembered at most: 16 ends of engines with 256 requests each. About
 /// 0.9 MB when full.
-pub const MOST_DIGESTS: usize = 4_096;
+pub const MAX_TRACKED_REQUESTS: usize = 4_096;
 /// part of the requests that is forgotten when there are too many
 const FORGOTTEN_PART: usize = 4;
 /// A request that nobody has tried for so long may be sent again: engines are mended
 /// meanwhile, and it costs three of them at most to learn that they were not.
 const REMEMBERED: Duration = Duration::from_secs(600);
 /// ends of engines that are kept of one request
-const MOST_ENDS: usize = CONDEMNED_AFTER + 1;
+const MOST_ENDS: usize = BLOCKED_AFTER_CRASHES + 1;
 /// words of one message at most: 72 kB
 const MOST_WORDS: usize = 1_000;
 
 /// what is believed of a request
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestVerdict {
     /// no engine has ended under it since it was served last
     Clear,
     /// some have, and any of those that ran beside it may have been the cause
     Suspected { ended: usize },
     /// it ends the engines that run it
-    Condemned {
+    Blocked {
         ended: usize,
         /// age of the newest end
         age: Duration,
@@ -46,7 +46,7 @@
 /// Each word in it says what happened and stays true, so books are merged in any order and
 /// any number of times: entries tell each other all they know by way of keepers.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashRegistry {
     rows: HashMap<RequestDigest, Row>,
     revision: u64,
 }
@@ -73,7 +73,7 @@
     revision: u64,
 }
 
-impl CrashBook {
+impl CrashRegistry {
     /// rises with each word that is new to the book
     pub fn revision(&self) -> u64 {
         self.revision
@@ -86,13 +86,13 @@
     }
 
     /// what is believed of a request that comes in now
-    pub fn judge(&mut self, digest: &RequestDigest, now: Instant) -> Standing {
+    pub fn judge(&mut self, digest: &RequestDigest, now: Instant) -> RequestVerdict {
         let Some(row) = self.rows.get_mut(digest) else {
-            return Standing::Clear;
+            return RequestVerdict::Clear;
         };
         if row.is_forgotten(now) {
             self.rows.remove(digest);
-            return Standing::Clear;
+            return RequestVerdict::Clear;
         }
         row.touched = now;
         row.standing(now)
@@ -185,7 +185,7 @@
     }
 
     fn row(&mut self, digest: RequestDigest, now: Instant) -> &mut Row {
-        if self.rows.len() >= MOST_DIGESTS && !self.rows.contains_key(&digest) {
+        if self.rows.len() >= MAX_TRACKED_REQUESTS && !self.rows.contains_key(&digest) {
             self.forget_some(now);
         }
         let row = self.rows.entry(digest).or_insert_with(|| Row::new(now));
@@ -203,7 +203,8 @@
             .map(|(digest, row)| (row.ends.len(), row.touched, *digest))
             .collect();
         ranked.sort_unstable();
-        let excess = (ranked.len() + MOST_DIGESTS / FORGOTTEN_PART).saturating_sub(MOST_DIGESTS);
+        let excess = (ranked.len() + MAX_TRACKED_REQUESTS / FORGOTTEN_PART)
+            .saturating_sub(MAX_TRACKED_REQUESTS);
         for (_, _, digest) in ranked.into_iter().take(excess) {
             self.rows.remove(&digest);
         }
@@ -247,15 +248,15 @@
         true
     }
 
-    fn standing(&self, now: Instant) -> Standing {
+    fn standing(&self, now: Instant) -> RequestVerdict {
         let ended = self.ends.len();
         match self.ends.last().map(|end| end.noted.at) {
-            None => Standing::Clear,
-            Some(at) if ended >= CONDEMNED_AFTER => Standing::Condemned {
+            None => RequestVerdict::Clear,
+            Some(at) if ended >= BLOCKED_AFTER_CRASHES => RequestVerdict::Blocked {
                 ended,
                 age: now.saturating_duration_since(at),
             },
-            Some(_) => Standing::Suspected { ended },
+            Some(_) => RequestVerdict::Suspected { ended },
         }
     }
 
--- a/coordination/src/crashes/mod.rs
+++ b/coordination/src/crashes/mod.rs
@@ -1,10 +1,10 @@
 //! requests that end the engines that run them: what proves it, who knows it, and which
 //! requests are sent to none any more
 
-mod crash_book;
-mod crash_evidence;
+mod crash_detector;
+mod crash_registry;
 
 pub use {
-    crash_book::{CrashBook, Standing, CONDEMNED_AFTER, MOST_DIGESTS},
-    crash_evidence::{BrokenRun, Crash, CrashEvidence},
+    crash_detector::{CrashDetector, EngineCrash, InterruptedRun},
+    crash_registry::{CrashRegistry, RequestVerdict, BLOCKED_AFTER_CRASHES, MAX_TRACKED_REQUESTS},
 };
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -7,7 +7,7 @@
         SharedBudget, Ticket, Wished,
     },
     crate::{
-        crashes::{Crash, CrashEvidence},
+        crashes::{CrashDetector, EngineCrash},
         own_word::OwnWord,
     },
     chalkcart_state::{
@@ -76,7 +76,7 @@
     /// each event would cost as much as a decision
     pub(super) may_have_cold: bool,
     /// which runs the ends of engines belong to
-    pub(super) crashes: CrashEvidence,
+    pub(super) crashes: CrashDetector,
     /// requests that were served since the last call of `take_served`
     served: Vec<RequestDigest>,
     /// when this process began, if the fleet served before
@@ -114,7 +114,7 @@
             limited: HashSet::new(),
             limits_shared: None,
             may_have_cold: false,
-            crashes: CrashEvidence::default(),
+            crashes: CrashDetector::default(),
             served: Vec::new(),
             last_heard: None,
         }
@@ -191,7 +191,7 @@
         std::mem::take(&mut self.wished)
     }
     /// engines that ended under runs since the last call
-    pub fn take_crashes(&mut self) -> Vec<Crash> {
+    pub fn take_crashes(&mut self) -> Vec<EngineCrash> {
         self.crashes.take_crashes()
     }
     /// requests that were run to their end since the last call
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -4,7 +4,9 @@
 
 use {
     chalkcart_coordination::{
-        crashes::{Crash, CrashBook, Standing, CONDEMNED_AFTER, MOST_DIGESTS},
+        crashes::{
+            CrashRegistry, EngineCrash, RequestVerdict, BLOCKED_AFTER_CRASHES, MAX_TRACKED_REQUESTS,
+        },
         dispatch::{Ask, DispatchEvent, SendOutcome},
     },
     chalkcart_protocol::peer::{CrashEvent, CrashWord, EngineView},
@@ -51,7 +53,7 @@
 
 /// the runs that the fixture's engine is said to have ended under
 fn suspected(fixture: &mut Fixture) -> Vec<RequestDigest> {
-    let crashes: Vec<Crash> = fixture.dispatcher.take_crashes();
+    let crashes: Vec<EngineCrash> = fixture.dispatcher.take_crashes();
     let runs = crashes.iter().flat_map(|crash| &crash.runs);
     let mut digests: Vec<RequestDigest> = runs.map(|run| run.digest).collect();
     digests.sort_unstable();
@@ -177,19 +179,19 @@
     assert_eq!(sent_to(&decided), [ENGINE], "once it has ended");
 }
 
-fn ended(book: &mut CrashBook, body: &str, life: u64, at: Instant) {
+fn ended(book: &mut CrashRegistry, body: &str, life: u64, at: Instant) {
     book.on_ended(digest(body), life, at, at);
 }
 
 #[test]
 fn the_third_engine_condemns_and_a_run_to_its_end_excuses() {
     let start = Instant::now();
-    let mut book = CrashBook::default();
-    let judge = |book: &mut CrashBook, body: &str| book.judge(&digest(body), start);
-    for life in 0..CONDEMNED_AFTER as u64 {
+    let mut book = CrashRegistry::default();
+    let judge = |book: &mut CrashRegistry, body: &str| book.judge(&digest(body), start);
+    for life in 0..BLOCKED_AFTER_CRASHES as u64 {
         assert!(!matches!(
             judge(&mut book, "cause"),
-            Standing::Condemned { .. }
+            RequestVerdict::Blocked { .. }
         ));
         // it stood beside the cause each time, and was served in between
         for body in ["cause", "beside"] {
@@ -200,42 +202,45 @@
     }
     assert!(matches!(
         judge(&mut book, "cause"),
-        Standing::Condemned { ended: 3, .. }
+        RequestVerdict::Blocked { ended: 3, .. }
     ));
-    assert_eq!(judge(&mut book, "beside"), Standing::Clear);
-    assert_eq!(judge(&mut book, "never seen"), Standing::Clear);
+    assert_eq!(judge(&mut book, "beside"), RequestVerdict::Clear);
+    assert_eq!(judge(&mut book, "never seen"), RequestVerdict::Clear);
 }
 
 #[test]
 fn what_nobody_tries_is_forgotten() {
     let start = Instant::now();
-    let mut book = CrashBook::default();
+    let mut book = CrashRegistry::default();
     (0..3).for_each(|life| ended(&mut book, "cause", life, start));
     let later = |s: u64| start + Duration::from_secs(s);
-    let judge = |book: &mut CrashBook, s: u64| book.judge(&digest("cause"), later(s));
-    assert!(matches!(judge(&mut book, 590), Standing::Condemned { .. }));
+    let judge = |book: &mut CrashRegistry, s: u64| book.judge(&digest("cause"), later(s));
+    assert!(matches!(
+        judge(&mut book, 590),
+        RequestVerdict::Blocked { .. }
+    ));
     // each try puts it off
     assert!(matches!(
         judge(&mut book, 1_180),
-        Standing::Condemned { .. }
+        RequestVerdict::Blocked { .. }
     ));
-    assert_eq!(judge(&mut book, 1_780), Standing::Clear);
+    assert_eq!(judge(&mut book, 1_780), RequestVerdict::Clear);
 }
 
 /// a caller that sends nothing else can't push out what is known
 #[test]
 fn a_flood_of_crashing_requests_has_bounds() {
     let start = Instant::now();
-    let mut book = CrashBook::default();
+    let mut book = CrashRegistry::default();
     (0..3).for_each(|life| ended(&mut book, "cause", life, start));
     for number in 0..100_000u64 {
         let at = start + Duration::from_millis(number / 100);
         ended(&mut book, &number.to_string(), number, at);
-        assert!(book.len() <= MOST_DIGESTS);
+        assert!(book.len() <= MAX_TRACKED_REQUESTS);
     }
     let now = start + Duration::from_secs(1);
     let standing = book.judge(&digest("cause"), now);
-    assert!(matches!(standing, Standing::Condemned { .. }));
+    assert!(matches!(standing, RequestVerdict::Blocked { .. }));
 }
 
 /// something that happens to one of a few requests, in steps of a ms
@@ -294,13 +299,13 @@
     once.collect()
 }
 
-fn agrees(book: &mut CrashBook, now: Instant, rule: &BTreeMap<u8, BTreeSet<u8>>) -> bool {
+fn agrees(book: &mut CrashRegistry, now: Instant, rule: &BTreeMap<u8, BTreeSet<u8>>) -> bool {
     rule.iter().all(|(body, lives)| {
         let standing = book.judge(&digest(&body.to_string()), now);
         match lives.len() {
-            0 => standing == Standing::Clear,
-            n if n < CONDEMNED_AFTER => standing == Standing::Suspected { ended: n },
-            _ => matches!(standing, Standing::Condemned { .. }),
+            0 => standing == RequestVerdict::Clear,
+            n if n < BLOCKED_AFTER_CRASHES => standing == RequestVerdict::Suspected { ended: n },
+            _ => matches!(standing, RequestVerdict::Blocked { .. }),
         }
     })
 }
@@ -319,13 +324,13 @@
         } else {
             cut % words.len()
         };
-        let mut one = CrashBook::default();
+        let mut one = CrashRegistry::default();
         one.merge(&words[..cut], now);
-        let mut other = CrashBook::default();
+        let mut other = CrashRegistry::default();
         other.merge(&reversed, now);
         other.merge(&words, now);
         // one hears the rest by way of a third, which has heard all of the other
-        let mut third = CrashBook::default();
+        let mut third = CrashRegistry::default();
         third.merge(&other.words_after(0, now).0, now);
         let (told, up_to) = third.words_after(0, now);
         one.merge(&told, now);
@@ -342,12 +347,12 @@
 #[test]
 fn a_large_book_is_told_in_parts() {
     let now = Instant::now();
-    let mut book = CrashBook::default();
+    let mut book = CrashRegistry::default();
     let bodies: Vec<String> = (0..2_500).map(|n| n.to_string()).collect();
     for (life, body) in bodies.iter().enumerate() {
         ended(&mut book, body, life as u64, now);
     }
-    let (mut other, mut told, mut parts) = (CrashBook::default(), 0, 0);
+    let (mut other, mut told, mut parts) = (CrashRegistry::default(), 0, 0);
     while told < book.revision() {
         let (words, up_to) = book.words_after(told, now);
         assert!(words.len() <= 1_000);
@@ -357,6 +362,6 @@
     assert_eq!(parts, 3);
     for body in &bodies {
         let standing = other.judge(&digest(body), now);
-        assert_eq!(standing, Standing::Suspected { ended: 1 });
+        assert_eq!(standing, RequestVerdict::Suspected { ended: 1 });
     }
 }
--- a/entry/src/ingress/crashes.rs
+++ b/entry/src/ingress/crashes.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::{
-        crashes::{Crash, CrashBook, Standing},
+        crashes::{CrashRegistry, EngineCrash, RequestVerdict},
         membership::stable_hash,
     },
     chalkcart_protocol::peer::CrashWord,
@@ -18,7 +18,7 @@
 
 /// what this entry knows of requests under which engines ended
 pub struct Crashes {
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashRegistry>,
     /// the book's revision
     changed: watch::Sender<u64>,
     pub metrics: CrashMetrics,
@@ -35,7 +35,7 @@
 }
 
 impl Crashes {
-    pub fn judge(&self, digest: &RequestDigest) -> Standing {
+    pub fn judge(&self, digest: &RequestDigest) -> RequestVerdict {
         self.book().judge(digest, clock::now())
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// engines have ended under runs
-    pub fn on_crashes(&self, crashes: Vec<Crash>) {
+    pub fn on_crashes(&self, crashes: Vec<EngineCrash>) {
         let now = clock::now();
         for crash in crashes {
             let mut book = self.book();
@@ -86,17 +86,17 @@
         self.changed.subscribe()
     }
 
-    fn tell(&self, book: &CrashBook) {
+    fn tell(&self, book: &CrashRegistry) {
         self.metrics.remembered.set(book.len() as i64);
         self.changed.send_replace(book.revision());
     }
-    fn book(&self) -> MutexGuard<'_, CrashBook> {
+    fn book(&self) -> MutexGuard<'_, CrashRegistry> {
         // no holder panics halfway through a change
         self.book.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-fn log_crash(crash: &Crash, now: Instant) {
+fn log_crash(crash: &EngineCrash, now: Instant) {
     let digests = crash.runs.iter().take(MOST_LOGGED);
     let digests: Vec<String> = digests.map(|run| run.digest.to_string()).collect();
     let first = crash.runs.iter().map(|run| run.at).min().unwrap_or(now);
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -8,7 +8,7 @@
     },
     bytes::Bytes,
     chalkcart_coordination::{
-        crashes::Standing,
+        crashes::RequestVerdict,
         dispatch::{Ask, Assignment, Basis, Decision, DispatchEvent, SendOutcome, Ticket},
         own_word::RequestRate,
     },
@@ -212,7 +212,7 @@
     /// again loses time only, so it is not told to come back. This try has not run, unless
     /// an earlier send of it broke off.
     fn refusal_of_crashing(&mut self) -> Option<ClientResponse> {
-        let Standing::Condemned { ended, age } = self.standing() else {
+        let RequestVerdict::Blocked { ended, age } = self.standing() else {
             return None;
         };
         log::warn!(
@@ -233,12 +233,12 @@
         })
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> RequestVerdict {
         self.shared.crashes.judge(&self.accepted.digest)
     }
     /// whether it may end the engine that runs it, for all that is known
     fn is_suspected(&self) -> bool {
-        self.standing() != Standing::Clear
+        self.standing() != RequestVerdict::Clear
     }
 
     /// whether the caller's key is still its own
--- a/sidecar/src/crashes/keeper.rs
+++ b/sidecar/src/crashes/keeper.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_coordination::crashes::CrashBook,
+    chalkcart_coordination::crashes::CrashRegistry,
     chalkcart_protocol::peer::{CrashAnswer, CrashAsk, CrashMark},
     chalkcart_state::ids::Incarnation,
     chalkcart_transport::clock,
@@ -17,7 +17,7 @@
 /// entries outlive it: none of them keeps anything beyond its process.
 pub struct CrashKeeper {
     incarnation: Incarnation,
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashRegistry>,
     /// the book's revision
     changed: watch::Sender<u64>,
 }
@@ -65,7 +65,7 @@
         }
     }
 
-    fn book(&self) -> MutexGuard<'_, CrashBook> {
+    fn book(&self) -> MutexGuard<'_, CrashRegistry> {
         // no holder panics halfway through a change
         self.book.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -12,7 +12,7 @@
     async_trait::async_trait,
     chalkcart_coordination::{
         config::ConfigLease,
-        crashes::{CrashBook, Standing},
+        crashes::{CrashRegistry, RequestVerdict},
         following::{CallTimes, FollowPacing},
     },
     chalkcart_state::{
@@ -163,15 +163,15 @@
 async fn words_of_others_are_dated_by_the_time_that_has_passed() {
     set_up();
     let digest = RequestDigest::of("POST", "/", "", b"any");
-    let mut book = CrashBook::default();
+    let mut book = CrashRegistry::default();
     let now = clock::now();
     book.on_ended(digest, 1, now, now);
     suspend(SUSPENDED);
     // another entry ran it to its end 4 s ago, and tells it now
-    let mut other = CrashBook::default();
+    let mut other = CrashRegistry::default();
     other.on_ended(digest, 2, clock::now() - ms(9_000), clock::now());
     other.on_served(digest, clock::now() - ms(4_000));
     let (words, _) = other.words_after(0, clock::now());
     book.merge(&words, clock::now());
-    assert_eq!(book.judge(&digest, clock::now()), Standing::Clear);
+    assert_eq!(book.judge(&digest, clock::now()), RequestVerdict::Clear);
 }
