--- a/coordination/src/membership/keeper_choice.rs
+++ b/coordination/src/membership/aggregator_selector.rs
@@ -18,14 +18,14 @@
 
 /// what sidecars keep for the entries of the whole fleet
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeptMatter {
+pub enum AggregatedState {
     /// what client accounts have used of their limits
     Limits,
     /// requests that engines ended under
     Crashes,
 }
 
-impl KeptMatter {
+impl AggregatedState {
     /// under this name entries rank the sidecars
     fn name(self) -> &'static str {
         match self {
@@ -38,8 +38,8 @@
 /// Chooses the sidecars that keep a matter of the whole fleet. All entries rank the listed
 /// engines alike; while their lists differ there are more keepers than one.
 #[derive(Debug)]
-pub struct KeeperChoice {
-    matter: KeptMatter,
+pub struct AggregatorSelector {
+    matter: AggregatedState,
     /// calls that failed in a row, and when the last did
     failed: HashMap<SocketAddr, (u32, Instant)>,
     /// keepers of builds that do not know the matter: how long they are left alone, and
@@ -47,8 +47,8 @@
     unknowing: HashMap<SocketAddr, (Duration, Instant)>,
 }
 
-impl KeeperChoice {
-    pub fn new(matter: KeptMatter) -> Self {
+impl AggregatorSelector {
+    pub fn new(matter: AggregatedState) -> Self {
         Self {
             matter,
             failed: HashMap::new(),
--- a/coordination/src/membership/mod.rs
+++ b/coordination/src/membership/mod.rs
@@ -1,11 +1,11 @@
 //! which process plays which part, from the live list alone
 
-mod keeper_choice;
-mod parts;
+mod aggregator_selector;
 mod rendezvous;
+mod roles;
 
 pub use {
-    keeper_choice::{KeeperChoice, KeptMatter},
-    parts::{permit_giver, watchers, WATCHERS_PER_ZONE},
+    aggregator_selector::{AggregatedState, AggregatorSelector},
     rendezvous::{rank_by_rendezvous, rendezvous_weight, stable_hash},
+    roles::{select_permit_issuer, select_watchers, WATCHERS_PER_ZONE},
 };
--- a/coordination/src/membership/parts.rs
+++ b/coordination/src/membership/roles.rs
@@ -9,7 +9,7 @@
 const PERMIT_GIVER_KEY: &str = "permit-giver";
 
 /// the entry boxes that read the platform for their zone
-pub fn watchers<'l>(list: &'l FleetList, zone: &str) -> Vec<&'l FleetBox> {
+pub fn select_watchers<'l>(list: &'l FleetList, zone: &str) -> Vec<&'l FleetBox> {
     let key = format!("watcher/{zone}");
     let entries: Vec<&FleetBox> = list.live_entries().filter(|b| b.zone == zone).collect();
     let ranked = rank_by_rendezvous(&key, entries.iter().copied(), |b| &b.name);
@@ -17,7 +17,7 @@
 }
 
 /// the entry box that gives load permits
-pub fn permit_giver(list: &FleetList) -> Option<&FleetBox> {
+pub fn select_permit_issuer(list: &FleetList) -> Option<&FleetBox> {
     let entries: Vec<&FleetBox> = list.live_entries().collect();
     let ranked = rank_by_rendezvous(PERMIT_GIVER_KEY, entries.iter().copied(), |b| &b.name);
     ranked.first().copied()
--- a/coordination/tests/keepers.rs
+++ b/coordination/tests/keepers.rs
@@ -1,7 +1,7 @@
 //! which sidecars keep a matter of the whole fleet
 
 use {
-    chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
+    chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
     std::{
         net::SocketAddr,
         time::{Duration, Instant},
@@ -18,7 +18,7 @@
 #[test]
 fn keepers_that_do_not_know_the_matter_are_left_alone_for_longer_each_time() {
     let engines = engines();
-    let mut choice = KeeperChoice::new(KeptMatter::Crashes);
+    let mut choice = AggregatorSelector::new(AggregatedState::Crashes);
     let mut now = Instant::now();
     let mut asked = 0;
     let end = now + Duration::from_secs(60);
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -6,7 +6,7 @@
     chalkcart_coordination::{
         config::ConfigLease,
         limits::{AccountLimiter, LimitSettings, UsageAggregator},
-        membership::{rendezvous_weight, KeeperChoice, KeptMatter},
+        membership::{rendezvous_weight, AggregatedState, AggregatorSelector},
     },
     chalkcart_protocol::peer::{UsageAnswer, UsageReport},
     chalkcart_state::accounts::{AccountMark, ClientAccount, LimitUnit, RateLimit},
@@ -102,7 +102,7 @@
     started: u64,
     /// requests that came before the first word of a keeper: account, units
     held: Vec<(usize, u64)>,
-    choice: KeeperChoice,
+    choice: AggregatorSelector,
     lease: ConfigLease,
     report_at: u64,
     /// keeper, since when, and what was reported
@@ -123,7 +123,7 @@
             book,
             started,
             held: Vec::new(),
-            choice: KeeperChoice::new(KeptMatter::Limits),
+            choice: AggregatorSelector::new(AggregatedState::Limits),
             lease: ConfigLease::new(Some(REVOKED_WITHIN)),
             report_at: 0,
             asked: None,
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -5,7 +5,7 @@
         limits::{
             AccountLimiter, LimitExceeded, LimitSettings, TokenBucket, UsageAggregator, WindowSum,
         },
-        membership::{KeeperChoice, KeptMatter},
+        membership::{AggregatedState, AggregatorSelector},
     },
     chalkcart_state::accounts::{ClientAccount, LimitUnit, RateLimit},
     std::{
@@ -228,8 +228,8 @@
     let engine = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
     let engines: Vec<SocketAddr> = (1..40).map(engine).collect();
     let reversed: Vec<SocketAddr> = engines.iter().rev().copied().collect();
-    let mut one = KeeperChoice::new(KeptMatter::Limits);
-    let mut other = KeeperChoice::new(KeptMatter::Limits);
+    let mut one = AggregatorSelector::new(AggregatedState::Limits);
+    let mut other = AggregatorSelector::new(AggregatedState::Limits);
     let first = one.choose(&engines, now).expect("a keeper");
     assert_eq!(other.choose(&reversed, now), Some(first));
     one.on_failed(first, now);
--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -4,7 +4,7 @@
         config::ConfigKeeper,
         control::{ControlHandle, EntryEvent},
     },
-    chalkcart_coordination::membership::permit_giver,
+    chalkcart_coordination::membership::select_permit_issuer,
     chalkcart_transport::{client::PeerClient, metrics::RequestMetrics, server::pages::Observed},
     std::{
         net::SocketAddr,
@@ -58,7 +58,7 @@
 
     /// the entry that gives load permits, as this one sees the fleet
     pub fn permit_giver(&self) -> Option<SocketAddr> {
-        permit_giver(&self.keeper.list()).map(|b| b.addr)
+        select_permit_issuer(&self.keeper.list()).map(|b| b.addr)
     }
 }
 
--- a/entry/src/config/follower.rs
+++ b/entry/src/config/follower.rs
@@ -1,7 +1,7 @@
 use {
     super::{ConfigKeeper, KeepError, PeerShards, PlatformShards, ShardSource},
     crate::{app::Shared, control::EntryEvent},
-    chalkcart_coordination::{config::Verdict, membership::watchers},
+    chalkcart_coordination::{config::Verdict, membership::select_watchers},
     chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
     chalkcart_state::{config::Root, fleet::FleetList},
     chalkcart_transport::{
@@ -245,7 +245,7 @@
 
     fn watchers(&self) -> Vec<(String, SocketAddr)> {
         let list = self.keeper().list();
-        let watchers = watchers(&list, &self.shared.settings.zone);
+        let watchers = select_watchers(&list, &self.shared.settings.zone);
         watchers.iter().map(|b| (b.name.clone(), b.addr)).collect()
     }
 
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -1,6 +1,6 @@
 use {
     super::shared::Shared,
-    chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
+    chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
     chalkcart_protocol::peer::{path, CrashAnswer, CrashAsk, CrashMark},
     chalkcart_transport::{
         client::{ClientError, PeerClient},
@@ -32,7 +32,7 @@
 /// one of the links by which an entry shares what it knows
 struct CrashLink {
     shared: Arc<Shared>,
-    choice: Arc<Mutex<KeeperChoice>>,
+    choice: Arc<Mutex<AggregatorSelector>>,
     rank: usize,
     peers: PeerClient,
     changed: watch::Receiver<u64>,
@@ -50,7 +50,7 @@
 
 /// share what this entry knows with all others, until the process ends
 pub fn exchange_crashes(shared: &Arc<Shared>) {
-    let choice = KeeperChoice::new(KeptMatter::Crashes);
+    let choice = AggregatorSelector::new(AggregatedState::Crashes);
     let choice = Arc::new(Mutex::new(choice));
     for rank in 0..KEEPERS {
         let link = CrashLink {
@@ -153,7 +153,7 @@
         self.present = None;
     }
 
-    fn choice(&self) -> MutexGuard<'_, KeeperChoice> {
+    fn choice(&self) -> MutexGuard<'_, AggregatorSelector> {
         // no holder panics halfway through a change
         self.choice.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -1,6 +1,6 @@
 use {
     super::shared::Shared,
-    chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
+    chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
     chalkcart_protocol::peer::{path, UsageAnswer},
     chalkcart_transport::{client::PeerClient, clock},
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -18,7 +18,7 @@
 /// may use, until the process ends
 pub async fn report_usage(shared: Arc<Shared>, sidecar_port: u16) {
     let peers = PeerClient::new();
-    let mut choice = KeeperChoice::new(KeptMatter::Limits);
+    let mut choice = AggregatorSelector::new(AggregatedState::Limits);
     let mut present = None;
     loop {
         let pause =
@@ -36,7 +36,7 @@
 async fn report_once(
     shared: &Shared,
     peers: &PeerClient,
-    choice: &mut KeeperChoice,
+    choice: &mut AggregatorSelector,
     present: &mut Option<SocketAddr>,
     sidecar_port: u16,
 ) -> Option<bool> {
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -7,7 +7,7 @@
     },
     anyhow::Result,
     chalkcart_coordination::{
-        membership::{permit_giver, watchers},
+        membership::{select_permit_issuer, select_watchers},
         permits::{PermitGiver, PermitSettings},
         routing::{Need, PolicyName, RouteAsk},
     },
@@ -94,8 +94,8 @@
     let list = list(targets);
     let started = Instant::now();
     for _ in 0..CHANGES {
-        black_box(watchers(&list, "region-0-zone-0").len());
-        black_box(permit_giver(&list).is_some());
+        black_box(select_watchers(&list, "region-0-zone-0").len());
+        black_box(select_permit_issuer(&list).is_some());
     }
     micros(started.elapsed(), CHANGES)
 }
--- a/testkit/examples/experiment/permits.rs
+++ b/testkit/examples/experiment/permits.rs
@@ -3,7 +3,7 @@
 use {
     crate::fleet::{check, clients, noted, user_fleet, user_stream, Plan},
     anyhow::Result,
-    chalkcart_coordination::membership::permit_giver,
+    chalkcart_coordination::membership::select_permit_issuer,
     chalkcart_testkit::{
         cluster::Cluster,
         configs::{head_office, trentside, UserSize},
@@ -83,7 +83,7 @@
         .insert("permits".to_string(), permits.clone());
     let mut cluster = Cluster::start(settings).await?;
     // callers hold to entries that are not killed
-    let giver = permit_giver(&cluster.platform.list()).map(|b| b.name.clone());
+    let giver = select_permit_issuer(&cluster.platform.list()).map(|b| b.name.clone());
     let giver = cluster
         .entries
         .iter()
