--- a/coordination/src/fence/fence_keeper.rs
+++ b/coordination/src/fence/fence_controller.rs
@@ -19,7 +19,7 @@
 
 /// what to do after reading an engine
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FenceStep {
+pub enum FenceAction {
     /// ask the engine to take this pair
     Take {
         incarnation: Incarnation,
@@ -28,7 +28,7 @@
     /// nothing changed
     Keep,
     /// stop for good
-    GiveUp,
+    Stop,
 }
 
 /// distance between two fences of one process; the rest of the division by it
@@ -41,7 +41,7 @@
 /// one above the engine's. So when two processes meet at an engine that
 /// restarted, the later one wins in whatever order they come.
 #[derive(Debug)]
-pub struct FenceKeeper {
+pub struct FenceController {
     state: FenceState,
     /// lower bound of the own fence: the start time, so that a later process
     /// is higher even if the engine forgot
@@ -51,7 +51,7 @@
     own: Option<Fence>,
 }
 
-impl FenceKeeper {
+impl FenceController {
     /// `epoch` is the start time in ms, `tag` a random number
     pub fn new(epoch: Fence, tag: Fence) -> Self {
         Self {
@@ -69,25 +69,25 @@
     }
 
     /// decide on what the engine said
-    pub fn on_read(&mut self, status: &EngineStatus) -> FenceStep {
+    pub fn on_read(&mut self, status: &EngineStatus) -> FenceAction {
         if self.is_superseded() {
-            return FenceStep::GiveUp;
+            return FenceAction::Stop;
         }
         let own = *self
             .own
             .get_or_insert_with(|| self.epoch.max(status.fence / STEP + 1) * STEP + self.tag);
         if status.fence > own {
             self.state = FenceState::Superseded;
-            return FenceStep::GiveUp;
+            return FenceAction::Stop;
         }
         let held = FenceState::Held {
             incarnation: status.incarnation,
             fence: own,
         };
         if self.state == held && status.fence == own {
-            return FenceStep::Keep;
+            return FenceAction::Keep;
         }
-        FenceStep::Take {
+        FenceAction::Take {
             incarnation: status.incarnation,
             fence: own,
         }
--- a/coordination/src/fence/mod.rs
+++ b/coordination/src/fence/mod.rs
@@ -1,11 +1,11 @@
 //! who may give orders to an engine, and what a pause makes doubtful
 
 mod engine_status;
-mod fence_keeper;
+mod fence_controller;
 mod pause_detector;
 
 pub use {
     engine_status::{EngineStatus, RunningRequest},
-    fence_keeper::{FenceKeeper, FenceState, FenceStep},
+    fence_controller::{FenceAction, FenceController, FenceState},
     pause_detector::PauseDetector,
 };
--- a/coordination/src/once/errors.rs
+++ b/coordination/src/run_once/errors.rs
@@ -6,7 +6,7 @@
 
 /// why an id was not given or not admitted
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum OnceError {
+pub enum RunOnceError {
     #[error("no room for {wanted} more ids")]
     Full { wanted: u32, retry_after: Duration },
     #[error("the id was given by an earlier process at this target")]
@@ -18,16 +18,16 @@
     #[error("the id was not used in time")]
     Expired,
     #[error("the request was stopped before it ran")]
-    Sealed,
+    Cancelled,
 }
 
-impl OnceError {
+impl RunOnceError {
     /// what may be said of the request
     pub fn outcome(&self) -> Outcome {
         match self {
             // a process of an earlier incarnation may have run it
             Self::EarlierIncarnation | Self::Forgotten => Outcome::MayHaveRun,
-            Self::Full { .. } | Self::Unknown | Self::Expired | Self::Sealed => Outcome::NotRun,
+            Self::Full { .. } | Self::Unknown | Self::Expired | Self::Cancelled => Outcome::NotRun,
         }
     }
     pub fn reason(&self) -> Reason {
@@ -37,7 +37,7 @@
             Self::Unknown => Reason::UnknownId,
             Self::Forgotten => Reason::ForgottenId,
             Self::Expired => Reason::ExpiredId,
-            Self::Sealed => Reason::Cancelled,
+            Self::Cancelled => Reason::Cancelled,
         }
     }
     pub fn retry_after(&self) -> Option<Duration> {
--- /dev/null
+++ b/coordination/src/run_once/mod.rs
@@ -0,0 +1,9 @@
+//! at-most-once runs of requests with a reserved id
+
+mod errors;
+mod table;
+
+pub use {
+    errors::RunOnceError,
+    table::{Admission, RunOnceSettings, RunOnceTable, RunPhase},
+};
--- a/coordination/src/once/run_once_table.rs
+++ b/coordination/src/run_once/table.rs
@@ -1,5 +1,5 @@
 use {
-    super::OnceError,
+    super::RunOnceError,
     chalkcart_protocol::peer::Outcome,
     chalkcart_state::ids::{BoxName, Incarnation, ReservedId},
     std::{
@@ -13,7 +13,7 @@
 
 /// bounds of the table
 #[derive(Debug, Clone)]
-pub struct OnceSettings {
+pub struct RunOnceSettings {
     pub target: BoxName,
     pub incarnation: Incarnation,
     /// ids remembered at most
@@ -22,7 +22,7 @@
     pub valid_for: Duration,
 }
 
-impl Default for OnceSettings {
+impl Default for RunOnceSettings {
     fn default() -> Self {
         Self {
             target: BoxName::new(),
@@ -35,7 +35,7 @@
 
 /// where the request of an id stands
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum RunPhase {
     /// given, not used
     Reserved,
     /// admitted, not started
@@ -43,11 +43,11 @@
     /// handed to the engine or service; may have run from now on
     Started,
     /// ran to its end
-    Ended,
+    Completed,
     /// started, and its end is not known
-    Unclear,
+    OutcomeUnknown,
     /// never started, and never will
-    Sealed,
+    NeverRun,
 }
 
 /// what to do with an arriving request
@@ -56,27 +56,27 @@
     /// the first copy: queue it
     First,
     /// a further copy: join the first one's stream
-    Repeat,
+    Duplicate,
 }
 
 #[derive(Debug)]
 struct Row {
     secret: u64,
     expires: Instant,
-    phase: Phase,
+    phase: RunPhase,
 }
 
 impl Row {
-    fn phase_at(&self, now: Instant) -> Phase {
+    fn phase_at(&self, now: Instant) -> RunPhase {
         match self.phase {
-            Phase::Reserved if now >= self.expires => Phase::Sealed,
+            RunPhase::Reserved if now >= self.expires => RunPhase::NeverRun,
             phase => phase,
         }
     }
     fn is_final(&self, now: Instant) -> bool {
         matches!(
             self.phase_at(now),
-            Phase::Ended | Phase::Unclear | Phase::Sealed
+            RunPhase::Completed | RunPhase::OutcomeUnknown | RunPhase::NeverRun
         )
     }
 }
@@ -88,14 +88,14 @@
 /// is below `floor` and refused, however late its copy arrives.
 #[derive(Debug)]
 pub struct RunOnceTable {
-    settings: OnceSettings,
+    settings: RunOnceSettings,
     /// number of the oldest remembered id
     floor: u64,
     rows: VecDeque<Row>,
 }
 
 impl RunOnceTable {
-    pub fn new(settings: OnceSettings) -> Self {
+    pub fn new(settings: RunOnceSettings) -> Self {
         Self {
             settings,
             floor: 0,
@@ -119,11 +119,11 @@
         count: u32,
         now: Instant,
         mut draw: impl FnMut() -> u64,
-    ) -> Result<Vec<ReservedId>, OnceError> {
+    ) -> Result<Vec<ReservedId>, RunOnceError> {
         let wanted = count as usize;
         self.drop_final_rows(wanted, now);
         if self.rows.len() + wanted > self.settings.capacity {
-            return Err(OnceError::Full {
+            return Err(RunOnceError::Full {
                 wanted: count,
                 retry_after: FULL_RETRY_AFTER,
             });
@@ -133,19 +133,22 @@
     }
 
     /// decide on an arriving copy of a request
-    pub fn admit(&mut self, id: &ReservedId, now: Instant) -> Result<Admission, OnceError> {
+    pub fn admit(&mut self, id: &ReservedId, now: Instant) -> Result<Admission, RunOnceError> {
         let row = self.row_mut(id)?;
         match row.phase_at(now) {
-            Phase::Reserved => {
-                row.phase = Phase::Queued;
+            RunPhase::Reserved => {
+                row.phase = RunPhase::Queued;
                 Ok(Admission::First)
             }
-            Phase::Sealed if row.phase == Phase::Reserved => {
-                row.phase = Phase::Sealed;
-                Err(OnceError::Expired)
+            RunPhase::NeverRun if row.phase == RunPhase::Reserved => {
+                row.phase = RunPhase::NeverRun;
+                Err(RunOnceError::Expired)
             }
-            Phase::Sealed => Err(OnceError::Sealed),
-            Phase::Queued | Phase::Started | Phase::Ended | Phase::Unclear => Ok(Admission::Repeat),
+            RunPhase::NeverRun => Err(RunOnceError::Cancelled),
+            RunPhase::Queued
+            | RunPhase::Started
+            | RunPhase::Completed
+            | RunPhase::OutcomeUnknown => Ok(Admission::Duplicate),
         }
     }
 
@@ -155,10 +158,10 @@
         let Ok(row) = self.row_mut(id) else {
             return false;
         };
-        if row.phase != Phase::Queued {
+        if row.phase != RunPhase::Queued {
             return false;
         }
-        row.phase = Phase::Started;
+        row.phase = RunPhase::Started;
         true
     }
 
@@ -167,13 +170,13 @@
         let Ok(row) = self.row_mut(id) else {
             return;
         };
-        if row.phase != Phase::Started {
+        if row.phase != RunPhase::Started {
             return;
         }
         row.phase = match outcome {
-            Outcome::Ran => Phase::Ended,
-            Outcome::MayHaveRun => Phase::Unclear,
-            Outcome::NotRun => Phase::Sealed,
+            Outcome::Ran => RunPhase::Completed,
+            Outcome::MayHaveRun => RunPhase::OutcomeUnknown,
+            Outcome::NotRun => RunPhase::NeverRun,
         };
     }
 
@@ -184,17 +187,17 @@
             Err(e) => return e.outcome(),
         };
         match row.phase {
-            Phase::Reserved | Phase::Queued | Phase::Sealed => {
-                row.phase = Phase::Sealed;
+            RunPhase::Reserved | RunPhase::Queued | RunPhase::NeverRun => {
+                row.phase = RunPhase::NeverRun;
                 Outcome::NotRun
             }
-            Phase::Started | Phase::Unclear => Outcome::MayHaveRun,
-            Phase::Ended => Outcome::Ran,
+            RunPhase::Started | RunPhase::OutcomeUnknown => Outcome::MayHaveRun,
+            RunPhase::Completed => Outcome::Ran,
         }
     }
 
     /// where the request of an id stands
-    pub fn phase(&self, id: &ReservedId, now: Instant) -> Result<Phase, OnceError> {
+    pub fn phase(&self, id: &ReservedId, now: Instant) -> Result<RunPhase, RunOnceError> {
         let index = self.index(id)?;
         Ok(self.rows[index].phase_at(now))
     }
@@ -204,7 +207,7 @@
         self.rows.push_back(Row {
             secret,
             expires: now + self.settings.valid_for,
-            phase: Phase::Reserved,
+            phase: RunPhase::Reserved,
         });
         ReservedId {
             target: self.settings.target.clone(),
@@ -224,24 +227,24 @@
         }
     }
 
-    fn index(&self, id: &ReservedId) -> Result<usize, OnceError> {
+    fn index(&self, id: &ReservedId) -> Result<usize, RunOnceError> {
         if id.target != self.settings.target {
-            return Err(OnceError::Unknown);
+            return Err(RunOnceError::Unknown);
         }
         if id.incarnation != self.settings.incarnation {
-            return Err(OnceError::EarlierIncarnation);
+            return Err(RunOnceError::EarlierIncarnation);
         }
         if id.number < self.floor {
-            return Err(OnceError::Forgotten);
+            return Err(RunOnceError::Forgotten);
         }
         let index = (id.number - self.floor) as usize;
         match self.rows.get(index) {
             Some(row) if row.secret == id.secret => Ok(index),
-            _ => Err(OnceError::Unknown),
+            _ => Err(RunOnceError::Unknown),
         }
     }
 
-    fn row_mut(&mut self, id: &ReservedId) -> Result<&mut Row, OnceError> {
+    fn row_mut(&mut self, id: &ReservedId) -> Result<&mut Row, RunOnceError> {
         let index = self.index(id)?;
         Ok(&mut self.rows[index])
     }
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -3,8 +3,8 @@
 use {
     super::{PermitMode, SidecarAction, SidecarControl, Ticket},
     crate::{
-        once::{Admission, Phase},
         queue::Waiting,
+        run_once::{Admission, RunPhase},
         slots::AdapterKey,
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, ReserveAnswer, Step, Work, WorkOrder},
@@ -111,7 +111,7 @@
         })?;
         match self.once.admit(&id, now) {
             Ok(Admission::First) => Ok(()),
-            Ok(Admission::Repeat) => Err(self.refuse_repeat(&id, now)),
+            Ok(Admission::Duplicate) => Err(self.refuse_repeat(&id, now)),
             Err(e) => {
                 let peer = &self.settings.name;
                 let refusal = Refusal::new(e.outcome(), Step::Admission, peer, e.reason());
@@ -123,7 +123,7 @@
     /// a copy came after the first one's answer was dropped
     fn refuse_repeat(&self, id: &ReservedId, now: Instant) -> Refusal {
         let outcome = match self.once.phase(id, now) {
-            Ok(Phase::Ended) => Outcome::Ran,
+            Ok(RunPhase::Completed) => Outcome::Ran,
             _ => Outcome::MayHaveRun,
         };
         let peer = &self.settings.name;
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -4,9 +4,9 @@
         SidecarEvent, SidecarSettings, TargetKind,
     },
     crate::{
-        fence::{EngineStatus, FenceKeeper, FenceState, FenceStep, PauseDetector},
-        once::{OnceSettings, RunOnceTable},
+        fence::{EngineStatus, FenceAction, FenceController, FenceState, PauseDetector},
         queue::FairQueue,
+        run_once::{RunOnceSettings, RunOnceTable},
         slots::SlotTable,
     },
     chalkcart_protocol::peer::{Reason, TargetReport, WorkOrder},
@@ -33,7 +33,7 @@
     pub(super) slots: SlotTable,
     pub(super) loads: LoadBook,
     pub(super) runs: RunBook,
-    pub(super) fence: FenceKeeper,
+    pub(super) fence: FenceController,
     pub(super) max_running: u32,
     pub(super) draining: bool,
     pause: PauseDetector,
@@ -47,7 +47,7 @@
 
 impl SidecarControl {
     pub fn new(settings: SidecarSettings, now: Instant) -> Self {
-        let once = OnceSettings {
+        let once = RunOnceSettings {
             target: settings.name.clone(),
             incarnation: settings.incarnation,
             capacity: settings.id_capacity,
@@ -68,7 +68,7 @@
             policy,
             loads: LoadBook::new(),
             runs: RunBook::new(),
-            fence: FenceKeeper::new(settings.epoch, settings.incarnation),
+            fence: FenceController::new(settings.epoch, settings.incarnation),
             max_running,
             draining: false,
             pause: PauseDetector::new(settings.lease, now),
@@ -174,13 +174,13 @@
             return;
         };
         match self.fence.on_read(&status) {
-            FenceStep::GiveUp => self.give_up(),
-            FenceStep::Take { incarnation, fence } => {
+            FenceAction::Stop => self.give_up(),
+            FenceAction::Take { incarnation, fence } => {
                 self.doubtful = true;
                 let order = OrderFence { incarnation, fence };
                 self.actions.push(SidecarAction::TakeFence(order));
             }
-            FenceStep::Keep => {
+            FenceAction::Keep => {
                 if self.doubtful {
                     self.take_over(&status, now);
                 }
--- a/coordination/tests/fences.rs
+++ b/coordination/tests/fences.rs
@@ -2,7 +2,7 @@
 
 use {
     chalkcart_coordination::{
-        fence::{EngineStatus, FenceKeeper, FenceStep},
+        fence::{EngineStatus, FenceAction, FenceController},
         sidecar::{
             OrderFence, OrderResult, PermitMode, SidecarAction, SidecarControl, SidecarEvent,
             SidecarSettings,
@@ -29,9 +29,9 @@
     }
 }
 
-fn taken(step: FenceStep) -> Fence {
+fn taken(step: FenceAction) -> Fence {
     match step {
-        FenceStep::Take { fence, .. } => fence,
+        FenceAction::Take { fence, .. } => fence,
         other => panic!("expected a fence to take, got {other:?}"),
     }
 }
@@ -39,8 +39,8 @@
 #[test]
 fn two_processes_never_choose_the_same_fence() {
     // the same clock, another process
-    let mut one = FenceKeeper::new(1_000, 1);
-    let mut other = FenceKeeper::new(1_000, 2);
+    let mut one = FenceController::new(1_000, 1);
+    let mut other = FenceController::new(1_000, 2);
     let first = taken(one.on_read(&status(0, Vec::new())));
     one.on_taken(INCARNATION, first);
     let second = taken(other.on_read(&status(first, Vec::new())));
@@ -50,17 +50,17 @@
     for _ in 0..50 {
         one.on_doubt();
         match one.on_read(&status(second, Vec::new())) {
-            FenceStep::Take { fence, .. } => assert_ne!(fence, second),
-            FenceStep::Keep => panic!("both hold {second}"),
-            FenceStep::GiveUp => return,
+            FenceAction::Take { fence, .. } => assert_ne!(fence, second),
+            FenceAction::Keep => panic!("both hold {second}"),
+            FenceAction::Stop => return,
         }
     }
 }
 
 #[test]
 fn a_later_process_wins_at_a_restarted_engine_in_any_order() {
-    let mut old = FenceKeeper::new(1_000, 7);
-    let mut new = FenceKeeper::new(2_000, 3);
+    let mut old = FenceController::new(1_000, 7);
+    let mut new = FenceController::new(2_000, 3);
     let lower = taken(old.on_read(&status(0, Vec::new())));
     old.on_taken(INCARNATION, lower);
     let higher = taken(new.on_read(&status(lower, Vec::new())));
@@ -69,10 +69,10 @@
     assert!(taken(old.on_read(&restarted)) < higher);
     assert!(matches!(
         old.on_read(&status(higher, Vec::new())),
-        FenceStep::GiveUp
+        FenceAction::Stop
     ));
     assert!(
-        matches!(old.on_read(&restarted), FenceStep::GiveUp),
+        matches!(old.on_read(&restarted), FenceAction::Stop),
         "for good"
     );
 }
--- a/coordination/tests/run_once.rs
+++ b/coordination/tests/run_once.rs
@@ -2,7 +2,7 @@
 //! and reservations, with fixed seeds
 
 use {
-    chalkcart_coordination::once::{Admission, OnceSettings, RunOnceTable},
+    chalkcart_coordination::run_once::{Admission, RunOnceSettings, RunOnceTable},
     chalkcart_protocol::peer::Outcome,
     chalkcart_state::ids::ReservedId,
     quickcheck::{Gen, QuickCheck},
@@ -17,7 +17,7 @@
 const VALID_FOR: Duration = Duration::from_secs(10);
 
 fn new_table() -> RunOnceTable {
-    RunOnceTable::new(OnceSettings {
+    RunOnceTable::new(RunOnceSettings {
         target: "till-1".to_string(),
         incarnation: 7,
         capacity: CAPACITY,
@@ -49,7 +49,7 @@
         };
         match choice {
             2 | 3 => match table.admit(&id, now) {
-                Ok(Admission::First | Admission::Repeat) => {}
+                Ok(Admission::First | Admission::Duplicate) => {}
                 Err(e) if e.outcome() == Outcome::NotRun => {
                     not_run.insert(id);
                 }
@@ -87,11 +87,11 @@
     let mut table = new_table();
     let id = table.reserve(1, now, || 5).expect("room").remove(0);
     assert_eq!(table.admit(&id, now), Ok(Admission::First));
-    assert_eq!(table.admit(&id, now), Ok(Admission::Repeat));
+    assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
     assert!(table.start(&id));
-    assert_eq!(table.admit(&id, now), Ok(Admission::Repeat));
+    assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
     table.end(&id, Outcome::Ran);
-    assert_eq!(table.admit(&id, now), Ok(Admission::Repeat));
+    assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
     assert!(!table.start(&id));
 }
 
--- a/testkit/examples/capacity/memory.rs
+++ b/testkit/examples/capacity/memory.rs
@@ -4,8 +4,8 @@
     crate::{fit::Slope, ALLOCATOR},
     anyhow::Result,
     chalkcart_coordination::{
-        once::{OnceSettings, RunOnceTable},
         routing::{PolicyName, TargetTable},
+        run_once::{RunOnceSettings, RunOnceTable},
         stream::StreamBuffer,
     },
     chalkcart_protocol::peer::{FrameBody, LoadedAdapter, TargetReport},
@@ -143,9 +143,9 @@
 
 fn id_bytes(ids: usize) -> f64 {
     held(|| {
-        let mut table = RunOnceTable::new(OnceSettings {
+        let mut table = RunOnceTable::new(RunOnceSettings {
             capacity: ids,
-            ..OnceSettings::default()
+            ..RunOnceSettings::default()
         });
         let given = table.reserve(ids as u32, Instant::now(), || 1);
         drop(given);
