--- a/coordination/src/fence/fence_controller.rs
+++ b/coordination/src/fence/fence_controller.rs
@@ -69,7 +69,7 @@
     }
 
     /// decide on what the engine said
-    pub fn on_read(&mut self, status: &EngineStatus) -> FenceAction {
+    pub fn on_status(&mut self, status: &EngineStatus) -> FenceAction {
         if self.is_superseded() {
             return FenceAction::Stop;
         }
@@ -94,7 +94,7 @@
     }
 
     /// the engine took the pair
-    pub fn on_taken(&mut self, incarnation: Incarnation, fence: Fence) {
+    pub fn on_accepted(&mut self, incarnation: Incarnation, fence: Fence) {
         if !self.is_superseded() {
             self.state = FenceState::Held { incarnation, fence };
         }
@@ -104,7 +104,7 @@
     /// is still on its way behind a higher fence. A later process stays above,
     /// since it starts with the clock and an earlier one raises by one step
     /// for each doubt
-    pub fn on_doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         if self.is_superseded() || self.state == FenceState::Unknown {
             return;
         }
--- a/coordination/src/membership/aggregator_selector.rs
+++ b/coordination/src/membership/aggregator_selector.rs
@@ -56,33 +56,33 @@
         }
     }
 
-    pub fn on_failed(&mut self, keeper: SocketAddr, now: Instant) {
+    pub fn on_failure(&mut self, keeper: SocketAddr, now: Instant) {
         let (failed, at) = self.failed.entry(keeper).or_insert((0, now));
         *failed += 1;
         *at = now;
     }
     /// a keeper that had long enough to answer is left at once
-    pub fn on_silent(&mut self, keeper: SocketAddr, now: Instant) {
+    pub fn on_timeout(&mut self, keeper: SocketAddr, now: Instant) {
         self.failed.insert(keeper, (MOST_FAILED, now));
     }
     /// its build does not know the matter
-    pub fn on_unknowing(&mut self, keeper: SocketAddr, now: Instant) {
+    pub fn on_unsupported(&mut self, keeper: SocketAddr, now: Instant) {
         let known = self.unknowing.get(&keeper);
         let rest = known.map_or(REST, |(rest, _)| (*rest * 2).min(LONGEST_REST));
         self.unknowing.insert(keeper, (rest, now));
     }
-    pub fn on_heard(&mut self, keeper: SocketAddr) {
+    pub fn on_response(&mut self, keeper: SocketAddr) {
         self.failed.remove(&keeper);
         self.unknowing.remove(&keeper);
     }
 
     /// the engine whose sidecar is to be used, none if there is none
-    pub fn choose(&mut self, engines: &[SocketAddr], now: Instant) -> Option<SocketAddr> {
-        self.choose_at(0, engines, now)
+    pub fn select(&mut self, engines: &[SocketAddr], now: Instant) -> Option<SocketAddr> {
+        self.select_ranked(0, engines, now)
     }
 
     /// the same for the next ranks, where a matter has several keepers
-    pub fn choose_at(
+    pub fn select_ranked(
         &mut self,
         rank: usize,
         engines: &[SocketAddr],
--- a/coordination/src/run_once/table.rs
+++ b/coordination/src/run_once/table.rs
@@ -166,7 +166,7 @@
     }
 
     /// the started request ended
-    pub fn end(&mut self, id: &ReservedId, outcome: Outcome) {
+    pub fn finish(&mut self, id: &ReservedId, outcome: Outcome) {
         let Ok(row) = self.row_mut(id) else {
             return;
         };
@@ -181,7 +181,7 @@
     }
 
     /// stop a request that has not started; afterwards `NotRun` stays true
-    pub fn seal(&mut self, id: &ReservedId) -> Outcome {
+    pub fn cancel(&mut self, id: &ReservedId) -> Outcome {
         let row = match self.row_mut(id) {
             Ok(row) => row,
             Err(e) => return e.outcome(),
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -96,7 +96,7 @@
     fn refuse_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
         if reserved {
             refusal.outcome = match request.parse::<ReservedId>() {
-                Ok(id) => self.once.seal(&id),
+                Ok(id) => self.once.cancel(&id),
                 Err(_) => Outcome::NotRun,
             };
         }
@@ -278,7 +278,7 @@
             });
         }
         match reserved {
-            Some(id) => self.once.seal(&id),
+            Some(id) => self.once.cancel(&id),
             None if self.runs.contains(request) => Outcome::MayHaveRun,
             None => Outcome::NotRun,
         }
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -227,7 +227,7 @@
             return;
         }
         if let Ok(id) = request.parse::<ReservedId>() {
-            self.once.end(&id, outcome);
+            self.once.finish(&id, outcome);
         }
     }
 
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -173,7 +173,7 @@
             self.doubt();
             return;
         };
-        match self.fence.on_read(&status) {
+        match self.fence.on_status(&status) {
             FenceAction::Stop => self.give_up(),
             FenceAction::Take { incarnation, fence } => {
                 self.doubtful = true;
@@ -191,7 +191,7 @@
 
     fn on_fence_answered(&mut self, incarnation: Incarnation, fence: Fence, result: OrderResult) {
         match result {
-            OrderResult::Done => self.fence.on_taken(incarnation, fence),
+            OrderResult::Done => self.fence.on_accepted(incarnation, fence),
             OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => self.doubt(),
         }
         // the slots are read after the fence, so that no earlier order can
@@ -206,7 +206,7 @@
             return;
         }
         self.doubtful = true;
-        self.fence.on_doubt();
+        self.fence.invalidate();
     }
 
     fn take_over(&mut self, status: &EngineStatus, now: Instant) {
--- a/coordination/tests/fences.rs
+++ b/coordination/tests/fences.rs
@@ -41,15 +41,15 @@
     // the same clock, another process
     let mut one = FenceController::new(1_000, 1);
     let mut other = FenceController::new(1_000, 2);
-    let first = taken(one.on_read(&status(0, Vec::new())));
-    one.on_taken(INCARNATION, first);
-    let second = taken(other.on_read(&status(first, Vec::new())));
-    other.on_taken(INCARNATION, second);
+    let first = taken(one.on_status(&status(0, Vec::new())));
+    one.on_accepted(INCARNATION, first);
+    let second = taken(other.on_status(&status(first, Vec::new())));
+    other.on_accepted(INCARNATION, second);
     assert!(second > first);
     // the first raises its fence as often as it likes: never the other's
     for _ in 0..50 {
-        one.on_doubt();
-        match one.on_read(&status(second, Vec::new())) {
+        one.invalidate();
+        match one.on_status(&status(second, Vec::new())) {
             FenceAction::Take { fence, .. } => assert_ne!(fence, second),
             FenceAction::Keep => panic!("both hold {second}"),
             FenceAction::Stop => return,
@@ -61,18 +61,18 @@
 fn a_later_process_wins_at_a_restarted_engine_in_any_order() {
     let mut old = FenceController::new(1_000, 7);
     let mut new = FenceController::new(2_000, 3);
-    let lower = taken(old.on_read(&status(0, Vec::new())));
-    old.on_taken(INCARNATION, lower);
-    let higher = taken(new.on_read(&status(lower, Vec::new())));
+    let lower = taken(old.on_status(&status(0, Vec::new())));
+    old.on_accepted(INCARNATION, lower);
+    let higher = taken(new.on_status(&status(lower, Vec::new())));
     let mut restarted = status(0, Vec::new());
     restarted.incarnation += 1;
-    assert!(taken(old.on_read(&restarted)) < higher);
+    assert!(taken(old.on_status(&restarted)) < higher);
     assert!(matches!(
-        old.on_read(&status(higher, Vec::new())),
+        old.on_status(&status(higher, Vec::new())),
         FenceAction::Stop
     ));
     assert!(
-        matches!(old.on_read(&restarted), FenceAction::Stop),
+        matches!(old.on_status(&restarted), FenceAction::Stop),
         "for good"
     );
 }
--- a/coordination/tests/keepers.rs
+++ b/coordination/tests/keepers.rs
@@ -23,16 +23,16 @@
     let mut asked = 0;
     let end = now + Duration::from_secs(60);
     while now < end {
-        if let Some(keeper) = choice.choose(&engines, now) {
+        if let Some(keeper) = choice.select(&engines, now) {
             asked += 1;
-            choice.on_unknowing(keeper, now);
+            choice.on_unsupported(keeper, now);
         }
         now += Duration::from_millis(100);
     }
     // at 0, 3, 9, 21, 36 and 51 s
     assert_eq!(asked, 6 * engines.len());
     now += Duration::from_secs(15);
-    let keeper = choice.choose(&engines, now).expect("a keeper");
-    choice.on_heard(keeper);
-    assert_eq!(choice.choose(&engines, now), Some(keeper));
+    let keeper = choice.select(&engines, now).expect("a keeper");
+    choice.on_response(keeper);
+    assert_eq!(choice.select(&engines, now), Some(keeper));
 }
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -297,7 +297,7 @@
         }
         let asked = entry.asked.take_if(|(keeper, ..)| *keeper == from);
         if let Some((_, _, report)) = asked {
-            entry.choice.on_heard(from);
+            entry.choice.on_response(from);
             entry.book.on_answer(&report, answer, now);
             let every = entry.book.report_every(now).as_millis() / STEP.as_millis();
             entry.report_at = self.step + every as u64;
@@ -314,7 +314,7 @@
         let late =
             |(_, since, _): &mut (SocketAddr, u64, UsageReport)| *since + ANSWER_STEPS < self.step;
         if let Some((keeper, ..)) = entry.asked.take_if(late) {
-            entry.choice.on_failed(keeper, now);
+            entry.choice.on_failure(keeper, now);
             entry.report_at = self.step;
         }
         if entry.asked.is_some() || entry.report_at > self.step {
@@ -322,7 +322,7 @@
         }
         let keepers: Vec<SocketAddr> = self.keepers.keys().copied().collect();
         let (Some(report), Some(keeper)) =
-            (entry.book.report(now), entry.choice.choose(&keepers, now))
+            (entry.book.report(now), entry.choice.select(&keepers, now))
         else {
             return;
         };
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -230,16 +230,16 @@
     let reversed: Vec<SocketAddr> = engines.iter().rev().copied().collect();
     let mut one = AggregatorSelector::new(AggregatedState::Limits);
     let mut other = AggregatorSelector::new(AggregatedState::Limits);
-    let first = one.choose(&engines, now).expect("a keeper");
-    assert_eq!(other.choose(&reversed, now), Some(first));
-    one.on_failed(first, now);
-    assert_eq!(one.choose(&engines, now), Some(first), "once is no reason");
-    one.on_failed(first, now);
-    let next = one.choose(&engines, now).expect("another");
+    let first = one.select(&engines, now).expect("a keeper");
+    assert_eq!(other.select(&reversed, now), Some(first));
+    one.on_failure(first, now);
+    assert_eq!(one.select(&engines, now), Some(first), "once is no reason");
+    one.on_failure(first, now);
+    let next = one.select(&engines, now).expect("another");
     assert_ne!(next, first);
     let later = now + Duration::from_secs(4);
-    assert_eq!(one.choose(&engines, later), Some(first));
-    assert_eq!(one.choose(&[], later), None);
+    assert_eq!(one.select(&engines, later), Some(first));
+    assert_eq!(one.select(&[], later), None);
 }
 
 /// it knows only later how many entries there are
--- a/coordination/tests/run_once.rs
+++ b/coordination/tests/run_once.rs
@@ -61,11 +61,11 @@
                 }
             }
             6 => {
-                if table.seal(&id) == Outcome::NotRun {
+                if table.cancel(&id) == Outcome::NotRun {
                     not_run.insert(id);
                 }
             }
-            _ => table.end(&id, Outcome::Ran),
+            _ => table.finish(&id, Outcome::Ran),
         }
     }
     let once = starts.values().all(|n| *n == 1);
@@ -90,7 +90,7 @@
     assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
     assert!(table.start(&id));
     assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
-    table.end(&id, Outcome::Ran);
+    table.finish(&id, Outcome::Ran);
     assert_eq!(table.admit(&id, now), Ok(Admission::Duplicate));
     assert!(!table.start(&id));
 }
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -82,7 +82,9 @@
     /// the keeper to be used now
     fn choose(&mut self) -> Option<Present> {
         let engines = self.shared.control.engines();
-        let engine = self.choice().choose_at(self.rank, &engines, clock::now())?;
+        let engine = self
+            .choice()
+            .select_ranked(self.rank, &engines, clock::now())?;
         let kept = self.present.filter(|present| present.engine == engine);
         let present = kept.unwrap_or_else(|| {
             log::info!(keeper = engine.to_string().as_str(), rank = self.rank;
@@ -123,7 +125,7 @@
                 return Ok(());
             }
         };
-        self.choice().on_heard(present.engine);
+        self.choice().on_response(present.engine);
         self.take_in(present, told, answer);
         Ok(())
     }
@@ -146,9 +148,9 @@
             cause = e.to_string().as_str(); "crashes: no answer");
         let now = clock::now();
         match present.heard {
-            _ if e.proves_other_build() => self.choice().on_unknowing(present.engine, now),
-            Some(_) => self.choice().on_silent(present.engine, now),
-            None => self.choice().on_failed(present.engine, now),
+            _ if e.proves_other_build() => self.choice().on_unsupported(present.engine, now),
+            Some(_) => self.choice().on_timeout(present.engine, now),
+            None => self.choice().on_failure(present.engine, now),
         }
         self.present = None;
     }
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -47,7 +47,7 @@
         limits.report(now)?
     };
     let engines = shared.control.engines();
-    let engine = choice.choose(&engines, now)?;
+    let engine = choice.select(&engines, now)?;
     if *present != Some(engine) {
         log::info!(keeper = engine.to_string().as_str(), entries = report.entries,
             accounts = report.accounts.len(); "limits: keeper taken");
@@ -57,7 +57,7 @@
     let answer = peers.call::<_, UsageAnswer>(keeper, path::USAGE, &report, ANSWER_LIMIT);
     match answer.await {
         Ok(answer) => {
-            choice.on_heard(engine);
+            choice.on_response(engine);
             let now = clock::now();
             let mut limits = shared.admission.limits();
             limits.on_answer(&report, &answer, now);
@@ -69,7 +69,7 @@
         Err(e) => {
             log::warn!(keeper = engine.to_string().as_str(), cause = e.to_string().as_str();
                 "limits: no answer");
-            choice.on_failed(engine, clock::now());
+            choice.on_failure(engine, clock::now());
             Some(false)
         }
     }
