--- a/coordination/src/crashes/crash_detector.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -21,7 +21,7 @@
 /// the end of an engine's life, with the requests that it ran for this entry
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineCrash {
-    pub life: BackendId,
+    pub backend: BackendId,
     pub runs: Vec<InterruptedRun>,
 }
 
@@ -48,7 +48,7 @@
 
 impl CrashDetector {
     /// a run's connection ended before its answer did
-    pub fn on_broken(&mut self, life: &BackendId, digest: RequestDigest, now: Instant) {
+    pub fn on_interrupted_run(&mut self, life: &BackendId, digest: RequestDigest, now: Instant) {
         self.expire(now);
         let runs = self.broken.entry(life.clone()).or_default();
         if runs.len() < MOST_RUNS {
@@ -60,16 +60,16 @@
     }
 
     /// the life of an engine is over
-    pub fn on_ended(&mut self, life: &BackendId, now: Instant) {
+    pub fn on_engine_ended(&mut self, life: &BackendId, now: Instant) {
         self.expire(now);
         self.ended.entry(life.clone()).or_insert(now);
         self.prove(life);
     }
 
     /// the sidecar of an engine has spoken of it
-    pub fn on_word(&mut self, life: &BackendId, figures: &EngineFigures, now: Instant) {
+    pub fn on_engine_stats(&mut self, life: &BackendId, figures: &EngineFigures, now: Instant) {
         match figures.is_down {
-            Some(true) => self.on_ended(life, now),
+            Some(true) => self.on_engine_ended(life, now),
             Some(false) => self.on_alive(life, said_at(figures, now)),
             // a sidecar that does not say it may pass on what it read before
             None => {}
@@ -94,8 +94,8 @@
 
     fn prove(&mut self, life: &BackendId) {
         if let Some(runs) = self.broken.remove(life) {
-            let life = life.clone();
-            self.crashes.push(EngineCrash { life, runs });
+            let backend = life.clone();
+            self.crashes.push(EngineCrash { backend, runs });
         }
     }
 
--- a/coordination/src/crashes/crash_registry.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -86,7 +86,7 @@
     }
 
     /// what is believed of a request that comes in now
-    pub fn judge(&mut self, digest: &RequestDigest, now: Instant) -> RequestVerdict {
+    pub fn verdict(&mut self, digest: &RequestDigest, now: Instant) -> RequestVerdict {
         let Some(row) = self.rows.get_mut(digest) else {
             return RequestVerdict::Clear;
         };
@@ -99,7 +99,7 @@
     }
 
     /// an engine's life ended under a request at this time; says whether that is news
-    pub fn on_ended(
+    pub fn on_engine_ended(
         &mut self,
         digest: RequestDigest,
         life: u64,
@@ -111,7 +111,7 @@
 
     /// A request was run to its end; says whether that is news. It is not where no engine
     /// ended under it, so that a book stays empty while engines live.
-    pub fn on_served(&mut self, digest: RequestDigest, now: Instant) -> bool {
+    pub fn on_completed(&mut self, digest: RequestDigest, now: Instant) -> bool {
         let row = self.rows.get(&digest);
         let is_suspected = row.is_some_and(|row| !row.ends.is_empty());
         is_suspected && self.note(digest, CrashEvent::Served, now, now)
@@ -130,7 +130,7 @@
 
     /// what is known beyond a revision, the oldest first, and the revision up to which it
     /// is told with these words
-    pub fn words_after(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
+    pub fn reports_since(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
         if revision >= self.revision {
             return (Vec::new(), self.revision);
         }
@@ -176,7 +176,7 @@
         let row = self.row(digest, now);
         let is_news = match event {
             CrashEvent::Ended { life } => row.add_end(End { life, noted }),
-            CrashEvent::Served => row.on_served(noted),
+            CrashEvent::Served => row.on_completed(noted),
         };
         if is_news {
             self.revision += 1;
@@ -239,7 +239,7 @@
     }
 
     /// nothing that happens after is excused by it
-    fn on_served(&mut self, noted: Noted) -> bool {
+    fn on_completed(&mut self, noted: Noted) -> bool {
         if self.served.is_some_and(|served| noted.at <= served.at) {
             return false;
         }
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -333,7 +333,7 @@
             },
             SendOutcome::Superseded => {
                 state.is_superseded = true;
-                self.crashes.on_ended(&backend, now);
+                self.crashes.on_engine_ended(&backend, now);
             }
             SendOutcome::Unreachable => state.health.on_unreachable(now),
             SendOutcome::Failed => state.health.on_failure(now),
@@ -341,7 +341,7 @@
                 state.health.on_failure(now);
                 // what breaks off while an engine leaves is its planned end
                 if !state.is_leaving() {
-                    self.crashes.on_broken(&backend, sent.digest, now);
+                    self.crashes.on_interrupted_run(&backend, sent.digest, now);
                 }
             }
             SendOutcome::Abandoned => {}
--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/listing.rs
@@ -45,7 +45,7 @@
             state.is_gone = !(is_listed || state.is_ahead && state.view.is_some());
             // where a sidecar speaks, it sees the end itself
             if state.is_gone && !was_gone && state.view.is_none() {
-                self.crashes.on_ended(id, now);
+                self.crashes.on_engine_ended(id, now);
             }
         }
         for backend in list {
@@ -120,7 +120,8 @@
             return nothing;
         };
         let is_first = state.view.is_none();
-        self.crashes.on_word(&view.backend, &view.figures, now);
+        self.crashes
+            .on_engine_stats(&view.backend, &view.figures, now);
         let told = (view.backend.clone(), view.figures);
         let news = state.on_view(view, now);
         self.on_own_word_told(&told.0, &told.1, now);
@@ -147,7 +148,7 @@
             self.add_ahead_of_list(addr, &view.backend, now);
         }
         if let Some(former) = former.and_then(|id| self.backends.get_mut(&id)) {
-            self.crashes.on_ended(&former.listed.id, now);
+            self.crashes.on_engine_ended(&former.listed.id, now);
             former.end_life();
         }
         let id = view.backend.clone();
@@ -208,7 +209,7 @@
         self.last_heard = Some(now);
         self.on_counted(figures.entries, now);
         if let Some(state) = self.backends.get_mut(backend) {
-            self.crashes.on_word(backend, &figures, now);
+            self.crashes.on_engine_stats(backend, &figures, now);
             state.on_figures(figures, now);
             let addr = state.listed.addr;
             self.on_own_word_told(backend, &figures, now);
@@ -232,7 +233,7 @@
         let Some(former) = states.find(|b| b.listed.addr == addr) else {
             return;
         };
-        self.crashes.on_ended(&former.listed.id, now);
+        self.crashes.on_engine_ended(&former.listed.id, now);
         former.end_life();
         let service = self.table.services.get(&former.listed.service);
         let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -62,7 +62,7 @@
 pub struct LimitExceeded {
     /// when its units are due
     pub retry_after: Duration,
-    pub basis: LimitDecisionInputs,
+    pub inputs: LimitDecisionInputs,
 }
 
 /// The limits of client accounts at one entry. A keeper sums up what all entries let
@@ -134,7 +134,7 @@
     }
 
     /// entries that share the limits, none while they are not known
-    pub fn set_entries(&mut self, entries: Option<u32>, now: Instant) {
+    pub fn set_entry_count(&mut self, entries: Option<u32>, now: Instant) {
         if entries == self.entries {
             return;
         }
@@ -150,8 +150,14 @@
     }
 
     /// a request came; it counts as asked for, whatever becomes of it
-    pub fn ask(&mut self, account: AccountMark, limit: &RateLimit, charge: u64, now: Instant) {
-        self.bucket(account, limit, now).ask(charge, now);
+    pub fn record_request(
+        &mut self,
+        account: AccountMark,
+        limit: &RateLimit,
+        charge: u64,
+        now: Instant,
+    ) {
+        self.bucket(account, limit, now).record_request(charge, now);
     }
 
     /// charge a request that came to its account, unless that is over its limit
@@ -178,16 +184,16 @@
         let each =
             Duration::from_secs_f64((charge as f64 / own_per_s).min(MAX_RETRY.as_secs_f64()));
         bucket.returns_at = (at + each).min(now + MAX_RETRY);
-        let basis = LimitDecisionInputs {
+        let inputs = LimitDecisionInputs {
             level: bucket.fleet_level(now),
-            age: bucket.word_age(now),
+            age: bucket.level_age(now),
             entries,
         };
         Err(LimitExceeded {
             retry_after: at
                 .saturating_duration_since(now)
                 .clamp(MIN_RETRY, MAX_RETRY),
-            basis,
+            inputs,
         })
     }
 
@@ -204,14 +210,14 @@
     }
 
     /// a request that was charged did not run
-    pub fn give_back(&mut self, account: AccountMark, charge: u64, now: Instant) {
+    pub fn refund(&mut self, account: AccountMark, charge: u64, now: Instant) {
         if let Some(bucket) = self.accounts.get_mut(&account) {
-            bucket.give_back(charge, now);
+            bucket.refund(charge, now);
         }
     }
 
     /// time until the next report is due
-    pub fn report_every(&self, now: Instant) -> Duration {
+    pub fn report_interval(&self, now: Instant) -> Duration {
         let is_used = self.accounts.values().any(|b| is_in_use(b, now));
         match is_used {
             true => (REPORT_EVERY_ENTRY * self.entries()).clamp(REPORT_EVERY, REPORT_LATEST),
@@ -220,7 +226,7 @@
     }
 
     /// what the keeper must hear; none without limits
-    pub fn report(&self, now: Instant) -> Option<UsageReport> {
+    pub fn usage_report(&self, now: Instant) -> Option<UsageReport> {
         if self.accounts.is_empty() {
             return None;
         }
@@ -238,7 +244,7 @@
     }
 
     /// the keeper has answered a report
-    pub fn on_answer(&mut self, report: &UsageReport, answer: &UsageAnswer, now: Instant) {
+    pub fn on_response(&mut self, report: &UsageReport, answer: &UsageAnswer, now: Instant) {
         if self.keeper != Some(answer.incarnation) {
             self.words = 0;
         }
@@ -259,11 +265,11 @@
     }
 
     /// age of the keeper's word on an account, none if none holds
-    pub fn word_age(&self, account: AccountMark, now: Instant) -> Option<Duration> {
-        self.accounts.get(&account)?.word_age(now)
+    pub fn level_age(&self, account: AccountMark, now: Instant) -> Option<Duration> {
+        self.accounts.get(&account)?.level_age(now)
     }
     /// whether a keeper has said what clients ask for of an account, at all entries
-    pub fn knows_asked(&self, account: AccountMark, now: Instant) -> bool {
+    pub fn knows_fleet_demand(&self, account: AccountMark, now: Instant) -> bool {
         let bucket = self.accounts.get(&account);
         let is_asked = bucket.is_some_and(|bucket| bucket.asked_per_s(now).is_some());
         is_asked && self.youth(now) != StartupState::Unsynced
--- a/coordination/src/limits/settings.rs
+++ b/coordination/src/limits/settings.rs
@@ -28,9 +28,9 @@
     /// in each window
     pub steady_per_s: f64,
     /// units at once
-    pub at_once: f64,
+    pub burst: f64,
     /// units in each window
-    pub in_window: f64,
+    pub per_window: f64,
 }
 
 impl Default for LimitSettings {
@@ -52,8 +52,8 @@
         LimitBounds {
             granted_per_s: limit.per_s,
             steady_per_s: (granted + given) / window_s,
-            at_once: limit.burst + given,
-            in_window: granted + FILLED_PART * tolerance,
+            burst: limit.burst + given,
+            per_window: granted + FILLED_PART * tolerance,
         }
     }
 }
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -69,7 +69,7 @@
 impl SharedBucket {
     pub fn new(bounds: LimitBounds, entries: u32, phase: f64, now: Instant) -> Self {
         let part = 1.0 / f64::from(entries.max(1));
-        let (per_s, most) = (bounds.granted_per_s * part, bounds.at_once * part);
+        let (per_s, most) = (bounds.granted_per_s * part, bounds.burst * part);
         let mut own_part = TokenBucket::new(per_s, most, now);
         own_part.set_level(most * AT_START_PART, now);
         Self {
@@ -91,7 +91,7 @@
     /// the limit or the number of entries has changed
     pub fn set_bounds(&mut self, bounds: LimitBounds, entries: u32, now: Instant) {
         let part = 1.0 / f64::from(entries.max(1));
-        let (per_s, most) = (bounds.granted_per_s * part, bounds.at_once * part);
+        let (per_s, most) = (bounds.granted_per_s * part, bounds.burst * part);
         self.own_part.set_bounds(per_s, most, now);
         self.bounds = bounds;
     }
@@ -101,7 +101,7 @@
     }
 
     /// age of the keeper's word, none if there is none that holds
-    pub fn word_age(&self, now: Instant) -> Option<Duration> {
+    pub fn level_age(&self, now: Instant) -> Option<Duration> {
         let heard = self.heard.as_ref()?;
         let age = now.saturating_duration_since(heard.at);
         (age <= WORD_HOLDS).then_some(age)
@@ -111,13 +111,13 @@
     /// run here since then. What the account is due since then and what others let
     /// run count with the next word.
     pub fn fleet_level(&self, now: Instant) -> Option<f64> {
-        self.word_age(now)?;
+        self.level_age(now)?;
         let heard = self.heard.as_ref()?;
         Some(heard.level - (self.taken - heard.taken) as f64)
     }
 
     /// a request came
-    pub fn ask(&mut self, charge: u64, now: Instant) {
+    pub fn record_request(&mut self, charge: u64, now: Instant) {
         self.asked += charge as i64;
         self.used = Some(now);
     }
@@ -137,7 +137,7 @@
             .filter(|_| youth != StartupState::Unsynced);
         let is_young = youth != StartupState::Ready;
         let may_run = match (word, self.asked_per_s(now)) {
-            (Some(level), _) if level >= self.bounds.at_once * AMPLE_PART && !is_young => true,
+            (Some(level), _) if level >= self.bounds.burst * AMPLE_PART && !is_young => true,
             // a young keeper's bucket is no evidence that much is left
             (Some(level), Some(asked_per_s)) if is_young => {
                 self.is_due(units, level.min(0.0), asked_per_s)
@@ -155,7 +155,7 @@
 
     /// units a second that clients ask for at all entries, none if not known
     pub fn asked_per_s(&self, now: Instant) -> Option<f64> {
-        self.word_age(now)?;
+        self.level_age(now)?;
         let asked = self.heard.as_ref().map(|heard| heard.asked_per_s);
         asked.filter(|asked| *asked > 0.0)
     }
@@ -172,7 +172,7 @@
     }
 
     /// a request that was charged did not run
-    pub fn give_back(&mut self, charge: u64, now: Instant) {
+    pub fn refund(&mut self, charge: u64, now: Instant) {
         self.taken -= charge as i64;
         self.own_part.spend(-(charge as f64), now);
     }
@@ -198,8 +198,8 @@
             told_asked: self.told_asked,
             level: self.fleet_level(now).unwrap_or_else(own),
             per_s: self.bounds.steady_per_s,
-            most: self.bounds.at_once,
-            in_window: self.bounds.in_window,
+            most: self.bounds.burst,
+            in_window: self.bounds.per_window,
         }
     }
 
@@ -229,7 +229,7 @@
     /// a keeper has not named the account: at least this part of what may run at
     /// once is left
     pub fn on_ample(&mut self, part: f64, now: Instant) {
-        self.hear(self.bounds.at_once * part, 0.0, now);
+        self.hear(self.bounds.burst * part, 0.0, now);
     }
 
     fn hear(&mut self, level: f64, asked_per_s: f64, now: Instant) {
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -180,14 +180,14 @@
 }
 
 fn ended(book: &mut CrashRegistry, body: &str, life: u64, at: Instant) {
-    book.on_ended(digest(body), life, at, at);
+    book.on_engine_ended(digest(body), life, at, at);
 }
 
 #[test]
 fn the_third_engine_condemns_and_a_run_to_its_end_excuses() {
     let start = Instant::now();
     let mut book = CrashRegistry::default();
-    let judge = |book: &mut CrashRegistry, body: &str| book.judge(&digest(body), start);
+    let judge = |book: &mut CrashRegistry, body: &str| book.verdict(&digest(body), start);
     for life in 0..BLOCKED_AFTER_CRASHES as u64 {
         assert!(!matches!(
             judge(&mut book, "cause"),
@@ -198,7 +198,7 @@
             ended(&mut book, body, life, start);
             ended(&mut book, body, life, start);
         }
-        book.on_served(digest("beside"), start);
+        book.on_completed(digest("beside"), start);
     }
     assert!(matches!(
         judge(&mut book, "cause"),
@@ -214,7 +214,7 @@
     let mut book = CrashRegistry::default();
     (0..3).for_each(|life| ended(&mut book, "cause", life, start));
     let later = |s: u64| start + Duration::from_secs(s);
-    let judge = |book: &mut CrashRegistry, s: u64| book.judge(&digest("cause"), later(s));
+    let judge = |book: &mut CrashRegistry, s: u64| book.verdict(&digest("cause"), later(s));
     assert!(matches!(
         judge(&mut book, 590),
         RequestVerdict::Blocked { .. }
@@ -239,7 +239,7 @@
         assert!(book.len() <= MAX_TRACKED_REQUESTS);
     }
     let now = start + Duration::from_secs(1);
-    let standing = book.judge(&digest("cause"), now);
+    let standing = book.verdict(&digest("cause"), now);
     assert!(matches!(standing, RequestVerdict::Blocked { .. }));
 }
 
@@ -301,7 +301,7 @@
 
 fn agrees(book: &mut CrashRegistry, now: Instant, rule: &BTreeMap<u8, BTreeSet<u8>>) -> bool {
     rule.iter().all(|(body, lives)| {
-        let standing = book.judge(&digest(&body.to_string()), now);
+        let standing = book.verdict(&digest(&body.to_string()), now);
         match lives.len() {
             0 => standing == RequestVerdict::Clear,
             n if n < BLOCKED_AFTER_CRASHES => standing == RequestVerdict::Suspected { ended: n },
@@ -331,10 +331,10 @@
         other.merge(&words, now);
         // one hears the rest by way of a third, which has heard all of the other
         let mut third = CrashRegistry::default();
-        third.merge(&other.words_after(0, now).0, now);
-        let (told, up_to) = third.words_after(0, now);
+        third.merge(&other.reports_since(0, now).0, now);
+        let (told, up_to) = third.reports_since(0, now);
         one.merge(&told, now);
-        let has_more = !third.words_after(up_to, now).0.is_empty();
+        let has_more = !third.reports_since(up_to, now).0.is_empty();
         !has_more && agrees(&mut one, now, &rule) && agrees(&mut other, now, &rule)
     }
     QuickCheck::new()
@@ -354,14 +354,14 @@
     }
     let (mut other, mut told, mut parts) = (CrashRegistry::default(), 0, 0);
     while told < book.revision() {
-        let (words, up_to) = book.words_after(told, now);
+        let (words, up_to) = book.reports_since(told, now);
         assert!(words.len() <= 1_000);
         other.merge(&words, now);
         (told, parts) = (up_to, parts + 1);
     }
     assert_eq!(parts, 3);
     for body in &bodies {
-        let standing = other.judge(&digest(body), now);
+        let standing = other.verdict(&digest(body), now);
         assert_eq!(standing, RequestVerdict::Suspected { ended: 1 });
     }
 }
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -298,8 +298,8 @@
         let asked = entry.asked.take_if(|(keeper, ..)| *keeper == from);
         if let Some((_, _, report)) = asked {
             entry.choice.on_response(from);
-            entry.book.on_answer(&report, answer, now);
-            let every = entry.book.report_every(now).as_millis() / STEP.as_millis();
+            entry.book.on_response(&report, answer, now);
+            let every = entry.book.report_interval(now).as_millis() / STEP.as_millis();
             entry.report_at = self.step + every as u64;
         }
     }
@@ -309,7 +309,7 @@
         let entries = self.entries.len() as u32;
         let entry = &mut self.entries[number];
         if self.step >= entry.started + COUNTED_STEPS {
-            entry.book.set_entries(Some(entries), now);
+            entry.book.set_entry_count(Some(entries), now);
         }
         let late =
             |(_, since, _): &mut (SocketAddr, u64, UsageReport)| *since + ANSWER_STEPS < self.step;
@@ -321,9 +321,10 @@
             return;
         }
         let keepers: Vec<SocketAddr> = self.keepers.keys().copied().collect();
-        let (Some(report), Some(keeper)) =
-            (entry.book.report(now), entry.choice.select(&keepers, now))
-        else {
+        let (Some(report), Some(keeper)) = (
+            entry.book.usage_report(now),
+            entry.choice.select(&keepers, now),
+        ) else {
             return;
         };
         entry.asked = Some((keeper, self.step, report.clone()));
@@ -354,7 +355,7 @@
             let entry = &mut self.entries[number];
             let (mark, limit) = limit_of(account);
             for _ in 0..count {
-                entry.book.ask(mark, &limit, units, now);
+                entry.book.record_request(mark, &limit, units, now);
                 entry.held.push((account, units));
             }
         }
@@ -362,7 +363,7 @@
         let is_late = self.step >= entry.started + HELD_STEPS;
         for (account, units) in std::mem::take(&mut entry.held) {
             let entry = &mut self.entries[number];
-            if is_late || entry.book.knows_asked(limit_of(account).0, now) {
+            if is_late || entry.book.knows_fleet_demand(limit_of(account).0, now) {
                 self.ask(number, account, units, now);
             } else {
                 entry.held.push((account, units));
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -38,20 +38,20 @@
 
 fn book(name: &str, entries: u32, now: Instant) -> AccountLimiter {
     let mut book = AccountLimiter::new(settings(), name.to_string(), 1, now);
-    book.set_entries(Some(entries), now);
+    book.set_entry_count(Some(entries), now);
     book.set_accounts([&account()].into_iter(), now);
     book
 }
 
 fn charge(book: &mut AccountLimiter, units: u64, now: Instant) -> Result<(), LimitExceeded> {
-    book.ask(account().mark, &limit(), units, now);
+    book.record_request(account().mark, &limit(), units, now);
     book.charge(account().mark, &limit(), units, now)
 }
 
 fn report(book: &mut AccountLimiter, keeper: &mut UsageAggregator, now: Instant) {
-    let report = book.report(now).expect("a report");
+    let report = book.usage_report(now).expect("a report");
     let answer = keeper.on_report(report.clone(), now);
-    book.on_answer(&report, &answer, now);
+    book.on_response(&report, &answer, now);
 }
 
 /// nothing runs until the limits are whole; gives the time then
@@ -120,7 +120,7 @@
     }
     assert!(units <= 1_100, "a tenth of the rate: {units}");
     let over = charge(&mut alone, 100, later).err();
-    assert!(over.is_none_or(|over| over.basis.age.is_none()));
+    assert!(over.is_none_or(|over| over.inputs.age.is_none()));
 }
 
 #[test]
@@ -136,11 +136,11 @@
     report(&mut books[3], &mut keeper, now);
     let rest = run_out(&mut books[3], now);
     assert!(units + rest >= 1_000, "the burst: {units} and {rest}");
-    books[3].give_back(account().mark, 0, now);
+    books[3].refund(account().mark, 0, now);
     report(&mut books[3], &mut keeper, now);
     report(&mut books[5], &mut keeper, now);
     let over = charge(&mut books[5], 100, now).expect_err("over limit");
-    assert!(over.basis.age == Some(Duration::ZERO) && over.basis.level <= Some(0.0));
+    assert!(over.inputs.age == Some(Duration::ZERO) && over.inputs.level <= Some(0.0));
     assert!(over.retry_after >= Duration::from_millis(100));
 }
 
@@ -154,12 +154,12 @@
     let units = run_out(&mut one, now);
     report(&mut one, &mut keeper, now);
     assert_eq!(
-        one.report(now).expect("a report").accounts[0].taken,
+        one.usage_report(now).expect("a report").accounts[0].taken,
         units as i64
     );
-    one.give_back(account().mark, units, now);
+    one.refund(account().mark, units, now);
     report(&mut one, &mut keeper, now);
-    let told = one.report(now).expect("a report");
+    let told = one.usage_report(now).expect("a report");
     assert_eq!(
         (told.accounts[0].taken, told.accounts[0].told_taken),
         (0, 0)
@@ -219,7 +219,7 @@
     assert_eq!(changed[0].bounds.granted_per_s, 5_000.0);
     let free = ClientAccount::new("acme", 1, None);
     one.set_accounts([&free].into_iter(), now);
-    assert!(one.report(now).is_none(), "nothing is limited");
+    assert!(one.usage_report(now).is_none(), "nothing is limited");
 }
 
 #[test]
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -83,7 +83,7 @@
     pub fn ages(&self, account: AccountMark) -> (Option<Duration>, Option<Duration>) {
         let now = clock::now();
         let configuration = self.lease().age(now);
-        (configuration, self.limits().word_age(account, now))
+        (configuration, self.limits().level_age(account, now))
     }
 
     /// the account that asks, none on a route that needs no key
@@ -146,7 +146,8 @@
     /// a request came that is to be charged to its account's limit
     pub fn ask(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
-        self.limits().ask(account.mark, limit, units, now);
+        self.limits()
+            .record_request(account.mark, limit, units, now);
     }
 
     /// charge a request that came to its account's limit
@@ -192,7 +193,7 @@
     fn drop(&mut self) {
         if !self.may_have_run {
             let mut limits = self.admission.limits();
-            limits.give_back(self.account, self.units, clock::now());
+            limits.refund(self.account, self.units, clock::now());
         }
     }
 }
--- a/entry/src/ingress/crashes.rs
+++ b/entry/src/ingress/crashes.rs
@@ -36,14 +36,14 @@
 
 impl Crashes {
     pub fn judge(&self, digest: &RequestDigest) -> RequestVerdict {
-        self.book().judge(digest, clock::now())
+        self.book().verdict(digest, clock::now())
     }
 
     /// requests were run to their end
     pub fn on_served(&self, digests: Vec<RequestDigest>) {
         let now = clock::now();
         let mut book = self.book();
-        let news = digests.into_iter().filter(|d| book.on_served(*d, now));
+        let news = digests.into_iter().filter(|d| book.on_completed(*d, now));
         if news.count() > 0 {
             self.tell(&book);
         }
@@ -54,9 +54,9 @@
         let now = clock::now();
         for crash in crashes {
             let mut book = self.book();
-            let life = stable_hash(&crash.life.to_string());
+            let life = stable_hash(&crash.backend.to_string());
             for run in &crash.runs {
-                book.on_ended(run.digest, life, run.at, now);
+                book.on_engine_ended(run.digest, life, run.at, now);
             }
             self.tell(&book);
             drop(book);
@@ -80,7 +80,7 @@
     }
     /// what is known beyond a revision, and the revision that this leads to
     pub fn words_after(&self, revision: u64) -> (Vec<CrashWord>, u64) {
-        self.book().words_after(revision, clock::now())
+        self.book().reports_since(revision, clock::now())
     }
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
@@ -101,8 +101,8 @@
     let digests: Vec<String> = digests.map(|run| run.digest.to_string()).collect();
     let first = crash.runs.iter().map(|run| run.at).min().unwrap_or(now);
     log::warn!(
-        backend = crash.life.as_str(),
-        born = crash.life.born,
+        backend = crash.backend.as_str(),
+        born = crash.backend.born,
         runs = crash.runs.len(),
         digests = digests.join(",").as_str(),
         age_ms = now.saturating_duration_since(first).as_millis() as u64;
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -201,8 +201,8 @@
                     account = change.account.as_str(),
                     granted_per_s = change.bounds.granted_per_s,
                     steady_per_s = change.bounds.steady_per_s,
-                    at_once = change.bounds.at_once,
-                    in_window = change.bounds.in_window;
+                    at_once = change.bounds.burst,
+                    in_window = change.bounds.per_window;
                     "limits: in force"
                 );
             });
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -143,16 +143,16 @@
             request = head.id.as_str(),
             account = account.name.as_str(),
             units = units,
-            level = over.basis.level.unwrap_or(f64::NAN),
-            age_ms = over.basis.age.map_or(-1, |age| age.as_millis() as i64),
-            entries = over.basis.entries,
+            level = over.inputs.level.unwrap_or(f64::NAN),
+            age_ms = over.inputs.age.map_or(-1, |age| age.as_millis() as i64),
+            entries = over.inputs.entries,
             retry_after_ms = over.retry_after.as_millis() as u64;
             "ingress: over limit"
         );
         let status = StatusCode::TOO_MANY_REQUESTS.as_u16();
         self.shared
             .metrics
-            .on_over_limit(&account.name, over.basis.age.is_some());
+            .on_over_limit(&account.name, over.inputs.age.is_some());
         self.shared.metrics.on_answer("", status);
         Err(over)
     }
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -108,7 +108,7 @@
     }
     fn knows_asked(&self, account: AccountMark) -> bool {
         let limits = self.admission.limits();
-        limits.knows_asked(account, clock::now())
+        limits.knows_fleet_demand(account, clock::now())
     }
     pub fn list_pacing(&self) -> ListPacing {
         ListPacing {
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -23,7 +23,7 @@
     loop {
         let pause =
             match report_once(&shared, &peers, &mut choice, &mut present, sidecar_port).await {
-                Some(true) => shared.admission.limits().report_every(clock::now()),
+                Some(true) => shared.admission.limits().report_interval(clock::now()),
                 Some(false) => RETRY,
                 None => LOOK_EVERY,
             };
@@ -43,8 +43,8 @@
     let now = clock::now();
     let report = {
         let mut limits = shared.admission.limits();
-        limits.set_entries(shared.control.counted_entries(), now);
-        limits.report(now)?
+        limits.set_entry_count(shared.control.counted_entries(), now);
+        limits.usage_report(now)?
     };
     let engines = shared.control.engines();
     let engine = choice.select(&engines, now)?;
@@ -60,7 +60,7 @@
             choice.on_response(engine);
             let now = clock::now();
             let mut limits = shared.admission.limits();
-            limits.on_answer(&report, &answer, now);
+            limits.on_response(&report, &answer, now);
             shared
                 .metrics
                 .on_usage_answer(answer.entries, report.entries);
--- a/sidecar/src/crashes/keeper.rs
+++ b/sidecar/src/crashes/keeper.rs
@@ -42,7 +42,7 @@
             // a time without news is an answer as well
             let _ = timeout(wait, changed.wait_for(|revision| *revision > after)).await;
         }
-        let (words, revision) = self.book().words_after(after, clock::now());
+        let (words, revision) = self.book().reports_since(after, clock::now());
         CrashAnswer {
             mark: CrashMark {
                 keeper: self.incarnation,
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -165,13 +165,13 @@
     let digest = RequestDigest::of("POST", "/", "", b"any");
     let mut book = CrashRegistry::default();
     let now = clock::now();
-    book.on_ended(digest, 1, now, now);
+    book.on_engine_ended(digest, 1, now, now);
     suspend(SUSPENDED);
     // another entry ran it to its end 4 s ago, and tells it now
     let mut other = CrashRegistry::default();
-    other.on_ended(digest, 2, clock::now() - ms(9_000), clock::now());
-    other.on_served(digest, clock::now() - ms(4_000));
-    let (words, _) = other.words_after(0, clock::now());
+    other.on_engine_ended(digest, 2, clock::now() - ms(9_000), clock::now());
+    other.on_completed(digest, clock::now() - ms(4_000));
+    let (words, _) = other.reports_since(0, clock::now());
     book.merge(&words, clock::now());
-    assert_eq!(book.judge(&digest, clock::now()), RequestVerdict::Clear);
+    assert_eq!(book.verdict(&digest, clock::now()), RequestVerdict::Clear);
 }
