--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -16,68 +16,69 @@
     },
 };
 
-/// an account counts as in use for this long after a request
-const IN_USE: Duration = Duration::from_secs(2);
-/// shortest and longest time after which a refused request is told to come back
+/// An account counts as in use for this long after a request.
+const IN_USE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bounds of the retry delay of a rejected request.
 const MIN_RETRY: Duration = Duration::from_millis(100);
 const MAX_RETRY: Duration = Duration::from_secs(5);
-/// Time between two reports while accounts are in use. With more entries it grows, so
-/// that a keeper hears some 330 reports a second.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
-const REPORT_EVERY_ENTRY: Duration = Duration::from_millis(3);
-/// longest time between two reports: a keeper's word must hold until the next
-const REPORT_LATEST: Duration = Duration::from_millis(600);
+/// Shortest interval between two reports while accounts are in use. The interval grows
+/// with the number of entries to bound the load on the aggregator.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(3);
+/// Longest interval between two reports; shorter than a level stays valid.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(600);
 
-/// For this long after its start an entry takes no limit for ample: the keeper may have
-/// started as well and know nothing of what ran before, and what waited for its first
-/// word comes at once at all entries. Without it an account at 3.3 rates ran 5 rates in
-/// the second after all processes were killed.
-const YOUNG_FOR: Duration = Duration::from_secs(2);
-/// when a keeper that has just started answers an entry this often, all others have told
-/// it what they are asked for
-const ENOUGH_WORDS: u32 = 2;
-/// entries assumed for an equal part before a sidecar has counted them
-const ENTRIES_UNKNOWN: u32 = 32;
+/// For this long after its start an entry treats no limit as ample: the aggregator may
+/// have restarted as well and not know the earlier usage, and all entries release their
+/// held requests at the same time.
+const WARMUP: Duration = Duration::from_secs(2);
+/// Number of responses of an aggregator after which all other entries have reported
+/// their demand to it.
+const RESPONSES_UNTIL_SYNCED: u32 = 2;
+/// Number of entries assumed while the size of the fleet is unknown.
+const DEFAULT_ENTRY_COUNT: u32 = 32;
 
-/// what a decision on a limit was made from, for logs
+/// Inputs of a decision on a limit, for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LimitDecisionInputs {
-    /// units that the fleet may run at once; none without a keeper's word
+    /// Units that the fleet may run now; `None` without a valid level.
     pub level: Option<f64>,
-    /// age of the keeper's word
+    /// Age of the level that the aggregator returned.
     pub age: Option<Duration>,
-    /// entries that share the limit
+    /// Number of entries that share the limit.
     pub entries: u32,
 }
 
-/// a limit that is new, or has changed
+/// A limit that is new or has changed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitChange {
     pub account: ClientAccountName,
     pub bounds: LimitBounds,
 }
 
-/// a request beyond its account's limit
+/// Rejection of a request because its account is over its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitExceeded {
-    /// when its units are due
+    /// Time until the account is expected to have units for the request.
     pub retry_after: Duration,
     pub inputs: LimitDecisionInputs,
 }
 
-/// The limits of client accounts at one entry. A keeper sums up what all entries let
-/// run; each draws on the whole limit by the keeper's last word.
+/// Enforces the limits of client accounts at one entry.
+///
+/// An aggregator sums up the usage of all entries. Each entry may use the full limit,
+/// according to the last level that the aggregator returned.
 #[derive(Debug)]
 pub struct AccountLimiter {
     settings: LimitSettings,
     entry: BoxName,
     incarnation: Incarnation,
     started: Instant,
-    /// that share the limits, none before a sidecar has counted them
-    entries: Option<u32>,
-    keeper: Option<Incarnation>,
-    /// answers of this keeper
-    words: u32,
+    /// Number of entries that share the limits; `None` while unknown.
+    entry_count: Option<u32>,
+    aggregator: Option<Incarnation>,
+    /// Responses received from this aggregator.
+    responses: u32,
     accounts: HashMap<AccountMark, SharedBucket>,
 }
 
@@ -93,15 +94,15 @@
             entry,
             incarnation,
             started: now,
-            entries: None,
-            keeper: None,
-            words: 0,
+            entry_count: None,
+            aggregator: None,
+            responses: 0,
             accounts: HashMap::new(),
         }
     }
 
-    /// accounts and limits of a new configuration; what is not limited is forgotten.
-    /// Gives those that are new or have changed
+    /// Applies the limits of a new configuration, removes accounts without a limit, and
+    /// returns the limits that are new or have changed.
     pub fn set_accounts<'a>(
         &mut self,
         accounts: impl Iterator<Item = &'a ClientAccount>,
@@ -113,10 +114,10 @@
                 continue;
             };
             if !limited.insert(account.mark) {
-                // an account stands once for each of its keys
+                // an account is listed once per API key
                 continue;
             }
-            let (bounds, entries) = (self.settings.bounds(limit), self.entries());
+            let (bounds, entries) = (self.settings.bounds(limit), self.entry_count());
             let known = self.accounts.get(&account.mark);
             if known.is_none_or(|bucket| bucket.bounds() != bounds) {
                 changed.push(LimitChange {
@@ -133,23 +134,23 @@
         changed
     }
 
-    /// entries that share the limits, none while they are not known
+    /// Sets the number of entries that share the limits; `None` while it is unknown.
     pub fn set_entry_count(&mut self, entries: Option<u32>, now: Instant) {
-        if entries == self.entries {
+        if entries == self.entry_count {
             return;
         }
-        self.entries = entries;
-        let entries = self.entries();
+        self.entry_count = entries;
+        let entries = self.entry_count();
         for bucket in self.accounts.values_mut() {
             bucket.set_bounds(bucket.bounds(), entries, now);
         }
     }
 
-    fn entries(&self) -> u32 {
-        self.entries.unwrap_or(ENTRIES_UNKNOWN)
+    fn entry_count(&self) -> u32 {
+        self.entry_count.unwrap_or(DEFAULT_ENTRY_COUNT)
     }
 
-    /// a request came; it counts as asked for, whatever becomes of it
+    /// Counts a request towards the demand of its account, whether or not it is admitted.
     pub fn record_request(
         &mut self,
         account: AccountMark,
@@ -160,10 +161,10 @@
         self.bucket(account, limit, now).record_request(charge, now);
     }
 
-    /// charge a request that came to its account, unless that is over its limit
+    /// Charges a request to its account.
     ///
     /// # Errors
-    /// the account has nothing left: the request must not run
+    /// The account is over its limit, and the request must not run.
     pub fn charge(
         &mut self,
         account: AccountMark,
@@ -171,26 +172,26 @@
         charge: u64,
         now: Instant,
     ) -> Result<(), LimitExceeded> {
-        let (bounds, entries) = (self.settings.bounds(limit), self.entries());
-        let youth = self.youth(now);
+        let (bounds, entries) = (self.settings.bounds(limit), self.entry_count());
+        let startup = self.startup_state(now);
         let bucket = self.bucket(account, limit, now);
-        if bucket.take(charge, youth, now) {
+        if bucket.try_charge(charge, startup, now) {
             return Ok(());
         }
-        let due = bucket.missing(charge, now) / bounds.steady_per_s;
-        let due = now + Duration::from_secs_f64(due.min(MAX_RETRY.as_secs_f64()));
-        let at = bucket.returns_at.max(due);
-        let own_per_s = bounds.steady_per_s / f64::from(entries.max(1));
-        let each =
-            Duration::from_secs_f64((charge as f64 / own_per_s).min(MAX_RETRY.as_secs_f64()));
-        bucket.returns_at = (at + each).min(now + MAX_RETRY);
+        let delay_s = bucket.missing(charge, now) / bounds.steady_per_s;
+        let available_at = now + Duration::from_secs_f64(delay_s.min(MAX_RETRY.as_secs_f64()));
+        let retry_at = bucket.next_retry.max(available_at);
+        let entry_per_s = bounds.steady_per_s / f64::from(entries.max(1));
+        let spacing =
+            Duration::from_secs_f64((charge as f64 / entry_per_s).min(MAX_RETRY.as_secs_f64()));
+        bucket.next_retry = (retry_at + spacing).min(now + MAX_RETRY);
         let inputs = LimitDecisionInputs {
             level: bucket.fleet_level(now),
             age: bucket.level_age(now),
             entries,
         };
         Err(LimitExceeded {
-            retry_after: at
+            retry_after: retry_at
                 .saturating_duration_since(now)
                 .clamp(MIN_RETRY, MAX_RETRY),
             inputs,
@@ -203,94 +204,98 @@
         limit: &RateLimit,
         now: Instant,
     ) -> &mut SharedBucket {
-        let (bounds, entries) = (self.settings.bounds(limit), self.entries());
+        let (bounds, entries) = (self.settings.bounds(limit), self.entry_count());
         let phase = phase_of(&self.entry, account);
         let bucket = self.accounts.entry(account);
         bucket.or_insert_with(|| SharedBucket::new(bounds, entries, phase, now))
     }
 
-    /// a request that was charged did not run
+    /// Refunds the charge of a request that did not run.
     pub fn refund(&mut self, account: AccountMark, charge: u64, now: Instant) {
         if let Some(bucket) = self.accounts.get_mut(&account) {
             bucket.refund(charge, now);
         }
     }
 
-    /// time until the next report is due
+    /// Returns the time until the next report is due.
     pub fn report_interval(&self, now: Instant) -> Duration {
         let is_used = self.accounts.values().any(|b| is_in_use(b, now));
         match is_used {
-            true => (REPORT_EVERY_ENTRY * self.entries()).clamp(REPORT_EVERY, REPORT_LATEST),
-            false => REPORT_LATEST,
+            true => (REPORT_INTERVAL_PER_ENTRY * self.entry_count())
+                .clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL),
+            false => MAX_REPORT_INTERVAL,
         }
     }
 
-    /// what the keeper must hear; none without limits
+    /// Returns the report to send to the aggregator, or `None` if no account has a limit.
     pub fn usage_report(&self, now: Instant) -> Option<UsageReport> {
         if self.accounts.is_empty() {
             return None;
         }
-        let is_news =
-            |b: &SharedBucket| is_in_use(b, now) || b.has_untold() || !b.is_told(self.keeper);
-        let news = self.accounts.iter().filter(|(_, bucket)| is_news(bucket));
-        let accounts = news.map(|(mark, bucket)| bucket.usage(*mark, self.entries(), now));
+        let must_report = |b: &SharedBucket| {
+            is_in_use(b, now) || b.has_unreported() || !b.is_known_to(self.aggregator)
+        };
+        let reported = self.accounts.iter();
+        let reported = reported.filter(|(_, bucket)| must_report(bucket));
+        let accounts =
+            reported.map(|(account, bucket)| bucket.usage(*account, self.entry_count(), now));
         Some(UsageReport {
             entry: self.entry.clone(),
             incarnation: self.incarnation,
-            entries: self.entries.unwrap_or(0),
+            entries: self.entry_count.unwrap_or(0),
             window_ms: self.settings.window.as_millis() as u32,
             accounts: accounts.collect(),
         })
     }
 
-    /// the keeper has answered a report
-    pub fn on_response(&mut self, report: &UsageReport, answer: &UsageAnswer, now: Instant) {
-        if self.keeper != Some(answer.incarnation) {
-            self.words = 0;
+    /// Applies the aggregator's response to a report.
+    pub fn on_response(&mut self, report: &UsageReport, response: &UsageAnswer, now: Instant) {
+        if self.aggregator != Some(response.incarnation) {
+            self.responses = 0;
         }
-        self.keeper = Some(answer.incarnation);
-        self.words += 1;
-        let part = f64::from(answer.entries) / f64::from(report.entries.max(answer.entries));
+        self.aggregator = Some(response.incarnation);
+        self.responses += 1;
+        let part = f64::from(response.entries) / f64::from(report.entries.max(response.entries));
         let usages = report.accounts.iter().map(|usage| (usage.account, usage));
         let usages: HashMap<AccountMark, &AccountUsage> = usages.collect();
-        let levels = answer.accounts.iter().map(|level| (level.account, level));
+        let levels = response.accounts.iter().map(|level| (level.account, level));
         let levels: HashMap<AccountMark, &AccountLevel> = levels.collect();
-        for (mark, bucket) in &mut self.accounts {
-            let usage = usages.get(mark).copied();
-            match levels.get(mark) {
-                Some(level) => bucket.on_level(answer.incarnation, usage, level, now),
+        for (account, bucket) in &mut self.accounts {
+            let usage = usages.get(account).copied();
+            match levels.get(account) {
+                Some(level) => bucket.on_level(response.incarnation, usage, level, now),
                 None => bucket.on_ample(part * AMPLE_PART, now),
             }
         }
     }
 
-    /// age of the keeper's word on an account, none if none holds
+    /// Returns the age of an account's level, or `None` if no valid level is known.
     pub fn level_age(&self, account: AccountMark, now: Instant) -> Option<Duration> {
         self.accounts.get(&account)?.level_age(now)
     }
-    /// whether a keeper has said what clients ask for of an account, at all entries
+    /// Returns whether the demand for an account at all entries is known.
     pub fn knows_fleet_demand(&self, account: AccountMark, now: Instant) -> bool {
         let bucket = self.accounts.get(&account);
-        let is_asked = bucket.is_some_and(|bucket| bucket.asked_per_s(now).is_some());
-        is_asked && self.youth(now) != StartupState::Unsynced
+        let is_known = bucket.is_some_and(|bucket| bucket.demand_per_s(now).is_some());
+        is_known && self.startup_state(now) != StartupState::Unsynced
     }
 
-    fn youth(&self, now: Instant) -> StartupState {
-        let is_young = now.saturating_duration_since(self.started) < YOUNG_FOR;
-        match is_young {
-            true if self.words < ENOUGH_WORDS => StartupState::Unsynced,
+    fn startup_state(&self, now: Instant) -> StartupState {
+        let is_warming_up = now.saturating_duration_since(self.started) < WARMUP;
+        match is_warming_up {
+            true if self.responses < RESPONSES_UNTIL_SYNCED => StartupState::Unsynced,
             true => StartupState::Warmup,
             false => StartupState::Ready,
         }
     }
 }
 
-/// of an entry for an account, evenly between 0 and 1 over entries
+/// Returns a value between 0 and 1 that is evenly distributed over the entries.
 fn phase_of(entry: &BoxName, account: AccountMark) -> f64 {
     rendezvous_weight(account, stable_hash(entry)) as f64 / u64::MAX as f64
 }
 
 fn is_in_use(bucket: &SharedBucket, now: Instant) -> bool {
-    let used = bucket.used;
-    used.is_some_and(|at| now.saturating_duration_since(at) < IN_USE)
+    let last_request = bucket.last_request;
+    last_request.is_some_and(|at| now.saturating_duration_since(at) < IN_USE_TIMEOUT)
 }
--- a/coordination/src/limits/mod.rs
+++ b/coordination/src/limits/mod.rs
@@ -1,5 +1,4 @@
-//! limits of client accounts that all entries share: what an entry may let run by
-//! what it knows of the others
+//! Rate limits of client accounts, shared by all entries.
 
 mod account_limiter;
 mod settings;
--- a/coordination/src/limits/settings.rs
+++ b/coordination/src/limits/settings.rs
@@ -1,35 +1,33 @@
 use {chalkcart_state::accounts::RateLimit, std::time::Duration};
 
-/// Parts of the tolerance, (rate x window + burst) x overage + slack, that are used.
-///
-/// The first is given out all the time, so that nothing is refused which is due: what
-/// entries know of each other is late and rounded. The second may fill a window whose
-/// burst came first, so that no pause must follow it. The rest, 0.9 of a rate on the
-/// pages, is for what runs before an overshoot is known.
-const GIVEN_PART: f64 = 0.15;
-const FILLED_PART: f64 = 0.5;
+/// Part of the tolerance that is always granted, so that stale levels don't cause
+/// rejections of requests within the limit.
+const GRANTED_TOLERANCE: f64 = 0.15;
+/// Part of the tolerance that the sum of a window may use, so that a window that begins
+/// with a burst doesn't end with a pause. The remainder absorbs what runs before an
+/// overshoot is known.
+const WINDOW_TOLERANCE: f64 = 0.5;
 
-/// how exactly the fleet must hold the limits of client accounts
+/// How exactly the fleet enforces the limits of client accounts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSettings {
-    /// in each window, at most (rate x window + burst) x (1 + overage) + slack runs
+    /// In each window, at most (rate x window + burst) x (1 + overage) + slack may run.
     pub window: Duration,
     pub overage: f64,
-    /// units
+    /// In units of the limit.
     pub slack: f64,
 }
 
-/// what the fleet lets an account run, in units of its limit
+/// What the fleet lets one account run, in units of its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitBounds {
-    /// units a second that the account was granted
+    /// Configured rate in units per second.
     pub granted_per_s: f64,
-    /// units a second when it asks for more all the time: its rate, and its burst once
-    /// in each window
+    /// Units per second under sustained overload: the rate plus one burst per window.
     pub steady_per_s: f64,
-    /// units at once
+    /// Units that may run at once.
     pub burst: f64,
-    /// units in each window
+    /// Units that may run in one window.
     pub per_window: f64,
 }
 
@@ -48,12 +46,12 @@
         let window_s = self.window.as_secs_f64();
         let granted = limit.per_s * window_s + limit.burst;
         let tolerance = self.overage * granted + self.slack;
-        let given = GIVEN_PART * tolerance;
+        let granted_tolerance = GRANTED_TOLERANCE * tolerance;
         LimitBounds {
             granted_per_s: limit.per_s,
-            steady_per_s: (granted + given) / window_s,
-            burst: limit.burst + given,
-            per_window: granted + FILLED_PART * tolerance,
+            steady_per_s: (granted + granted_tolerance) / window_s,
+            burst: limit.burst + granted_tolerance,
+            per_window: granted + WINDOW_TOLERANCE * tolerance,
         }
     }
 }
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -5,94 +5,93 @@
     std::time::{Duration, Instant},
 };
 
-/// a keeper's word is used for this long, then the entry keeps to its equal part.
-/// An account that sends 3.3 times its rate runs 2.1 rates too much in this time,
-/// by a window's tolerance of 2.25 rates on the pages
-const WORD_HOLDS: Duration = Duration::from_millis(900);
-/// What is left of a limit, or was run beyond it, is given out or paid back in about
-/// this time. It is longer than it takes all entries to hear of a change.
-const LEVELLED_IN_S: f64 = 1.0;
-/// Of its equal part of a burst, what an entry may use before it has heard a keeper.
-/// What it let run before its start is not known; entries that start again and again
-/// must not have a burst each time.
-const AT_START_PART: f64 = 0.25;
-
-/// how far an entry that has just started may rely on its keeper
+/// A level from the aggregator is valid for this long; afterwards the entry keeps to its
+/// equal part of the limit.
+const LEVEL_VALID_FOR: Duration = Duration::from_millis(900);
+/// Time in which unused units are granted and overuse is paid back, in seconds. Longer
+/// than a change takes to reach all entries.
+const CORRECTION_TIME_S: f64 = 1.0;
+/// Part of its equal part of a burst that an entry may use before the first response of an
+/// aggregator. The usage before its start is unknown, and entries that restart repeatedly
+/// must not get a burst each time.
+const INITIAL_BURST_PART: f64 = 0.25;
+
+/// How far an entry that has just started may rely on its aggregator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartupState {
-    /// the keeper may not have heard the other entries
+    /// The aggregator may not have the demand of the other entries.
     Unsynced,
-    /// it has, but it may not know what ran before
+    /// The aggregator has the demand, but may not know the usage before a restart.
     Warmup,
     Ready,
 }
 
-/// what one entry knows of the limit of one account
+/// State of one account's limit at one entry.
 #[derive(Debug)]
 pub(super) struct SharedBucket {
-    /// for the whole fleet
+    /// Bounds for the whole fleet.
     bounds: LimitBounds,
-    /// let run here since the start, less what did not run
-    taken: i64,
-    /// asked for here since the start
-    asked: i64,
-    /// both when a keeper last answered
-    told_taken: i64,
-    told_asked: i64,
-    /// the keeper that was told of the account
-    told_to: Option<Incarnation>,
-    heard: Option<HeardLevel>,
-    /// the equal part of this entry, for times without a keeper
+    /// Units charged here since the start, without those of requests that did not run.
+    charged: i64,
+    /// Units requested here since the start.
+    requested: i64,
+    /// Both counters as last acknowledged by an aggregator.
+    acked_charged: i64,
+    acked_requested: i64,
+    /// The aggregator that has received this account's usage.
+    reported_to: Option<Incarnation>,
+    received: Option<ReceivedLevel>,
+    /// The entry's equal part of the limit, used without an aggregator.
     own_part: TokenBucket,
-    /// when a request was last charged
-    pub(super) used: Option<Instant>,
-    /// of what was asked for while little is left, the part that may run and did not
-    /// yet, in units
-    due: f64,
-    /// between 0 and 1: entries that hold a part of a request each begin one after
-    /// the other
+    /// When a request last arrived.
+    pub(super) last_request: Option<Instant>,
+    /// Units that the entry may still admit of the requests that have arrived while the
+    /// level is low.
+    credit: f64,
+    /// Between 0 and 1, different at each entry, so that entries with a fraction of a
+    /// request each admit their first request at different times.
     phase: f64,
-    /// those that were refused come back one after the other
-    pub(super) returns_at: Instant,
+    /// Earliest retry of the next rejected request, so that retries are spread out.
+    pub(super) next_retry: Instant,
 }
 
-/// a keeper's word
+/// Level of an account as returned by an aggregator.
 #[derive(Debug)]
-struct HeardLevel {
+struct ReceivedLevel {
     level: f64,
-    asked_per_s: f64,
-    /// of this entry, as the keeper knew
-    taken: i64,
+    demand_per_s: f64,
+    /// Units charged here that the level accounts for.
+    charged: i64,
     at: Instant,
 }
 
 impl SharedBucket {
     pub fn new(bounds: LimitBounds, entries: u32, phase: f64, now: Instant) -> Self {
         let part = 1.0 / f64::from(entries.max(1));
-        let (per_s, most) = (bounds.granted_per_s * part, bounds.burst * part);
-        let mut own_part = TokenBucket::new(per_s, most, now);
-        own_part.set_level(most * AT_START_PART, now);
+        let (rate_per_s, capacity) = (bounds.granted_per_s * part, bounds.burst * part);
+        let mut own_part = TokenBucket::new(rate_per_s, capacity, now);
+        own_part.set_level(capacity * INITIAL_BURST_PART, now);
         Self {
             bounds,
-            taken: 0,
-            asked: 0,
-            told_taken: 0,
-            told_asked: 0,
-            told_to: None,
-            heard: None,
+            charged: 0,
+            requested: 0,
+            acked_charged: 0,
+            acked_requested: 0,
+            reported_to: None,
+            received: None,
             own_part,
-            used: None,
-            due: 0.0,
+            last_request: None,
+            credit: 0.0,
             phase,
-            returns_at: now,
+            next_retry: now,
         }
     }
 
-    /// the limit or the number of entries has changed
+    /// Applies a changed limit or number of entries.
     pub fn set_bounds(&mut self, bounds: LimitBounds, entries: u32, now: Instant) {
         let part = 1.0 / f64::from(entries.max(1));
-        let (per_s, most) = (bounds.granted_per_s * part, bounds.burst * part);
-        self.own_part.set_bounds(per_s, most, now);
+        let (rate_per_s, capacity) = (bounds.granted_per_s * part, bounds.burst * part);
+        self.own_part.set_bounds(rate_per_s, capacity, now);
         self.bounds = bounds;
     }
 
@@ -100,84 +99,85 @@
         self.bounds
     }
 
-    /// age of the keeper's word, none if there is none that holds
+    /// Returns the age of the aggregator's level, or `None` if no valid level is known.
     pub fn level_age(&self, now: Instant) -> Option<Duration> {
-        let heard = self.heard.as_ref()?;
-        let age = now.saturating_duration_since(heard.at);
-        (age <= WORD_HOLDS).then_some(age)
+        let received = self.received.as_ref()?;
+        let age = now.saturating_duration_since(received.at);
+        (age <= LEVEL_VALID_FOR).then_some(age)
     }
 
-    /// units that the fleet may run at once, by the keeper's word, less what was let
-    /// run here since then. What the account is due since then and what others let
-    /// run count with the next word.
+    /// Returns the units that the fleet may run now: the last level, less what this entry
+    /// has charged since. The refill and the usage of other entries since then count with
+    /// the next level.
     pub fn fleet_level(&self, now: Instant) -> Option<f64> {
         self.level_age(now)?;
-        let heard = self.heard.as_ref()?;
-        Some(heard.level - (self.taken - heard.taken) as f64)
+        let received = self.received.as_ref()?;
+        Some(received.level - (self.charged - received.charged) as f64)
     }
 
-    /// a request came
     pub fn record_request(&mut self, charge: u64, now: Instant) {
-        self.asked += charge as i64;
-        self.used = Some(now);
+        self.requested += charge as i64;
+        self.last_request = Some(now);
     }
 
-    /// Decide on a request that came, and take its charge if it may run.
+    /// Charges a request if it may run, and returns whether it may.
     ///
-    /// While much is left each request may run. While little is left, of what clients
-    /// ask for at all entries that part may run which the limit has room for; each
-    /// entry lets this part of its own run, so that all stay together and nobody
-    /// stops. Without a keeper's word an entry keeps to its equal part.
+    /// While the level is ample, each request may run. While it is low, each entry admits
+    /// the same part of its requests: what the limit allows, divided by the demand at all
+    /// entries. Without a valid level an entry keeps to its equal part of the limit.
     ///
-    /// While it is young nothing counts as much: the keeper may be young as well.
-    pub fn take(&mut self, charge: u64, youth: StartupState, now: Instant) -> bool {
+    /// During start-up no level counts as ample, since the aggregator may have restarted
+    /// as well.
+    pub fn try_charge(&mut self, charge: u64, startup: StartupState, now: Instant) -> bool {
         let units = charge as f64;
-        let word = self
+        let level = self
             .fleet_level(now)
-            .filter(|_| youth != StartupState::Unsynced);
-        let is_young = youth != StartupState::Ready;
-        let may_run = match (word, self.asked_per_s(now)) {
-            (Some(level), _) if level >= self.bounds.burst * AMPLE_PART && !is_young => true,
-            // a young keeper's bucket is no evidence that much is left
-            (Some(level), Some(asked_per_s)) if is_young => {
-                self.is_due(units, level.min(0.0), asked_per_s)
+            .filter(|_| startup != StartupState::Unsynced);
+        let is_starting = startup != StartupState::Ready;
+        let may_run = match (level, self.demand_per_s(now)) {
+            (Some(level), _) if level >= self.bounds.burst * AMPLE_PART && !is_starting => true,
+            // the bucket of an aggregator that has just started may be too full
+            (Some(level), Some(demand_per_s)) if is_starting => {
+                self.take_credit(units, level.min(0.0), demand_per_s)
             }
-            (Some(level), Some(asked_per_s)) => self.is_due(units, level, asked_per_s),
-            (Some(level), None) if !is_young => level > 0.0,
+            (Some(level), Some(demand_per_s)) => self.take_credit(units, level, demand_per_s),
+            (Some(level), None) if !is_starting => level > 0.0,
             _ => self.own_part.level(now) > self.phase * units,
         };
         if may_run {
-            self.taken += charge as i64;
+            self.charged += charge as i64;
             self.own_part.spend(units, now);
         }
         may_run
     }
 
-    /// units a second that clients ask for at all entries, none if not known
-    pub fn asked_per_s(&self, now: Instant) -> Option<f64> {
+    /// Returns the units per second that clients request at all entries, or `None` if
+    /// unknown.
+    pub fn demand_per_s(&self, now: Instant) -> Option<f64> {
         self.level_age(now)?;
-        let asked = self.heard.as_ref().map(|heard| heard.asked_per_s);
-        asked.filter(|asked| *asked > 0.0)
-    }
-
-    /// whether a request is among the part that may run, while little is left
-    fn is_due(&mut self, units: f64, level: f64, asked_per_s: f64) -> bool {
-        let room_per_s = self.bounds.steady_per_s + level / LEVELLED_IN_S;
-        self.due += units * (room_per_s / asked_per_s).clamp(0.0, 1.0);
-        let is_due = self.due > units * self.phase;
-        if is_due {
-            self.due -= units;
+        let demand = self.received.as_ref().map(|received| received.demand_per_s);
+        demand.filter(|demand| *demand > 0.0)
+    }
+
+    /// Adds the admissible part of a request to the credit, and returns whether the credit
+    /// suffices to admit the request.
+    fn take_credit(&mut self, units: f64, level: f64, demand_per_s: f64) -> bool {
+        let allowed_per_s = self.bounds.steady_per_s + level / CORRECTION_TIME_S;
+        self.credit += units * (allowed_per_s / demand_per_s).clamp(0.0, 1.0);
+        let is_admitted = self.credit > units * self.phase;
+        if is_admitted {
+            self.credit -= units;
         }
-        is_due
+        is_admitted
     }
 
-    /// a request that was charged did not run
+    /// Refunds the charge of a request that did not run.
     pub fn refund(&mut self, charge: u64, now: Instant) {
-        self.taken -= charge as i64;
+        self.charged -= charge as i64;
         self.own_part.spend(-(charge as f64), now);
     }
 
-    /// units that must become due before a request may run
+    /// Returns the units that the fleet must regain before a request may run.
     pub fn missing(&self, charge: u64, now: Instant) -> f64 {
         match self.fleet_level(now) {
             Some(level) => (charge as f64 - level).max(0.0),
@@ -189,63 +189,64 @@
     }
 
     pub fn usage(&self, account: AccountMark, entries: u32, now: Instant) -> AccountUsage {
-        let own = || self.own_part.level(now) * f64::from(entries.max(1));
+        let extrapolated = || self.own_part.level(now) * f64::from(entries.max(1));
         AccountUsage {
             account,
-            taken: self.taken,
-            asked: self.asked,
-            told_taken: self.told_taken,
-            told_asked: self.told_asked,
-            level: self.fleet_level(now).unwrap_or_else(own),
+            taken: self.charged,
+            asked: self.requested,
+            told_taken: self.acked_charged,
+            told_asked: self.acked_requested,
+            level: self.fleet_level(now).unwrap_or_else(extrapolated),
             per_s: self.bounds.steady_per_s,
             most: self.bounds.burst,
             in_window: self.bounds.per_window,
         }
     }
 
-    pub fn is_told(&self, keeper: Option<Incarnation>) -> bool {
-        keeper.is_some() && self.told_to == keeper
+    /// Returns whether this aggregator has received the account's usage.
+    pub fn is_known_to(&self, aggregator: Option<Incarnation>) -> bool {
+        aggregator.is_some() && self.reported_to == aggregator
     }
-    pub fn has_untold(&self) -> bool {
-        (self.taken, self.asked) != (self.told_taken, self.told_asked)
+    pub fn has_unreported(&self) -> bool {
+        (self.charged, self.requested) != (self.acked_charged, self.acked_requested)
     }
 
-    /// a keeper has said what the fleet may run; `usage` is what it was told, if
-    /// the account was in the report
+    /// Applies a level from an aggregator. `usage` is what the report said about the
+    /// account, if it was in the report.
     pub fn on_level(
         &mut self,
-        keeper: Incarnation,
+        aggregator: Incarnation,
         usage: Option<&AccountUsage>,
         level: &AccountLevel,
         now: Instant,
     ) {
         if let Some(usage) = usage {
-            self.told_to = Some(keeper);
-            (self.told_taken, self.told_asked) = (usage.taken, usage.asked);
+            self.reported_to = Some(aggregator);
+            (self.acked_charged, self.acked_requested) = (usage.taken, usage.asked);
         }
-        self.hear(level.level, level.asked_per_s, now);
+        self.set_level(level.level, level.asked_per_s, now);
     }
 
-    /// a keeper has not named the account: at least this part of what may run at
-    /// once is left
+    /// Applies a response that doesn't list the account: at least this part of the burst
+    /// is left.
     pub fn on_ample(&mut self, part: f64, now: Instant) {
-        self.hear(self.bounds.burst * part, 0.0, now);
+        self.set_level(self.bounds.burst * part, 0.0, now);
     }
 
-    fn hear(&mut self, level: f64, asked_per_s: f64, now: Instant) {
-        self.heard = Some(HeardLevel {
+    fn set_level(&mut self, level: f64, demand_per_s: f64, now: Instant) {
+        self.received = Some(ReceivedLevel {
             level,
-            asked_per_s,
-            taken: self.told_taken,
+            demand_per_s,
+            charged: self.acked_charged,
             at: now,
         });
-        // without the keeper this entry goes on with its part of what is due
+        // if the aggregator fails, the entry continues with its part of the level
         let own = self.fleet_level(now).unwrap_or(0.0) * self.part();
         self.own_part.set_level(own, now);
     }
 
-    /// of the whole limit, the equal part of this entry
+    /// Returns the entry's equal part of the limit, as a fraction.
     fn part(&self) -> f64 {
-        self.own_part.per_s() / self.bounds.granted_per_s.max(f64::MIN_POSITIVE)
+        self.own_part.rate_per_s() / self.bounds.granted_per_s.max(f64::MIN_POSITIVE)
     }
 }
--- a/coordination/src/limits/token_bucket.rs
+++ b/coordination/src/limits/token_bucket.rs
@@ -1,55 +1,53 @@
 use std::time::Instant;
 
-/// A level that rises at a rate up to a bound. It may be drawn below 0: what was
-/// run too much is paid back before more runs.
+/// A token bucket whose level may become negative: the debt is paid back before the
+/// level is positive again.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     level: f64,
-    per_s: f64,
-    most: f64,
-    at: Instant,
+    rate_per_s: f64,
+    capacity: f64,
+    updated_at: Instant,
 }
 
 impl TokenBucket {
-    /// an empty bucket
-    pub fn new(per_s: f64, most: f64, now: Instant) -> Self {
+    /// Returns an empty bucket.
+    pub fn new(rate_per_s: f64, capacity: f64, now: Instant) -> Self {
         Self {
             level: 0.0,
-            per_s,
-            most,
-            at: now,
+            rate_per_s,
+            capacity,
+            updated_at: now,
         }
     }
-    /// another rate and bound hold from now on
-    pub fn set_bounds(&mut self, per_s: f64, most: f64, now: Instant) {
+    /// Changes the rate and the capacity from now on.
+    pub fn set_bounds(&mut self, rate_per_s: f64, capacity: f64, now: Instant) {
         self.refill(now);
-        self.per_s = per_s;
-        self.most = most;
+        self.rate_per_s = rate_per_s;
+        self.capacity = capacity;
     }
-    /// units a second
-    pub fn per_s(&self) -> f64 {
-        self.per_s
+    pub fn rate_per_s(&self) -> f64 {
+        self.rate_per_s
     }
-    /// the highest level
-    pub fn most(&self) -> f64 {
-        self.most
+    pub fn capacity(&self) -> f64 {
+        self.capacity
     }
     pub fn level(&self, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.at);
-        (self.level + self.per_s * passed.as_secs_f64()).min(self.most)
+        let elapsed = now.saturating_duration_since(self.updated_at);
+        (self.level + self.rate_per_s * elapsed.as_secs_f64()).min(self.capacity)
     }
     pub fn set_level(&mut self, level: f64, now: Instant) {
-        self.at = self.at.max(now);
-        self.level = level.min(self.most);
+        self.updated_at = self.updated_at.max(now);
+        self.level = level.min(self.capacity);
     }
-    /// units are spent, or come back if negative
+    /// Takes units out of the bucket; a negative number puts them back.
     pub fn spend(&mut self, units: f64, now: Instant) {
         self.refill(now);
-        self.level = (self.level - units).min(self.most);
+        self.level = (self.level - units).min(self.capacity);
     }
 
     fn refill(&mut self, now: Instant) {
         self.level = self.level(now);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/coordination/src/limits/usage_aggregator.rs
+++ b/coordination/src/limits/usage_aggregator.rs
@@ -11,44 +11,45 @@
     },
 };
 
-/// an entry that is silent for this long is no longer counted; entries report each
-/// 600 ms at least
-const ENTRY_SILENCE: Duration = Duration::from_millis(1_400);
+/// An entry that hasn't reported for this long is no longer counted. Entries report at
+/// least every 600 ms.
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// over this time the rate is taken at which clients ask
-const ASKED_WINDOW: Duration = Duration::from_secs(1);
+/// Window over which the request rate of clients is measured.
+const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// an account that has this part of its highest level left is ample: entries that do
-/// not use it need not hear of it
+/// An account with at least this part of its burst left is ample: its level is only sent
+/// to the entries that use it.
 pub(super) const AMPLE_PART: f64 = 0.5;
 
-/// Sums up what entries let client accounts run, and says how much more may run.
+/// Sums up the usage that entries report for client accounts, and returns the level of
+/// each account.
 ///
-/// It gives out the part of each limit that belongs to the entries that report to
-/// it, so that two keepers at a time give out no more than one limit.
+/// It grants the part of each limit that belongs to the entries that report to it, so
+/// that two aggregators together never grant more than one limit.
 #[derive(Debug)]
 pub struct UsageAggregator {
     incarnation: Incarnation,
-    entries: HashMap<BoxName, EntryRow>,
-    accounts: HashMap<AccountMark, AccountRow>,
+    entries: HashMap<BoxName, EntryState>,
+    accounts: HashMap<AccountMark, AccountState>,
 }
 
 #[derive(Debug)]
-struct EntryRow {
+struct EntryState {
     incarnation: Incarnation,
-    heard: Instant,
-    /// of each account, the units taken and those asked for, as it last told
-    told: HashMap<AccountMark, (i64, i64)>,
+    last_report: Instant,
+    /// Last reported counters of each account: units charged and units requested.
+    reported: HashMap<AccountMark, (i64, i64)>,
 }
 
 #[derive(Debug)]
-struct AccountRow {
+struct AccountState {
     bucket: TokenBucket,
-    /// units in each window
-    in_window: f64,
+    /// Units that may run in each window.
+    per_window: f64,
     window: Duration,
-    window_spent: WindowSum,
-    asked: WindowSum,
+    charged: WindowSum,
+    requested: WindowSum,
 }
 
 impl UsageAggregator {
@@ -60,116 +61,116 @@
         }
     }
 
-    /// an entry has told what it let run
+    /// Applies the report of an entry and returns the levels that the entry needs.
     pub fn on_report(&mut self, report: UsageReport, now: Instant) -> UsageAnswer {
         self.expire(now);
         let known = self.entries.get(&report.entry);
-        if known.is_none_or(|row| row.incarnation != report.incarnation) {
-            let row = EntryRow::new(report.incarnation, now);
-            self.entries.insert(report.entry.clone(), row);
+        if known.is_none_or(|entry| entry.incarnation != report.incarnation) {
+            let entry = EntryState::new(report.incarnation, now);
+            self.entries.insert(report.entry.clone(), entry);
         }
-        let counted = self.entries.len() as u32;
-        // of all entries, those that report here; one that does not know how many there
-        // are says nothing about it
-        let fleet = report.entries.max(counted);
-        let part = f64::from(counted) / f64::from(fleet);
+        let reporting = self.entries.len() as u32;
+        // an entry that doesn't know the size of the fleet reports 0
+        let fleet = report.entries.max(reporting);
+        let part = f64::from(reporting) / f64::from(fleet);
         let window = Duration::from_millis(u64::from(report.window_ms));
         let entry = self.entries.entry(report.entry);
-        let entry = entry.or_insert_with(|| EntryRow::new(report.incarnation, now));
-        entry.heard = now;
-        let rows = report.accounts.iter().map(|usage| {
+        let entry = entry.or_insert_with(|| EntryState::new(report.incarnation, now));
+        entry.last_report = now;
+        let levels = report.accounts.iter().map(|usage| {
             let account = self.accounts.entry(usage.account);
-            let account = account.or_insert_with(|| AccountRow::new(usage, window, now));
+            let account = account.or_insert_with(|| AccountState::new(usage, window, now));
             account.set_bounds(usage, window, part, now);
-            let told = (usage.taken, usage.asked);
-            let before = entry.told.insert(usage.account, told);
-            if before.is_none() && report.entries > 0 {
-                // it brings its part of what it believes to be due
-                let brought = usage.level / f64::from(fleet);
-                account.bucket.spend(-brought, now);
+            let counters = (usage.taken, usage.asked);
+            let previous = entry.reported.insert(usage.account, counters);
+            if previous.is_none() && report.entries > 0 {
+                // a new entry contributes its part of the level that it last knew
+                let contributed = usage.level / f64::from(fleet);
+                account.bucket.spend(-contributed, now);
             }
-            let (taken, asked) = before.unwrap_or((usage.told_taken, usage.told_asked));
-            account.spend(usage.taken - taken, now);
-            account.on_asked(usage.asked - asked, now);
+            let (taken, asked) = previous.unwrap_or((usage.told_taken, usage.told_asked));
+            account.add_charged(usage.taken - taken, now);
+            account.add_requested(usage.asked - asked, now);
             account.level(usage.account, now)
         });
-        let mut accounts: Vec<AccountLevel> = rows.collect();
-        let told: HashSet<AccountMark> = accounts.iter().map(|a| a.account).collect();
-        for (mark, row) in &self.accounts {
-            if !told.contains(mark) && row.is_short(now) {
-                accounts.push(row.level(*mark, now));
+        let mut accounts: Vec<AccountLevel> = levels.collect();
+        let reported: HashSet<AccountMark> = accounts.iter().map(|a| a.account).collect();
+        for (account, state) in &self.accounts {
+            if !reported.contains(account) && state.is_short(now) {
+                accounts.push(state.level(*account, now));
             }
         }
         UsageAnswer {
             incarnation: self.incarnation,
-            entries: counted,
+            entries: reporting,
             accounts,
         }
     }
 
     fn expire(&mut self, now: Instant) {
         self.entries
-            .retain(|_, row| now.saturating_duration_since(row.heard) < ENTRY_SILENCE);
+            .retain(|_, entry| now.saturating_duration_since(entry.last_report) < ENTRY_TIMEOUT);
         if self.entries.is_empty() {
-            // entries that come back bring what they believe
+            // entries that return contribute the level that they last knew
             self.accounts.clear();
         }
     }
 }
 
-impl EntryRow {
+impl EntryState {
     fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             incarnation,
-            heard: now,
-            told: HashMap::new(),
+            last_report: now,
+            reported: HashMap::new(),
         }
     }
 }
 
-impl AccountRow {
+impl AccountState {
     fn new(usage: &AccountUsage, window: Duration, now: Instant) -> Self {
         Self {
             bucket: TokenBucket::new(usage.per_s, usage.most, now),
-            in_window: usage.in_window,
+            per_window: usage.in_window,
             window,
-            window_spent: WindowSum::default(),
-            asked: WindowSum::default(),
+            charged: WindowSum::default(),
+            requested: WindowSum::default(),
         }
     }
 
-    /// this part of the account's limit is given out here
+    /// Sets the part of the account's limit that this aggregator grants.
     fn set_bounds(&mut self, usage: &AccountUsage, window: Duration, part: f64, now: Instant) {
-        let (per_s, most) = (usage.per_s * part, usage.most * part);
-        self.bucket.set_bounds(per_s, most, now);
-        self.in_window = usage.in_window * part;
+        let (rate_per_s, capacity) = (usage.per_s * part, usage.most * part);
+        self.bucket.set_bounds(rate_per_s, capacity, now);
+        self.per_window = usage.in_window * part;
         self.window = window;
     }
 
-    fn spend(&mut self, units: i64, now: Instant) {
+    fn add_charged(&mut self, units: i64, now: Instant) {
         self.bucket.spend(units as f64, now);
-        self.window_spent.add(units as f64, self.window, now);
+        self.charged.add(units as f64, self.window, now);
     }
 
-    fn on_asked(&mut self, units: i64, now: Instant) {
-        self.asked.add(units as f64, ASKED_WINDOW, now);
+    fn add_requested(&mut self, units: i64, now: Instant) {
+        self.requested.add(units as f64, DEMAND_WINDOW, now);
     }
 
-    /// units that may run at once, also by what is left of the window
-    fn left(&self, now: Instant) -> f64 {
-        let in_window = self.in_window - self.window_spent.get(self.window, now);
-        self.bucket.level(now).min(in_window)
+    /// Returns the units that may run now: the level of the bucket or what is left of the
+    /// window, whichever is less.
+    fn available(&self, now: Instant) -> f64 {
+        let left_in_window = self.per_window - self.charged.get(self.window, now);
+        self.bucket.level(now).min(left_in_window)
     }
 
     fn is_short(&self, now: Instant) -> bool {
-        self.left(now) < self.bucket.most() * AMPLE_PART
+        self.available(now) < self.bucket.capacity() * AMPLE_PART
     }
 
     fn level(&self, account: AccountMark, now: Instant) -> AccountLevel {
         AccountLevel {
             account,
-            level: self.left(now),
-            asked_per_s: self.asked.get(ASKED_WINDOW, now) / ASKED_WINDOW.as_secs_f64(),
+            level: self.available(now),
+            asked_per_s: self.requested.get(DEMAND_WINDOW, now) / DEMAND_WINDOW.as_secs_f64(),
         }
     }
 }
