--- a/coordination/src/crashes/crash_detector.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -8,103 +8,103 @@
     },
 };
 
-/// A connection that broke and the end of its engine belong together within this time. The
-/// list shows an end after three heartbeats, 3.6 s with the longest pause of the platform's
-/// pages; sidecars show it after some 100 ms.
-const PROVED_WITHIN: Duration = Duration::from_secs(5);
-/// An engine whose sidecar still reads it this long after a connection to it broke has not
-/// ended with the connection: a sidecar reads each 100 ms and waits 500 ms for an answer.
-const OUTLIVED_AFTER: Duration = Duration::from_secs(1);
-/// broken runs of one life that are kept, far above what an entry sends to one engine
-const MOST_RUNS: usize = 512;
+/// An interrupted run and the end of its engine are attributed to each other within this
+/// time. The backend list shows an engine's end after three missed heartbeats, up to 3.6 s.
+const CORRELATION_WINDOW: Duration = Duration::from_secs(5);
+/// If an engine responds to its sidecar this long after a run was interrupted, the engine
+/// has survived the interruption. Longer than the sidecar's poll interval of 100 ms plus
+/// its timeout of 500 ms.
+const SURVIVAL_DELAY: Duration = Duration::from_secs(1);
+/// Upper bound on the interrupted runs that are kept per engine incarnation.
+const MAX_RUNS: usize = 512;
 
-/// the end of an engine's life, with the requests that it ran for this entry
+/// End of an engine incarnation, with the requests that it ran for this entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineCrash {
     pub backend: BackendId,
     pub runs: Vec<InterruptedRun>,
 }
 
-/// a run whose connection ended before its answer did
+/// Run whose connection closed before the response was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InterruptedRun {
     pub digest: RequestDigest,
     pub at: Instant,
 }
 
-/// Which runs an engine's end belongs to.
+/// Attributes interrupted runs to crashes of engines.
 ///
-/// A connection that breaks proves nothing: engines reset connections, links are cut, and
-/// answers are spoilt. It takes the word of somebody who sees the engine itself that its life
-/// is over: its sidecar, which is refused on its own machine or reads another life, or the
-/// list. One of the requests that it ran did it, so all of them are suspected alike.
+/// A closed connection alone is no evidence of a crash. The end of an incarnation has to be
+/// confirmed by the engine's sidecar or by the backend list. All requests that the engine
+/// ran are then suspected alike.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    /// runs whose connection broke, by the life that ran them
-    broken: HashMap<BackendId, Vec<InterruptedRun>>,
+    /// Interrupted runs by engine incarnation.
+    interrupted: HashMap<BackendId, Vec<InterruptedRun>>,
+    /// When the end of an incarnation was reported.
     ended: HashMap<BackendId, Instant>,
     crashes: Vec<EngineCrash>,
 }
 
 impl CrashDetector {
-    /// a run's connection ended before its answer did
-    pub fn on_interrupted_run(&mut self, life: &BackendId, digest: RequestDigest, now: Instant) {
+    /// Records a run whose connection closed before the response was complete.
+    pub fn on_interrupted_run(&mut self, backend: &BackendId, digest: RequestDigest, now: Instant) {
         self.expire(now);
-        let runs = self.broken.entry(life.clone()).or_default();
-        if runs.len() < MOST_RUNS {
+        let runs = self.interrupted.entry(backend.clone()).or_default();
+        if runs.len() < MAX_RUNS {
             runs.push(InterruptedRun { digest, at: now });
         }
-        if self.ended.contains_key(life) {
-            self.prove(life);
+        if self.ended.contains_key(backend) {
+            self.confirm(backend);
         }
     }
 
-    /// the life of an engine is over
-    pub fn on_engine_ended(&mut self, life: &BackendId, now: Instant) {
+    /// Records the end of an engine incarnation.
+    pub fn on_engine_ended(&mut self, backend: &BackendId, now: Instant) {
         self.expire(now);
-        self.ended.entry(life.clone()).or_insert(now);
-        self.prove(life);
+        self.ended.entry(backend.clone()).or_insert(now);
+        self.confirm(backend);
     }
 
-    /// the sidecar of an engine has spoken of it
-    pub fn on_engine_stats(&mut self, life: &BackendId, figures: &EngineFigures, now: Instant) {
+    /// Applies what an engine's sidecar reports about the engine.
+    pub fn on_engine_stats(&mut self, backend: &BackendId, figures: &EngineFigures, now: Instant) {
         match figures.is_down {
-            Some(true) => self.on_engine_ended(life, now),
-            Some(false) => self.on_alive(life, said_at(figures, now)),
-            // a sidecar that does not say it may pass on what it read before
+            Some(true) => self.on_engine_ended(backend, now),
+            Some(false) => self.on_alive(backend, said_at(figures, now)),
+            // a sidecar without this field may repeat stats from before the end
             None => {}
         }
     }
 
-    /// an engine was read at this time and lives
-    fn on_alive(&mut self, life: &BackendId, read: Instant) {
-        let Some(runs) = self.broken.get_mut(life) else {
+    /// Drops the runs that an engine has survived; it responded at `read_at`.
+    fn on_alive(&mut self, backend: &BackendId, read_at: Instant) {
+        let Some(runs) = self.interrupted.get_mut(backend) else {
             return;
         };
-        runs.retain(|run| read < run.at + OUTLIVED_AFTER);
+        runs.retain(|run| read_at < run.at + SURVIVAL_DELAY);
         if runs.is_empty() {
-            self.broken.remove(life);
+            self.interrupted.remove(backend);
         }
     }
 
-    /// ends that were proved since the last call
+    /// Returns the crashes confirmed since the last call.
     pub fn take_crashes(&mut self) -> Vec<EngineCrash> {
         std::mem::take(&mut self.crashes)
     }
 
-    fn prove(&mut self, life: &BackendId) {
-        if let Some(runs) = self.broken.remove(life) {
-            let backend = life.clone();
+    fn confirm(&mut self, backend: &BackendId) {
+        if let Some(runs) = self.interrupted.remove(backend) {
+            let backend = backend.clone();
             self.crashes.push(EngineCrash { backend, runs });
         }
     }
 
     fn expire(&mut self, now: Instant) {
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < PROVED_WITHIN;
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < CORRELATION_WINDOW;
         self.ended.retain(|_, at| is_recent(at));
-        for runs in self.broken.values_mut() {
+        for runs in self.interrupted.values_mut() {
             runs.retain(|run| is_recent(&run.at));
         }
-        self.broken.retain(|_, runs| !runs.is_empty());
+        self.interrupted.retain(|_, runs| !runs.is_empty());
     }
 }
--- a/coordination/src/crashes/crash_registry.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -7,250 +7,267 @@
     },
 };
 
-/// A request under which so many engines have ended, without an end of its own in between,
-/// is sent to none any more. One end proves nothing of a single request, as all that ran
-/// there are suspected; that an innocent one stood beside the cause three times in a row and
-/// was never served is what a retry or two of its client can't bring about. The users' rule
-/// counts from the third end on.
+/// A request is blocked after this many engines have crashed while running it, without a
+/// completed run in between. One crash doesn't tell which of the concurrent requests was
+/// the cause.
 pub const BLOCKED_AFTER_CRASHES: usize = 3;
-/// Requests that are remembered at most: 16 ends of engines with 256 requests each. About
-/// 0.9 MB when full.
+/// Upper bound on the number of tracked requests; about 0.9 MB when full.
 pub const MAX_TRACKED_REQUESTS: usize = 4_096;
-/// part of the requests that is forgotten when there are too many
-const FORGOTTEN_PART: usize = 4;
-/// A request that nobody has tried for so long may be sent again: engines are mended
-/// meanwhile, and it costs three of them at most to learn that they were not.
-const REMEMBERED: Duration = Duration::from_secs(600);
-/// ends of engines that are kept of one request
-const MOST_ENDS: usize = BLOCKED_AFTER_CRASHES + 1;
-/// words of one message at most: 72 kB
-const MOST_WORDS: usize = 1_000;
+/// One in this many requests is evicted when the registry is full.
+const EVICTION_DIVISOR: usize = 4;
+/// A request that hasn't been tried for this long may run again, since the engines may have
+/// been fixed meanwhile.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Upper bound on the crashes that are kept per request.
+const MAX_CRASHES: usize = BLOCKED_AFTER_CRASHES + 1;
+/// Upper bound on the reports in one message, about 72 kB.
+const MAX_REPORTS_PER_MESSAGE: usize = 1_000;
 
-/// what is believed of a request
+/// Assessment of a request by the crashes attributed to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestVerdict {
-    /// no engine has ended under it since it was served last
+    /// No engine has crashed while running it since its last completed run.
     Clear,
-    /// some have, and any of those that ran beside it may have been the cause
+    /// Engines have crashed while running it, but fewer than block it.
     Suspected { ended: usize },
-    /// it ends the engines that run it
+    /// It crashes the engines that run it and must be rejected.
     Blocked {
         ended: usize,
-        /// age of the newest end
+        /// Time since the last crash.
         age: Duration,
     },
 }
 
-/// Requests that ran where engines ended.
+/// Records requests that were running when an engine crashed.
 ///
-/// Each word in it says what happened and stays true, so books are merged in any order and
-/// any number of times: entries tell each other all they know by way of keepers.
+/// Each record states an event that has happened. Registries can therefore be merged in any
+/// order and any number of times; entries exchange their records through aggregators.
 #[derive(Debug, Default)]
 pub struct CrashRegistry {
-    rows: HashMap<RequestDigest, Row>,
+    requests: HashMap<RequestDigest, RequestRecord>,
     revision: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Row {
-    /// the newest since it was served last, in order
-    ends: Vec<End>,
-    served: Option<Noted>,
-    /// when it was tried or heard of last
-    touched: Instant,
+struct RequestRecord {
+    /// The newest crashes since the last completed run, ordered by time.
+    crashes: Vec<Crash>,
+    completed: Option<Stamp>,
+    /// When the request was last tried or reported.
+    last_used: Instant,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct End {
-    life: u64,
-    noted: Noted,
+struct Crash {
+    /// Hash of the engine's incarnation.
+    incarnation: u64,
+    stamp: Stamp,
 }
 
-/// when something happened, and the book's revision with it
+/// Time of an event and the registry's revision that added it.
 #[derive(Debug, Clone, Copy)]
-struct Noted {
+struct Stamp {
     at: Instant,
     revision: u64,
 }
 
 impl CrashRegistry {
-    /// rises with each word that is new to the book
+    /// Returns the revision, which increases with each new event.
     pub fn revision(&self) -> u64 {
         self.revision
     }
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.requests.len()
     }
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.requests.is_empty()
     }
 
-    /// what is believed of a request that comes in now
+    /// Assesses a request that arrives now.
     pub fn verdict(&mut self, digest: &RequestDigest, now: Instant) -> RequestVerdict {
-        let Some(row) = self.rows.get_mut(digest) else {
+        let Some(record) = self.requests.get_mut(digest) else {
             return RequestVerdict::Clear;
         };
-        if row.is_forgotten(now) {
-            self.rows.remove(digest);
+        if record.is_expired(now) {
+            self.requests.remove(digest);
             return RequestVerdict::Clear;
         }
-        row.touched = now;
-        row.standing(now)
+        record.last_used = now;
+        record.verdict(now)
     }
 
-    /// an engine's life ended under a request at this time; says whether that is news
+    /// Records that an engine crashed while running a request. Returns whether this is new.
     pub fn on_engine_ended(
         &mut self,
         digest: RequestDigest,
-        life: u64,
+        incarnation: u64,
         at: Instant,
         now: Instant,
     ) -> bool {
-        self.note(digest, CrashEvent::Ended { life }, at, now)
+        let event = CrashEvent::Ended { life: incarnation };
+        self.record(digest, event, at, now)
     }
 
-    /// A request was run to its end; says whether that is news. It is not where no engine
-    /// ended under it, so that a book stays empty while engines live.
+    /// Records that a request ran to completion. Returns whether this is new. Requests
+    /// without a crash are not recorded, so that the registry stays empty while no engine
+    /// crashes.
     pub fn on_completed(&mut self, digest: RequestDigest, now: Instant) -> bool {
-        let row = self.rows.get(&digest);
-        let is_suspected = row.is_some_and(|row| !row.ends.is_empty());
-        is_suspected && self.note(digest, CrashEvent::Served, now, now)
+        let record = self.requests.get(&digest);
+        let is_suspected = record.is_some_and(|record| !record.crashes.is_empty());
+        is_suspected && self.record(digest, CrashEvent::Served, now, now)
     }
 
-    /// take in what another process knows; says whether any of it is news
-    pub fn merge(&mut self, words: &[CrashWord], now: Instant) -> bool {
-        let known = self.revision;
-        for word in words {
-            let age = Duration::from_millis(word.age_ms);
+    /// Adds the reports of another process. Returns whether any of them is new.
+    pub fn merge(&mut self, reports: &[CrashWord], now: Instant) -> bool {
+        let previous = self.revision;
+        for report in reports {
+            let age = Duration::from_millis(report.age_ms);
             let at = now.checked_sub(age).unwrap_or(now);
-            self.note(word.digest, word.event, at, now);
+            self.record(report.digest, report.event, at, now);
         }
-        self.revision != known
+        self.revision != previous
     }
 
-    /// what is known beyond a revision, the oldest first, and the revision up to which it
-    /// is told with these words
+    /// Returns the events after a revision, oldest first and at most one message full, and
+    /// the revision up to which they are complete.
     pub fn reports_since(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
         if revision >= self.revision {
             return (Vec::new(), self.revision);
         }
-        let mut words: Vec<(u64, CrashWord)> = Vec::new();
-        for (digest, row) in &self.rows {
-            let newer = row.events().filter(|(_, noted)| noted.revision > revision);
-            words.extend(newer.map(|(event, noted)| {
-                let age = now.saturating_duration_since(noted.at);
-                let word = CrashWord {
+        let mut reports: Vec<(u64, CrashWord)> = Vec::new();
+        for (digest, record) in &self.requests {
+            let newer = record
+                .events()
+                .filter(|(_, stamp)| stamp.revision > revision);
+            reports.extend(newer.map(|(event, stamp)| {
+                let age = now.saturating_duration_since(stamp.at);
+                let report = CrashWord {
                     digest: *digest,
                     event,
                     age_ms: age.as_millis() as u64,
                 };
-                (noted.revision, word)
+                (stamp.revision, report)
             }));
         }
-        words.sort_unstable_by_key(|(revision, _)| *revision);
-        let told_up_to = match words.get(MOST_WORDS) {
-            Some(_) => words[MOST_WORDS - 1].0,
+        reports.sort_unstable_by_key(|(revision, _)| *revision);
+        let complete_up_to = match reports.get(MAX_REPORTS_PER_MESSAGE) {
+            Some(_) => reports[MAX_REPORTS_PER_MESSAGE - 1].0,
             None => self.revision,
         };
-        words.truncate(MOST_WORDS);
+        reports.truncate(MAX_REPORTS_PER_MESSAGE);
         (
-            words.into_iter().map(|(_, word)| word).collect(),
-            told_up_to,
+            reports.into_iter().map(|(_, report)| report).collect(),
+            complete_up_to,
         )
     }
 
-    fn note(
+    fn record(
         &mut self,
         digest: RequestDigest,
         event: CrashEvent,
         at: Instant,
         now: Instant,
     ) -> bool {
-        if now.saturating_duration_since(at) >= REMEMBERED {
+        if now.saturating_duration_since(at) >= RETENTION {
             return false;
         }
-        let noted = Noted {
+        let stamp = Stamp {
             at,
             revision: self.revision + 1,
         };
-        let row = self.row(digest, now);
-        let is_news = match event {
-            CrashEvent::Ended { life } => row.add_end(End { life, noted }),
-            CrashEvent::Served => row.on_completed(noted),
+        let record = self.record_mut(digest, now);
+        let is_new = match event {
+            CrashEvent::Ended { life } => record.add_crash(Crash {
+                incarnation: life,
+                stamp,
+            }),
+            CrashEvent::Served => record.on_completed(stamp),
         };
-        if is_news {
+        if is_new {
             self.revision += 1;
         }
-        is_news
+        is_new
     }
 
-    fn row(&mut self, digest: RequestDigest, now: Instant) -> &mut Row {
-        if self.rows.len() >= MAX_TRACKED_REQUESTS && !self.rows.contains_key(&digest) {
-            self.forget_some(now);
+    fn record_mut(&mut self, digest: RequestDigest, now: Instant) -> &mut RequestRecord {
+        if self.requests.len() >= MAX_TRACKED_REQUESTS && !self.requests.contains_key(&digest) {
+            self.evict(now);
         }
-        let row = self.rows.entry(digest).or_insert_with(|| Row::new(now));
-        row.touched = now;
-        row
+        let record = self.requests.entry(digest);
+        let record = record.or_insert_with(|| RequestRecord::new(now));
+        record.last_used = now;
+        record
     }
 
-    /// A caller that sends nothing but requests which end engines must not push out what is
-    /// known of others: those with the fewest ends go first, of these the oldest.
-    fn forget_some(&mut self, now: Instant) {
-        self.rows.retain(|_, row| !row.is_forgotten(now));
+    /// Evicts the requests with the fewest crashes, and among these the least recently used,
+    /// so that a flood of new crashing requests doesn't displace those already blocked.
+    fn evict(&mut self, now: Instant) {
+        self.requests.retain(|_, record| !record.is_expired(now));
         let mut ranked: Vec<(usize, Instant, RequestDigest)> = self
-            .rows
+            .requests
             .iter()
-            .map(|(digest, row)| (row.ends.len(), row.touched, *digest))
+            .map(|(digest, record)| (record.crashes.len(), record.last_used, *digest))
             .collect();
         ranked.sort_unstable();
-        let excess = (ranked.len() + MAX_TRACKED_REQUESTS / FORGOTTEN_PART)
+        let excess = (ranked.len() + MAX_TRACKED_REQUESTS / EVICTION_DIVISOR)
             .saturating_sub(MAX_TRACKED_REQUESTS);
         for (_, _, digest) in ranked.into_iter().take(excess) {
-            self.rows.remove(&digest);
+            self.requests.remove(&digest);
         }
     }
 }
 
-impl Row {
+impl RequestRecord {
     fn new(now: Instant) -> Self {
         Self {
-            ends: Vec::new(),
-            served: None,
-            touched: now,
+            crashes: Vec::new(),
+            completed: None,
+            last_used: now,
         }
     }
 
-    /// a life counts once, and not if the request was served after it
-    fn add_end(&mut self, end: End) -> bool {
-        let is_known = self.ends.iter().any(|known| known.life == end.life);
-        let is_excused = self.served.is_some_and(|served| end.noted.at <= served.at);
-        if is_known || is_excused {
+    /// Adds a crash, unless it is already known or precedes a completed run. Returns whether
+    /// it was added.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        let is_known = self
+            .crashes
+            .iter()
+            .any(|known| known.incarnation == crash.incarnation);
+        let is_cleared = self
+            .completed
+            .is_some_and(|completed| crash.stamp.at <= completed.at);
+        if is_known || is_cleared {
             return false;
         }
-        // the newest are kept: a run to its end may excuse all others
-        let place = self.ends.partition_point(|e| e.noted.at <= end.noted.at);
-        let is_older = place == 0 && self.ends.len() >= MOST_ENDS;
-        if !is_older {
-            self.ends.insert(place, end);
-            let excess = self.ends.len().saturating_sub(MOST_ENDS);
-            self.ends.drain(..excess);
+        // keep the newest, since a completed run clears all crashes before it
+        let index = self
+            .crashes
+            .partition_point(|c| c.stamp.at <= crash.stamp.at);
+        let is_too_old = index == 0 && self.crashes.len() >= MAX_CRASHES;
+        if !is_too_old {
+            self.crashes.insert(index, crash);
+            let excess = self.crashes.len().saturating_sub(MAX_CRASHES);
+            self.crashes.drain(..excess);
         }
-        !is_older
+        !is_too_old
     }
 
-    /// nothing that happens after is excused by it
-    fn on_completed(&mut self, noted: Noted) -> bool {
-        if self.served.is_some_and(|served| noted.at <= served.at) {
+    /// Clears the crashes up to a completed run. Returns whether the run is the newest.
+    fn on_completed(&mut self, stamp: Stamp) -> bool {
+        if self
+            .completed
+            .is_some_and(|completed| stamp.at <= completed.at)
+        {
             return false;
         }
-        self.served = Some(noted);
-        self.ends.retain(|end| end.noted.at > noted.at);
+        self.completed = Some(stamp);
+        self.crashes.retain(|crash| crash.stamp.at > stamp.at);
         true
     }
 
-    fn standing(&self, now: Instant) -> RequestVerdict {
-        let ended = self.ends.len();
-        match self.ends.last().map(|end| end.noted.at) {
+    fn verdict(&self, now: Instant) -> RequestVerdict {
+        let ended = self.crashes.len();
+        match self.crashes.last().map(|crash| crash.stamp.at) {
             None => RequestVerdict::Clear,
             Some(at) if ended >= BLOCKED_AFTER_CRASHES => RequestVerdict::Blocked {
                 ended,
@@ -260,13 +277,17 @@
         }
     }
 
-    fn events(&self) -> impl Iterator<Item = (CrashEvent, Noted)> + '_ {
-        let ends = self.ends.iter();
-        let ends = ends.map(|end| (CrashEvent::Ended { life: end.life }, end.noted));
-        ends.chain(self.served.map(|noted| (CrashEvent::Served, noted)))
+    fn events(&self) -> impl Iterator<Item = (CrashEvent, Stamp)> + '_ {
+        let crashes = self.crashes.iter().map(|crash| {
+            let event = CrashEvent::Ended {
+                life: crash.incarnation,
+            };
+            (event, crash.stamp)
+        });
+        crashes.chain(self.completed.map(|stamp| (CrashEvent::Served, stamp)))
     }
 
-    fn is_forgotten(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.touched) >= REMEMBERED
+    fn is_expired(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_used) >= RETENTION
     }
 }
--- a/coordination/src/crashes/mod.rs
+++ b/coordination/src/crashes/mod.rs
@@ -1,5 +1,5 @@
-//! requests that end the engines that run them: what proves it, who knows it, and which
-//! requests are sent to none any more
+//! Requests that crash the engines that run them: detection, shared records and the
+//! decision to reject such a request.
 
 mod crash_detector;
 mod crash_registry;
