--- a/coordination/src/crashes/crash_registry.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -29,10 +29,10 @@
     /// No engine has crashed while running it since its last completed run.
     Clear,
     /// Engines have crashed while running it, but fewer than block it.
-    Suspected { ended: usize },
+    Suspected { crashes: usize },
     /// It crashes the engines that run it and must be rejected.
     Blocked {
-        ended: usize,
+        crashes: usize,
         /// Time since the last crash.
         age: Duration,
     },
@@ -266,14 +266,14 @@
     }
 
     fn verdict(&self, now: Instant) -> RequestVerdict {
-        let ended = self.crashes.len();
+        let crashes = self.crashes.len();
         match self.crashes.last().map(|crash| crash.stamp.at) {
             None => RequestVerdict::Clear,
-            Some(at) if ended >= BLOCKED_AFTER_CRASHES => RequestVerdict::Blocked {
-                ended,
+            Some(at) if crashes >= BLOCKED_AFTER_CRASHES => RequestVerdict::Blocked {
+                crashes,
                 age: now.saturating_duration_since(at),
             },
-            Some(_) => RequestVerdict::Suspected { ended },
+            Some(_) => RequestVerdict::Suspected { crashes },
         }
     }
 
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -202,7 +202,7 @@
     }
     assert!(matches!(
         judge(&mut book, "cause"),
-        RequestVerdict::Blocked { ended: 3, .. }
+        RequestVerdict::Blocked { crashes: 3, .. }
     ));
     assert_eq!(judge(&mut book, "beside"), RequestVerdict::Clear);
     assert_eq!(judge(&mut book, "never seen"), RequestVerdict::Clear);
@@ -304,7 +304,7 @@
         let standing = book.verdict(&digest(&body.to_string()), now);
         match lives.len() {
             0 => standing == RequestVerdict::Clear,
-            n if n < BLOCKED_AFTER_CRASHES => standing == RequestVerdict::Suspected { ended: n },
+            n if n < BLOCKED_AFTER_CRASHES => standing == RequestVerdict::Suspected { crashes: n },
             _ => matches!(standing, RequestVerdict::Blocked { .. }),
         }
     })
@@ -362,6 +362,6 @@
     assert_eq!(parts, 3);
     for body in &bodies {
         let standing = other.verdict(&digest(body), now);
-        assert_eq!(standing, RequestVerdict::Suspected { ended: 1 });
+        assert_eq!(standing, RequestVerdict::Suspected { crashes: 1 });
     }
 }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -212,7 +212,7 @@
     /// again loses time only, so it is not told to come back. This try has not run, unless
     /// an earlier send of it broke off.
     fn refusal_of_crashing(&mut self) -> Option<ClientResponse> {
-        let RequestVerdict::Blocked { ended, age } = self.standing() else {
+        let RequestVerdict::Blocked { crashes, age } = self.standing() else {
             return None;
         };
         log::warn!(
@@ -220,7 +220,7 @@
             digest = self.accepted.digest.to_string().as_str(),
             route = self.accepted.route.name.as_str(),
             account = self.account_name(),
-            ended = ended,
+            ended = crashes,
             age_ms = age.as_millis() as u64,
             sends = self.ask.sends,
             waited_ms = elapsed_ms(self.accepted.arrived);
