--- a/coordination/src/membership/aggregator_selector.rs
+++ b/coordination/src/membership/aggregator_selector.rs
@@ -8,26 +8,26 @@
     },
 };
 
-/// calls in a row that a keeper may fail before another is used
-const MOST_FAILED: u32 = 2;
-/// a keeper that failed is left alone for this long
-const REST: Duration = Duration::from_secs(3);
-/// One whose build does not know the matter is left alone for longer each time: it will know
-/// it once it is replaced, and entries should take it into use again soon after that.
-const LONGEST_REST: Duration = Duration::from_secs(15);
+/// Number of consecutive failed calls after which another aggregator is used.
+const MAX_FAILURES: u32 = 2;
+/// Time for which an aggregator is skipped after it has failed.
+const BACKOFF: Duration = Duration::from_secs(3);
+/// Upper bound on the back-off of an aggregator whose build doesn't support the state. The
+/// back-off doubles until then; the bound limits the time until an upgraded sidecar is used.
+const MAX_BACKOFF: Duration = Duration::from_secs(15);
 
-/// what sidecars keep for the entries of the whole fleet
+/// State that sidecars aggregate for all entries of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AggregatedState {
-    /// what client accounts have used of their limits
+    /// Usage of client accounts.
     Limits,
-    /// requests that engines ended under
+    /// Requests that were running when engines crashed.
     Crashes,
 }
 
 impl AggregatedState {
-    /// under this name entries rank the sidecars
-    fn name(self) -> &'static str {
+    /// Returns the rendezvous key by which entries rank the sidecars.
+    fn key(self) -> &'static str {
         match self {
             Self::Limits => "limits",
             Self::Crashes => "crashes",
@@ -35,75 +35,79 @@
     }
 }
 
-/// Chooses the sidecars that keep a matter of the whole fleet. All entries rank the listed
-/// engines alike; while their lists differ there are more keepers than one.
+/// Selects the sidecars that aggregate state for the whole fleet.
+///
+/// All entries rank the listed engines in the same order, so they select the same
+/// aggregators unless their lists differ.
 #[derive(Debug)]
 pub struct AggregatorSelector {
-    matter: AggregatedState,
-    /// calls that failed in a row, and when the last did
-    failed: HashMap<SocketAddr, (u32, Instant)>,
-    /// keepers of builds that do not know the matter: how long they are left alone, and
-    /// since when
-    unknowing: HashMap<SocketAddr, (Duration, Instant)>,
+    state: AggregatedState,
+    /// Number of consecutive failed calls, and the time of the last.
+    failures: HashMap<SocketAddr, (u32, Instant)>,
+    /// Aggregators whose build doesn't support the state: their back-off and its start.
+    unsupported: HashMap<SocketAddr, (Duration, Instant)>,
 }
 
 impl AggregatorSelector {
-    pub fn new(matter: AggregatedState) -> Self {
+    pub fn new(state: AggregatedState) -> Self {
         Self {
-            matter,
-            failed: HashMap::new(),
-            unknowing: HashMap::new(),
+            state,
+            failures: HashMap::new(),
+            unsupported: HashMap::new(),
         }
     }
 
-    pub fn on_failure(&mut self, keeper: SocketAddr, now: Instant) {
-        let (failed, at) = self.failed.entry(keeper).or_insert((0, now));
-        *failed += 1;
+    /// Records a failed call.
+    pub fn on_failure(&mut self, aggregator: SocketAddr, now: Instant) {
+        let (failures, at) = self.failures.entry(aggregator).or_insert((0, now));
+        *failures += 1;
         *at = now;
     }
-    /// a keeper that had long enough to answer is left at once
-    pub fn on_timeout(&mut self, keeper: SocketAddr, now: Instant) {
-        self.failed.insert(keeper, (MOST_FAILED, now));
+    /// Records a call that timed out; the aggregator is skipped at once.
+    pub fn on_timeout(&mut self, aggregator: SocketAddr, now: Instant) {
+        self.failures.insert(aggregator, (MAX_FAILURES, now));
     }
-    /// its build does not know the matter
-    pub fn on_unsupported(&mut self, keeper: SocketAddr, now: Instant) {
-        let known = self.unknowing.get(&keeper);
-        let rest = known.map_or(REST, |(rest, _)| (*rest * 2).min(LONGEST_REST));
-        self.unknowing.insert(keeper, (rest, now));
+    /// Records that the aggregator's build doesn't support the state.
+    pub fn on_unsupported(&mut self, aggregator: SocketAddr, now: Instant) {
+        let known = self.unsupported.get(&aggregator);
+        let backoff = known.map_or(BACKOFF, |(backoff, _)| (*backoff * 2).min(MAX_BACKOFF));
+        self.unsupported.insert(aggregator, (backoff, now));
     }
-    pub fn on_response(&mut self, keeper: SocketAddr) {
-        self.failed.remove(&keeper);
-        self.unknowing.remove(&keeper);
+    /// Records a successful call.
+    pub fn on_response(&mut self, aggregator: SocketAddr) {
+        self.failures.remove(&aggregator);
+        self.unsupported.remove(&aggregator);
     }
 
-    /// the engine whose sidecar is to be used, none if there is none
+    /// Returns the engine whose sidecar is the preferred aggregator.
     pub fn select(&mut self, engines: &[SocketAddr], now: Instant) -> Option<SocketAddr> {
         self.select_ranked(0, engines, now)
     }
 
-    /// the same for the next ranks, where a matter has several keepers
+    /// Returns the engine at a rank, for state with several aggregators. Rank 0 is preferred.
     pub fn select_ranked(
         &mut self,
         rank: usize,
         engines: &[SocketAddr],
         now: Instant,
     ) -> Option<SocketAddr> {
-        self.failed
-            .retain(|_, (_, at)| now.saturating_duration_since(*at) < REST);
-        let purpose = stable_hash(self.matter.name());
+        self.failures
+            .retain(|_, (_, at)| now.saturating_duration_since(*at) < BACKOFF);
+        let key = stable_hash(self.state.key());
         let weight = |engine: &SocketAddr| {
-            let weight = rendezvous_weight(purpose, stable_hash(&engine.to_string()));
+            let weight = rendezvous_weight(key, stable_hash(&engine.to_string()));
             Reverse((weight, *engine))
         };
-        let rests = |engine: &SocketAddr| {
-            let failed = self.failed.get(engine);
-            let has_failed = failed.is_some_and(|(failed, _)| *failed >= MOST_FAILED);
-            let unknowing = self.unknowing.get(engine);
+        let is_skipped = |engine: &SocketAddr| {
+            let failures = self.failures.get(engine);
+            let has_failed = failures.is_some_and(|(failures, _)| *failures >= MAX_FAILURES);
+            let unsupported = self.unsupported.get(engine);
             has_failed
-                || unknowing.is_some_and(|(rest, at)| now.saturating_duration_since(*at) < *rest)
+                || unsupported
+                    .is_some_and(|(backoff, at)| now.saturating_duration_since(*at) < *backoff)
         };
-        let sound = engines.iter().filter(|engine| !rests(engine));
-        let mut ranked: Vec<SocketAddr> = sound.copied().collect();
+        let available = engines.iter().filter(|engine| !is_skipped(engine));
+        let mut ranked: Vec<SocketAddr> = available.copied().collect();
         ranked.sort_by_cached_key(weight);
         ranked.get(rank).copied()
     }
--- a/coordination/src/membership/mod.rs
+++ b/coordination/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! which process plays which part, from the live list alone
+//! Assignment of roles to processes, derived from the list of live instances alone.
 
 mod aggregator_selector;
 mod rendezvous;
--- a/coordination/src/membership/rendezvous.rs
+++ b/coordination/src/membership/rendezvous.rs
@@ -1,6 +1,6 @@
 use sha2::{Digest, Sha256};
 
-/// hash of a name that every process computes alike
+/// Returns a hash of a name that is the same in every process and build.
 pub fn stable_hash(name: &str) -> u64 {
     let digest = Sha256::digest(name.as_bytes());
     let mut head = [0u8; 8];
@@ -8,8 +8,8 @@
     u64::from_be_bytes(head)
 }
 
-/// weight of a member for a key, from their hashes; the highest wins.
-/// The mixing steps are those of SplitMix64.
+/// Returns the rendezvous weight of a member for a key, given the hashes of both. The member
+/// with the highest weight is preferred. Mixes the bits like SplitMix64.
 pub fn rendezvous_weight(key: u64, member: u64) -> u64 {
     let mut z = key ^ member.rotate_left(32);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,7 +17,7 @@
     z ^ (z >> 31)
 }
 
-/// members in falling order of their weight for a key
+/// Returns the members by descending rendezvous weight for a key.
 pub fn rank_by_rendezvous<'m, T>(
     key: &str,
     members: impl IntoIterator<Item = &'m T>,
--- a/coordination/src/membership/roles.rs
+++ b/coordination/src/membership/roles.rs
@@ -3,12 +3,13 @@
     chalkcart_state::fleet::{FleetBox, FleetList},
 };
 
-/// entry boxes of a zone that read the platform for the others
+/// Number of entry boxes per zone that watch the platform for the others.
 pub const WATCHERS_PER_ZONE: usize = 2;
 
-const PERMIT_GIVER_KEY: &str = "permit-giver";
+/// Rendezvous key; all processes have to use the same.
+const PERMIT_ISSUER_KEY: &str = "permit-giver";
 
-/// the entry boxes that read the platform for their zone
+/// Returns the entry boxes that watch the platform for their zone.
 pub fn select_watchers<'l>(list: &'l FleetList, zone: &str) -> Vec<&'l FleetBox> {
     let key = format!("watcher/{zone}");
     let entries: Vec<&FleetBox> = list.live_entries().filter(|b| b.zone == zone).collect();
@@ -16,9 +17,9 @@
     ranked.into_iter().take(WATCHERS_PER_ZONE).collect()
 }
 
-/// the entry box that gives load permits
+/// Returns the entry box that issues load permits.
 pub fn select_permit_issuer(list: &FleetList) -> Option<&FleetBox> {
     let entries: Vec<&FleetBox> = list.live_entries().collect();
-    let ranked = rank_by_rendezvous(PERMIT_GIVER_KEY, entries.iter().copied(), |b| &b.name);
+    let ranked = rank_by_rendezvous(PERMIT_ISSUER_KEY, entries.iter().copied(), |b| &b.name);
     ranked.first().copied()
 }
