--- a/coordination/src/fence/engine_status.rs
+++ b/coordination/src/fence/engine_status.rs
@@ -3,21 +3,21 @@
     chalkcart_state::ids::{BaseModelName, Fence, Incarnation, RequestId},
 };
 
-/// what an engine says of itself
+/// Status as reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineStatus {
     pub incarnation: Incarnation,
     pub fence: Fence,
     pub base_model: BaseModelName,
-    /// adapters that fit at once
+    /// Number of adapters that fit in memory.
     pub slots: usize,
-    /// requests that one batch takes
+    /// Maximum number of requests in one batch.
     pub max_batch: u32,
     pub loaded: Vec<AdapterKey>,
     pub running: Vec<RunningRequest>,
 }
 
-/// a request that an engine runs, whoever ordered it
+/// A request that an engine is running, regardless of which process sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningRequest {
     pub request: RequestId,
--- a/coordination/src/fence/fence_controller.rs
+++ b/coordination/src/fence/fence_controller.rs
@@ -3,62 +3,62 @@
     chalkcart_state::ids::{Fence, Incarnation},
 };
 
-/// whether this process drives its engine
+/// Whether this process controls its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceState {
-    /// the engine must be read before any order
+    /// The engine's status has to be read before any order is sent.
     Unknown,
-    /// orders carry this pair
+    /// Orders carry this incarnation and fence.
     Held {
         incarnation: Incarnation,
         fence: Fence,
     },
-    /// a newer process drives the engine; this one never will again
+    /// A newer process controls the engine. This state is final.
     Superseded,
 }
 
-/// what to do after reading an engine
+/// What to do after reading an engine's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceAction {
-    /// ask the engine to take this pair
+    /// Request the engine to accept this fence.
     Take {
         incarnation: Incarnation,
         fence: Fence,
     },
-    /// nothing changed
+    /// Keep the current fence.
     Keep,
-    /// stop for good
+    /// Stop controlling the engine permanently.
     Stop,
 }
 
-/// distance between two fences of one process; the rest of the division by it
-/// is the process's own, so that two processes never choose the same fence
-const STEP: Fence = 1 << 20;
+/// Distance between two fences of one process. The remainder modulo this is the process's
+/// tag, so that two processes never choose the same fence.
+const FENCE_STEP: Fence = 1 << 20;
 
-/// holds this process's fence.
+/// Chooses and tracks this process's fence.
 ///
-/// The fence is chosen once for the life of the process: at the first read,
-/// one above the engine's. So when two processes meet at an engine that
-/// restarted, the later one wins in whatever order they come.
+/// The fence is chosen once, above the engine's fence in the first status that is read. If
+/// two processes compete for a restarted engine, the later process wins in any order of
+/// events.
 #[derive(Debug)]
 pub struct FenceController {
     state: FenceState,
-    /// lower bound of the own fence: the start time, so that a later process
-    /// is higher even if the engine forgot
+    /// Lower bound of the fence: the start time in ms, so that a later process has a higher
+    /// fence even after the engine has restarted.
     epoch: Fence,
-    /// the low bits of each fence of this process
+    /// Low bits of each fence of this process.
     tag: Fence,
-    own: Option<Fence>,
+    fence: Option<Fence>,
 }
 
 impl FenceController {
-    /// `epoch` is the start time in ms, `tag` a random number
+    /// Creates a controller from the start time in ms and a random tag.
     pub fn new(epoch: Fence, tag: Fence) -> Self {
         Self {
             state: FenceState::Unknown,
             epoch,
-            tag: tag % STEP,
-            own: None,
+            tag: tag % FENCE_STEP,
+            fence: None,
         }
     }
     pub fn state(&self) -> FenceState {
@@ -68,49 +68,48 @@
         self.state == FenceState::Superseded
     }
 
-    /// decide on what the engine said
+    /// Decides what to do about the engine's fence, given its status.
     pub fn on_status(&mut self, status: &EngineStatus) -> FenceAction {
         if self.is_superseded() {
             return FenceAction::Stop;
         }
-        let own = *self
-            .own
-            .get_or_insert_with(|| self.epoch.max(status.fence / STEP + 1) * STEP + self.tag);
-        if status.fence > own {
+        let fence = *self.fence.get_or_insert_with(|| {
+            self.epoch.max(status.fence / FENCE_STEP + 1) * FENCE_STEP + self.tag
+        });
+        if status.fence > fence {
             self.state = FenceState::Superseded;
             return FenceAction::Stop;
         }
         let held = FenceState::Held {
             incarnation: status.incarnation,
-            fence: own,
+            fence,
         };
-        if self.state == held && status.fence == own {
+        if self.state == held && status.fence == fence {
             return FenceAction::Keep;
         }
         FenceAction::Take {
             incarnation: status.incarnation,
-            fence: own,
+            fence,
         }
     }
 
-    /// the engine took the pair
+    /// Records that the engine accepted the fence.
     pub fn on_accepted(&mut self, incarnation: Incarnation, fence: Fence) {
         if !self.is_superseded() {
             self.state = FenceState::Held { incarnation, fence };
         }
     }
 
-    /// something is not known any more: read again, and leave whatever order
-    /// is still on its way behind a higher fence. A later process stays above,
-    /// since it starts with the clock and an earlier one raises by one step
-    /// for each doubt
+    /// Discards what is known of the engine and raises the fence, so that orders still in
+    /// flight are rejected. A later process keeps a higher fence, since fences start at the
+    /// clock in ms and rise by only one step per call.
     pub fn invalidate(&mut self) {
         if self.is_superseded() || self.state == FenceState::Unknown {
             return;
         }
         self.state = FenceState::Unknown;
-        if let Some(own) = &mut self.own {
-            *own += STEP;
+        if let Some(fence) = &mut self.fence {
+            *fence += FENCE_STEP;
         }
     }
 }
--- a/coordination/src/fence/mod.rs
+++ b/coordination/src/fence/mod.rs
@@ -1,4 +1,5 @@
-//! who may give orders to an engine, and what a pause makes doubtful
+//! Fencing of engines: which sidecar process may control an engine, and when it has to
+//! acquire a new fence.
 
 mod engine_status;
 mod fence_controller;
--- a/coordination/src/fence/pause_detector.rs
+++ b/coordination/src/fence/pause_detector.rs
@@ -1,21 +1,24 @@
 use std::time::{Duration, Instant};
 
-/// notices that this process did not run for longer than its lease
+/// Detects that this process was suspended for longer than its lease.
 #[derive(Debug)]
 pub struct PauseDetector {
     lease: Duration,
-    last: Instant,
+    last_call: Instant,
 }
 
 impl PauseDetector {
     pub fn new(lease: Duration, now: Instant) -> Self {
-        Self { lease, last: now }
+        Self {
+            lease,
+            last_call: now,
+        }
     }
-    /// called for each event and each tick; true if what was believed before
-    /// must be read again
+    /// Returns whether the process was suspended since the last call, so that earlier state
+    /// is no longer reliable. Has to be called on each event and tick.
     pub fn is_after_pause(&mut self, now: Instant) -> bool {
-        let gap = now.saturating_duration_since(self.last);
-        self.last = now;
+        let gap = now.saturating_duration_since(self.last_call);
+        self.last_call = now;
         gap > self.lease
     }
 }
