--- a/coordination/src/run_once/errors.rs
+++ b/coordination/src/run_once/errors.rs
@@ -4,7 +4,7 @@
     thiserror::Error,
 };
 
-/// why an id was not given or not admitted
+/// Error of reserving or admitting an id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RunOnceError {
     #[error("no room for {wanted} more ids")]
@@ -22,7 +22,7 @@
 }
 
 impl RunOnceError {
-    /// what may be said of the request
+    /// Returns whether the request may have run.
     pub fn outcome(&self) -> Outcome {
         match self {
             // a process of an earlier incarnation may have run it
--- a/coordination/src/run_once/mod.rs
+++ b/coordination/src/run_once/mod.rs
@@ -1,4 +1,4 @@
-//! at-most-once runs of requests with a reserved id
+//! At-most-once execution of requests with a reserved id.
 
 mod errors;
 mod table;
--- a/coordination/src/run_once/table.rs
+++ b/coordination/src/run_once/table.rs
@@ -8,17 +8,17 @@
     },
 };
 
-/// how long a caller is told to wait when the table is full
+/// Retry delay that callers receive while the table is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// bounds of the table
+/// Settings of a run-once table.
 #[derive(Debug, Clone)]
 pub struct RunOnceSettings {
     pub target: BoxName,
     pub incarnation: Incarnation,
-    /// ids remembered at most
+    /// Maximum number of tracked ids.
     pub capacity: usize,
-    /// how long an id may wait for its first use
+    /// Time within which an id has to be used for the first time.
     pub valid_for: Duration,
 }
 
@@ -33,29 +33,29 @@
     }
 }
 
-/// where the request of an id stands
+/// State of the request with a reserved id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunPhase {
-    /// given, not used
+    /// Issued but not used yet.
     Reserved,
-    /// admitted, not started
+    /// Admitted but not started.
     Queued,
-    /// handed to the engine or service; may have run from now on
+    /// Sent to the engine or service; it may have run.
     Started,
-    /// ran to its end
+    /// Ran to completion.
     Completed,
-    /// started, and its end is not known
+    /// Started, with an unknown outcome.
     OutcomeUnknown,
-    /// never started, and never will
+    /// Expired or cancelled before it started; it will never run.
     NeverRun,
 }
 
-/// what to do with an arriving request
+/// What to do with an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// the first copy: queue it
+    /// The first copy, which is to be queued.
     First,
-    /// a further copy: join the first one's stream
+    /// A further copy of a request that has been admitted.
     Duplicate,
 }
 
@@ -81,15 +81,14 @@
     }
 }
 
-/// remembers each id of one incarnation until its row is dropped, and
-/// refuses every id below the lowest remembered one.
+/// Tracks the reserved ids of one incarnation, so that each request runs at most once.
 ///
-/// No row is dropped by the clock alone: an id that is no longer remembered
-/// is below `floor` and refused, however late its copy arrives.
+/// Ids are numbered in sequence, and only the oldest are evicted. An evicted id is below
+/// `floor` and always rejected, however late a copy arrives.
 #[derive(Debug)]
 pub struct RunOnceTable {
     settings: RunOnceSettings,
-    /// number of the oldest remembered id
+    /// Number of the oldest tracked id.
     floor: u64,
     rows: VecDeque<Row>,
 }
@@ -113,26 +112,32 @@
         self.rows.is_empty()
     }
 
-    /// give ids; `draw` gives their random parts
+    /// Reserves ids, whose random parts are drawn from `draw_secret`.
+    ///
+    /// # Errors
+    /// The table is full of ids that are still in use.
     pub fn reserve(
         &mut self,
         count: u32,
         now: Instant,
-        mut draw: impl FnMut() -> u64,
+        mut draw_secret: impl FnMut() -> u64,
     ) -> Result<Vec<ReservedId>, RunOnceError> {
         let wanted = count as usize;
-        self.drop_final_rows(wanted, now);
+        self.evict_final_rows(wanted, now);
         if self.rows.len() + wanted > self.settings.capacity {
             return Err(RunOnceError::Full {
                 wanted: count,
                 retry_after: FULL_RETRY_AFTER,
             });
         }
-        let ids = (0..count).map(|_| self.add_row(now, draw()));
+        let ids = (0..count).map(|_| self.add_row(now, draw_secret()));
         Ok(ids.collect())
     }
 
-    /// decide on an arriving copy of a request
+    /// Decides on an arriving copy of a request.
+    ///
+    /// # Errors
+    /// The id is not valid, or its request must not run any more.
     pub fn admit(&mut self, id: &ReservedId, now: Instant) -> Result<Admission, RunOnceError> {
         let row = self.row_mut(id)?;
         match row.phase_at(now) {
@@ -152,8 +157,8 @@
         }
     }
 
-    /// called right before the request leaves for the engine or service;
-    /// false forbids it
+    /// Marks a request as started and returns whether it may be sent. Has to be called right
+    /// before the request is sent to the engine or service.
     pub fn start(&mut self, id: &ReservedId) -> bool {
         let Ok(row) = self.row_mut(id) else {
             return false;
@@ -165,7 +170,7 @@
         true
     }
 
-    /// the started request ended
+    /// Records the outcome of a started request.
     pub fn finish(&mut self, id: &ReservedId, outcome: Outcome) {
         let Ok(row) = self.row_mut(id) else {
             return;
@@ -180,7 +185,8 @@
         };
     }
 
-    /// stop a request that has not started; afterwards `NotRun` stays true
+    /// Cancels a request that hasn't started, and returns its outcome. After `NotRun` the
+    /// request will never run.
     pub fn cancel(&mut self, id: &ReservedId) -> Outcome {
         let row = match self.row_mut(id) {
             Ok(row) => row,
@@ -196,7 +202,10 @@
         }
     }
 
-    /// where the request of an id stands
+    /// Returns the state of the request with an id.
+    ///
+    /// # Errors
+    /// The id is not tracked.
     pub fn phase(&self, id: &ReservedId, now: Instant) -> Result<RunPhase, RunOnceError> {
         let index = self.index(id)?;
         Ok(self.rows[index].phase_at(now))
@@ -217,7 +226,7 @@
         }
     }
 
-    fn drop_final_rows(&mut self, wanted: usize, now: Instant) {
+    fn evict_final_rows(&mut self, wanted: usize, now: Instant) {
         while self.rows.len() + wanted > self.settings.capacity {
             if !self.rows.front().is_some_and(|row| row.is_final(now)) {
                 return;
