--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! requests under which engines end: what proves it, and what a book of it believes
+//! Requests that crash engines: detection of crashes, and verdicts of the registry.
 
 mod dispatch_fixture;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// one engine that runs these requests
+/// Creates a fixture with one engine that runs these requests.
 fn with_runs(bodies: &[&str]) -> Fixture {
     let mut fixture = Fixture::new(vec![backend(ENGINES, 1)]);
     fixture.view(1, view(ENGINE, &[("a", 1)]));
@@ -51,7 +51,7 @@
     }
 }
 
-/// the runs that the fixture's engine is said to have ended under
+/// Returns the requests to which crashes have been attributed since the last call.
 fn suspected(fixture: &mut Fixture) -> Vec<RequestDigest> {
     let crashes: Vec<EngineCrash> = fixture.dispatcher.take_crashes();
     let runs = crashes.iter().flat_map(|crash| &crash.runs);
@@ -67,65 +67,71 @@
 }
 
 #[test]
-fn the_end_of_an_engine_s_life_is_proved_by_those_who_see_it() {
-    type Proof = (&'static str, fn(&mut Fixture));
-    let proofs: [Proof; 5] = [
-        ("its sidecar is refused on its machine", |f| {
+fn a_crash_is_confirmed_by_the_sidecar_the_list_or_the_engine() {
+    type Confirmation = (&'static str, fn(&mut Fixture));
+    let confirmations: [Confirmation; 5] = [
+        ("its sidecar can't connect to it", |f| {
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
-        ("its sidecar reads another life", |f| {
+        ("its sidecar reads another incarnation", |f| {
             f.view(1, view("engines-1-later", &[]));
         }),
-        ("the list lacks it, and no sidecar speaks", |f| {
+        ("it is not listed and its sidecar is unresponsive", |f| {
             f.tell(DispatchEvent::ViewLost(ENGINE.into()));
             f.list(Vec::new());
         }),
-        ("another incarnation answers there", |f| {
+        ("another incarnation responds at its address", |f| {
             let ask = ask_of(f, "third");
             f.ask(9, ask);
             f.end(9, SendOutcome::Superseded);
         }),
-        ("it was refused before the connections broke", |f| {
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
-            let ask = ask_of(f, "one");
-            f.ask(9, ask);
-        }),
+        (
+            "its end was reported before the runs were interrupted",
+            |f| {
+                f.view(1, down(view(ENGINE, &[("a", 1)])));
+                let ask = ask_of(f, "one");
+                f.ask(9, ask);
+            },
+        ),
     ];
-    for (name, prove) in proofs {
+    for (name, confirm) in confirmations {
         let mut fixture = with_runs(&["one", "other"]);
         fixture.end(0, SendOutcome::Broken);
         fixture.end(1, SendOutcome::Broken);
-        assert!(suspected(&mut fixture).is_empty(), "{name}: no proof yet");
-        prove(&mut fixture);
+        assert!(
+            suspected(&mut fixture).is_empty(),
+            "{name}: not confirmed yet"
+        );
+        confirm(&mut fixture);
         assert_eq!(suspected(&mut fixture), sorted(&["one", "other"]), "{name}");
     }
 }
 
 #[test]
-fn what_is_no_end_of_a_life_suspects_nobody() {
-    type NoProof = (&'static str, fn(&mut Fixture));
-    let steps: [NoProof; 5] = [
-        ("a reset while the sidecar reads on", |f| {
+fn other_failures_suspect_no_request() {
+    type OtherFailure = (&'static str, fn(&mut Fixture));
+    let steps: [OtherFailure; 5] = [
+        ("a connection reset that the engine survives", |f| {
             f.end(0, SendOutcome::Broken);
             f.pass(ms(1_100));
             f.view(1, view(ENGINE, &[("a", 1)]));
             f.pass(ms(100));
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
-        ("a failure that was answered", |f| {
+        ("a failure with a complete response", |f| {
             f.end(0, SendOutcome::Failed);
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
-        ("the client left", |f| {
+        ("a client that disconnected", |f| {
             f.end(0, SendOutcome::Abandoned);
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
-        ("a planned stop", |f| {
+        ("a planned shutdown", |f| {
             f.list(vec![leaving()]);
             f.end(0, SendOutcome::Broken);
             f.view(1, down(view(ENGINE, &[("a", 1)])));
         }),
-        ("an end long after", |f| {
+        ("an end long after the interruption", |f| {
             f.end(0, SendOutcome::Broken);
             f.pass(ms(6_000));
             f.view(1, down(view(ENGINE, &[("a", 1)])));
@@ -138,125 +144,139 @@
     }
 }
 
-/// The sidecar of a build that does not say whether its engine is down may repeat what it
-/// read before the end: its words clear nobody.
+/// Stats without `is_down` may date from before a crash and must not clear a request.
 #[test]
-fn a_sidecar_that_does_not_say_whether_its_engine_lives_proves_nothing() {
-    let unsaid = || {
-        let mut unsaid = view(ENGINE, &[("a", 1)]);
-        unsaid.figures.is_down = None;
-        unsaid
+fn stats_without_the_engine_state_are_no_evidence() {
+    let without_state = || {
+        let mut without_state = view(ENGINE, &[("a", 1)]);
+        without_state.figures.is_down = None;
+        without_state
     };
     let mut fixture = with_runs(&["one"]);
     fixture.end(0, SendOutcome::Broken);
     fixture.pass(ms(1_100));
-    fixture.view(1, unsaid());
+    fixture.view(1, without_state());
     assert_eq!(suspected(&mut fixture), []);
-    // its list says so later
-    fixture.view(1, down(unsaid()));
+    // a later report says so
+    fixture.view(1, down(without_state()));
     assert_eq!(suspected(&mut fixture), [digest("one")]);
 }
 
-/// An innocent request that ran beside the cause each time was condemned with it: both came
-/// together, and the engine that held their adapter took both.
+/// Guards against blocking an innocent request that repeatedly runs beside a crashing one.
 #[test]
-fn two_that_are_suspected_do_not_run_beside_each_other() {
+fn two_suspected_requests_do_not_run_concurrently() {
     let suspected = |fixture: &Fixture, body: &str| Ask {
         is_suspected: true,
         ..ask_of(fixture, body)
     };
     let mut fixture = with_runs(&["clear"]);
     let cause = suspected(&fixture, "cause");
-    assert_eq!(sent_to(&fixture.ask(11, cause)), [ENGINE], "beside others");
+    assert_eq!(
+        sent_to(&fixture.ask(11, cause)),
+        [ENGINE],
+        "runs beside requests that are not suspected"
+    );
     let innocent = suspected(&fixture, "innocent");
-    assert!(fixture.ask(12, innocent).is_empty(), "it waits");
+    assert!(
+        fixture.ask(12, innocent).is_empty(),
+        "waits for the other suspected request"
+    );
     let other = ask_of(&fixture, "other");
-    assert_eq!(sent_to(&fixture.ask(13, other)), [ENGINE], "others do not");
+    assert_eq!(
+        sent_to(&fixture.ask(13, other)),
+        [ENGINE],
+        "requests that are not suspected don't wait"
+    );
     let decided = fixture.tell(DispatchEvent::Ended {
         ticket: 11,
         outcome: SendOutcome::Answered,
     });
-    assert_eq!(sent_to(&decided), [ENGINE], "once it has ended");
+    assert_eq!(
+        sent_to(&decided),
+        [ENGINE],
+        "sent once the other has completed"
+    );
 }
 
-fn ended(book: &mut CrashRegistry, body: &str, life: u64, at: Instant) {
-    book.on_engine_ended(digest(body), life, at, at);
+fn record_crash(registry: &mut CrashRegistry, body: &str, incarnation: u64, at: Instant) {
+    registry.on_engine_ended(digest(body), incarnation, at, at);
 }
 
 #[test]
-fn the_third_engine_condemns_and_a_run_to_its_end_excuses() {
+fn the_third_crash_blocks_and_a_completed_run_clears() {
     let start = Instant::now();
-    let mut book = CrashRegistry::default();
-    let judge = |book: &mut CrashRegistry, body: &str| book.verdict(&digest(body), start);
-    for life in 0..BLOCKED_AFTER_CRASHES as u64 {
+    let mut registry = CrashRegistry::default();
+    let verdict = |registry: &mut CrashRegistry, body: &str| registry.verdict(&digest(body), start);
+    for incarnation in 0..BLOCKED_AFTER_CRASHES as u64 {
         assert!(!matches!(
-            judge(&mut book, "cause"),
+            verdict(&mut registry, "cause"),
             RequestVerdict::Blocked { .. }
         ));
-        // it stood beside the cause each time, and was served in between
+        // the request beside the cause completes in between
         for body in ["cause", "beside"] {
-            ended(&mut book, body, life, start);
-            ended(&mut book, body, life, start);
+            record_crash(&mut registry, body, incarnation, start);
+            record_crash(&mut registry, body, incarnation, start);
         }
-        book.on_completed(digest("beside"), start);
+        registry.on_completed(digest("beside"), start);
     }
     assert!(matches!(
-        judge(&mut book, "cause"),
+        verdict(&mut registry, "cause"),
         RequestVerdict::Blocked { crashes: 3, .. }
     ));
-    assert_eq!(judge(&mut book, "beside"), RequestVerdict::Clear);
-    assert_eq!(judge(&mut book, "never seen"), RequestVerdict::Clear);
+    assert_eq!(verdict(&mut registry, "beside"), RequestVerdict::Clear);
+    assert_eq!(verdict(&mut registry, "never seen"), RequestVerdict::Clear);
 }
 
 #[test]
-fn what_nobody_tries_is_forgotten() {
+fn unused_records_expire() {
     let start = Instant::now();
-    let mut book = CrashRegistry::default();
-    (0..3).for_each(|life| ended(&mut book, "cause", life, start));
+    let mut registry = CrashRegistry::default();
+    (0..3).for_each(|n| record_crash(&mut registry, "cause", n, start));
     let later = |s: u64| start + Duration::from_secs(s);
-    let judge = |book: &mut CrashRegistry, s: u64| book.verdict(&digest("cause"), later(s));
+    let verdict =
+        |registry: &mut CrashRegistry, s: u64| registry.verdict(&digest("cause"), later(s));
     assert!(matches!(
-        judge(&mut book, 590),
+        verdict(&mut registry, 590),
         RequestVerdict::Blocked { .. }
     ));
-    // each try puts it off
+    // each request extends the retention
     assert!(matches!(
-        judge(&mut book, 1_180),
+        verdict(&mut registry, 1_180),
         RequestVerdict::Blocked { .. }
     ));
-    assert_eq!(judge(&mut book, 1_780), RequestVerdict::Clear);
+    assert_eq!(verdict(&mut registry, 1_780), RequestVerdict::Clear);
 }
 
-/// a caller that sends nothing else can't push out what is known
+/// Guards against evicting blocked requests by a flood of new ones.
 #[test]
-fn a_flood_of_crashing_requests_has_bounds() {
+fn a_flood_of_crashing_requests_evicts_no_blocked_request() {
     let start = Instant::now();
-    let mut book = CrashRegistry::default();
-    (0..3).for_each(|life| ended(&mut book, "cause", life, start));
+    let mut registry = CrashRegistry::default();
+    (0..3).for_each(|n| record_crash(&mut registry, "cause", n, start));
     for number in 0..100_000u64 {
         let at = start + Duration::from_millis(number / 100);
-        ended(&mut book, &number.to_string(), number, at);
-        assert!(book.len() <= MAX_TRACKED_REQUESTS);
+        record_crash(&mut registry, &number.to_string(), number, at);
+        assert!(registry.len() <= MAX_TRACKED_REQUESTS);
     }
     let now = start + Duration::from_secs(1);
-    let standing = book.verdict(&digest("cause"), now);
-    assert!(matches!(standing, RequestVerdict::Blocked { .. }));
+    let verdict = registry.verdict(&digest("cause"), now);
+    assert!(matches!(verdict, RequestVerdict::Blocked { .. }));
 }
 
-/// something that happens to one of a few requests, in steps of a ms
+/// An event of one of a few requests, in steps of 1 ms.
 #[derive(Debug, Clone, Copy)]
-struct Happening {
+struct Event {
     body: u8,
-    /// none if it was served
-    life: Option<u8>,
+    /// The crashed engine's incarnation; `None` for a completed run.
+    incarnation: Option<u8>,
     at_ms: u8,
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             body: u8::arbitrary(g) % 3,
-            life: bool::arbitrary(g).then(|| u8::arbitrary(g) % 5),
+            incarnation: bool::arbitrary(g).then(|| u8::arbitrary(g) % 5),
             at_ms: u8::arbitrary(g) % 50,
         }
     }
@@ -264,104 +284,112 @@
 
 const STEPS_MS: u64 = 50;
 
-fn word(happening: &Happening) -> CrashWord {
+fn report_of(event: &Event) -> CrashWord {
     CrashWord {
-        digest: digest(&happening.body.to_string()),
-        event: match happening.life {
-            Some(life) => CrashEvent::Ended { life: life.into() },
+        digest: digest(&event.body.to_string()),
+        event: match event.incarnation {
+            Some(incarnation) => CrashEvent::Ended {
+                life: incarnation.into(),
+            },
             None => CrashEvent::Served,
         },
-        age_ms: STEPS_MS - u64::from(happening.at_ms),
+        age_ms: STEPS_MS - u64::from(event.at_ms),
     }
 }
 
-/// ends of each request since it was served last, by the plain rule; of a life that was
-/// told of twice the two words may differ in time, so each is kept
-fn plain_rule(happenings: &[Happening]) -> BTreeMap<u8, BTreeSet<u8>> {
-    let of = |body: u8| happenings.iter().filter(move |h| h.body == body);
-    let open = |body: u8| {
-        let served = of(body).filter(|h| h.life.is_none()).map(|h| h.at_ms).max();
-        let ends = of(body).filter(move |h| served.is_none_or(|served| h.at_ms > served));
-        ends.filter_map(|h| h.life).collect()
+/// Reference model: the crashed incarnations of each request since its last completed run.
+fn reference(events: &[Event]) -> BTreeMap<u8, BTreeSet<u8>> {
+    let of = |body: u8| events.iter().filter(move |e| e.body == body);
+    let crashed = |body: u8| {
+        let completed = of(body).filter(|e| e.incarnation.is_none());
+        let completed = completed.map(|e| e.at_ms).max();
+        let later = of(body).filter(move |e| completed.is_none_or(|at| e.at_ms > at));
+        later.filter_map(|e| e.incarnation).collect()
     };
-    (0..3).map(|body| (body, open(body))).collect()
+    (0..3).map(|body| (body, crashed(body))).collect()
 }
 
-/// one life has one end
-fn with_one_end_a_life(happenings: Vec<Happening>) -> Vec<Happening> {
+/// Gives all crashes of one incarnation the same time.
+fn with_one_crash_per_incarnation(events: Vec<Event>) -> Vec<Event> {
     let mut seen = BTreeMap::new();
-    let once = happenings.into_iter().map(|mut h| {
-        if let Some(life) = h.life {
-            h.at_ms = *seen.entry((h.body, life)).or_insert(h.at_ms);
+    let consistent = events.into_iter().map(|mut e| {
+        if let Some(incarnation) = e.incarnation {
+            e.at_ms = *seen.entry((e.body, incarnation)).or_insert(e.at_ms);
         }
-        h
+        e
     });
-    once.collect()
+    consistent.collect()
 }
 
-fn agrees(book: &mut CrashRegistry, now: Instant, rule: &BTreeMap<u8, BTreeSet<u8>>) -> bool {
-    rule.iter().all(|(body, lives)| {
-        let standing = book.verdict(&digest(&body.to_string()), now);
-        match lives.len() {
-            0 => standing == RequestVerdict::Clear,
-            n if n < BLOCKED_AFTER_CRASHES => standing == RequestVerdict::Suspected { crashes: n },
-            _ => matches!(standing, RequestVerdict::Blocked { .. }),
+fn matches_reference(
+    registry: &mut CrashRegistry,
+    now: Instant,
+    expected: &BTreeMap<u8, BTreeSet<u8>>,
+) -> bool {
+    expected.iter().all(|(body, incarnations)| {
+        let verdict = registry.verdict(&digest(&body.to_string()), now);
+        match incarnations.len() {
+            0 => verdict == RequestVerdict::Clear,
+            n if n < BLOCKED_AFTER_CRASHES => verdict == RequestVerdict::Suspected { crashes: n },
+            _ => matches!(verdict, RequestVerdict::Blocked { .. }),
         }
     })
 }
 
-/// messages may be lost and sent again, come late, twice and in any order
+/// Messages may be lost, repeated, delayed and reordered.
 #[test]
-fn books_that_heard_the_same_believe_the_same() {
-    fn property(happenings: Vec<Happening>, cut: usize) -> bool {
-        let happenings = with_one_end_a_life(happenings);
-        let rule = plain_rule(&happenings);
+fn registries_with_the_same_reports_reach_the_same_verdicts() {
+    fn property(events: Vec<Event>, cut: usize) -> bool {
+        let events = with_one_crash_per_incarnation(events);
+        let expected = reference(&events);
         let now = Instant::now();
-        let words: Vec<CrashWord> = happenings.iter().map(word).collect();
-        let reversed: Vec<CrashWord> = words.iter().rev().copied().collect();
-        let cut = if words.is_empty() {
+        let reports: Vec<CrashWord> = events.iter().map(report_of).collect();
+        let reversed: Vec<CrashWord> = reports.iter().rev().copied().collect();
+        let cut = if reports.is_empty() {
             0
         } else {
-            cut % words.len()
+            cut % reports.len()
         };
         let mut one = CrashRegistry::default();
-        one.merge(&words[..cut], now);
+        one.merge(&reports[..cut], now);
         let mut other = CrashRegistry::default();
         other.merge(&reversed, now);
-        other.merge(&words, now);
-        // one hears the rest by way of a third, which has heard all of the other
+        other.merge(&reports, now);
+        // the rest reaches the first registry through a third one
         let mut third = CrashRegistry::default();
         third.merge(&other.reports_since(0, now).0, now);
-        let (told, up_to) = third.reports_since(0, now);
-        one.merge(&told, now);
+        let (forwarded, up_to) = third.reports_since(0, now);
+        one.merge(&forwarded, now);
         let has_more = !third.reports_since(up_to, now).0.is_empty();
-        !has_more && agrees(&mut one, now, &rule) && agrees(&mut other, now, &rule)
+        !has_more
+            && matches_reference(&mut one, now, &expected)
+            && matches_reference(&mut other, now, &expected)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
         .tests(4_000)
-        .quickcheck(property as fn(Vec<Happening>, usize) -> bool);
+        .quickcheck(property as fn(Vec<Event>, usize) -> bool);
 }
 
-/// messages are of a bounded size
+/// Messages have a bounded size.
 #[test]
-fn a_large_book_is_told_in_parts() {
+fn a_large_registry_is_sent_in_several_messages() {
     let now = Instant::now();
-    let mut book = CrashRegistry::default();
+    let mut registry = CrashRegistry::default();
     let bodies: Vec<String> = (0..2_500).map(|n| n.to_string()).collect();
-    for (life, body) in bodies.iter().enumerate() {
-        ended(&mut book, body, life as u64, now);
+    for (incarnation, body) in bodies.iter().enumerate() {
+        record_crash(&mut registry, body, incarnation as u64, now);
     }
-    let (mut other, mut told, mut parts) = (CrashRegistry::default(), 0, 0);
-    while told < book.revision() {
-        let (words, up_to) = book.reports_since(told, now);
-        assert!(words.len() <= 1_000);
-        other.merge(&words, now);
-        (told, parts) = (up_to, parts + 1);
+    let (mut other, mut sent, mut messages) = (CrashRegistry::default(), 0, 0);
+    while sent < registry.revision() {
+        let (reports, up_to) = registry.reports_since(sent, now);
+        assert!(reports.len() <= 1_000);
+        other.merge(&reports, now);
+        (sent, messages) = (up_to, messages + 1);
     }
-    assert_eq!(parts, 3);
+    assert_eq!(messages, 3);
     for body in &bodies {
-        let standing = other.verdict(&digest(body), now);
-        assert_eq!(standing, RequestVerdict::Suspected { crashes: 1 });
+        let verdict = other.verdict(&digest(body), now);
+        assert_eq!(verdict, RequestVerdict::Suspected { crashes: 1 });
     }
 }
--- a/coordination/tests/fences.rs
+++ b/coordination/tests/fences.rs
@@ -1,4 +1,4 @@
-//! who drives an engine, when processes meet, pause, or lose orders
+//! Control of an engine when processes compete, are suspended, or lose orders.
 
 use {
     chalkcart_coordination::{
@@ -29,24 +29,24 @@
     }
 }
 
-fn taken(step: FenceAction) -> Fence {
-    match step {
+fn requested_fence(action: FenceAction) -> Fence {
+    match action {
         FenceAction::Take { fence, .. } => fence,
-        other => panic!("expected a fence to take, got {other:?}"),
+        other => panic!("expected a fence to request, got {other:?}"),
     }
 }
 
 #[test]
 fn two_processes_never_choose_the_same_fence() {
-    // the same clock, another process
+    // two processes that started at the same time
     let mut one = FenceController::new(1_000, 1);
     let mut other = FenceController::new(1_000, 2);
-    let first = taken(one.on_status(&status(0, Vec::new())));
+    let first = requested_fence(one.on_status(&status(0, Vec::new())));
     one.on_accepted(INCARNATION, first);
-    let second = taken(other.on_status(&status(first, Vec::new())));
+    let second = requested_fence(other.on_status(&status(first, Vec::new())));
     other.on_accepted(INCARNATION, second);
     assert!(second > first);
-    // the first raises its fence as often as it likes: never the other's
+    // raising the fence of the first must never yield the fence of the other
     for _ in 0..50 {
         one.invalidate();
         match one.on_status(&status(second, Vec::new())) {
@@ -58,27 +58,27 @@
 }
 
 #[test]
-fn a_later_process_wins_at_a_restarted_engine_in_any_order() {
+fn a_later_process_wins_a_restarted_engine_in_any_order() {
     let mut old = FenceController::new(1_000, 7);
     let mut new = FenceController::new(2_000, 3);
-    let lower = taken(old.on_status(&status(0, Vec::new())));
+    let lower = requested_fence(old.on_status(&status(0, Vec::new())));
     old.on_accepted(INCARNATION, lower);
-    let higher = taken(new.on_status(&status(lower, Vec::new())));
+    let higher = requested_fence(new.on_status(&status(lower, Vec::new())));
     let mut restarted = status(0, Vec::new());
     restarted.incarnation += 1;
-    assert!(taken(old.on_status(&restarted)) < higher);
+    assert!(requested_fence(old.on_status(&restarted)) < higher);
     assert!(matches!(
         old.on_status(&status(higher, Vec::new())),
         FenceAction::Stop
     ));
     assert!(
         matches!(old.on_status(&restarted), FenceAction::Stop),
-        "for good"
+        "permanently"
     );
 }
 
-/// a sidecar whose engine holds one adapter, and the fence it took
-fn driving(now: Instant, held: AdapterKey) -> (SidecarControl, OrderFence) {
+/// Creates a sidecar that controls an engine with one adapter, and returns its fence.
+fn controlling_sidecar(now: Instant, held: AdapterKey) -> (SidecarControl, OrderFence) {
     let settings = SidecarSettings {
         epoch: 10,
         lease: LEASE,
@@ -88,7 +88,7 @@
     let mut control = SidecarControl::new(settings, now);
     let loaded = vec![held];
     let read = |fence| SidecarEvent::EngineRead(Some(status(fence, loaded.clone())));
-    let order = fence_to_take(&control.handle(read(0), now)).expect("a fence");
+    let order = fence_order(&control.handle(read(0), now)).expect("a fence");
     let answer = SidecarEvent::FenceAnswered {
         incarnation: order.incarnation,
         fence: order.fence,
@@ -100,7 +100,7 @@
     (control, order)
 }
 
-fn fence_to_take(actions: &[SidecarAction]) -> Option<OrderFence> {
+fn fence_order(actions: &[SidecarAction]) -> Option<OrderFence> {
     actions.iter().find_map(|action| match action {
         SidecarAction::TakeFence(order) => Some(*order),
         _ => None,
@@ -136,13 +136,13 @@
     }))
 }
 
-/// an unload that was sent before the pause may arrive after the slots were
-/// read again, when the adapter is in use
+/// Guards against an unload that was sent before a suspension and arrives when the adapter
+/// is in use again.
 #[test]
-fn an_order_sent_before_a_pause_is_behind_the_next_fence() {
+fn orders_sent_before_a_suspension_have_an_older_fence() {
     let mut now = Instant::now();
-    let (mut control, order) = driving(now, key(1));
-    // the held adapter may go once it is old enough
+    let (mut control, order) = controlling_sidecar(now, key(1));
+    // the adapter may be unloaded after its minimum residence
     let mut actions = control.handle(arrived(2), now);
     let mut ticks = 0;
     while !actions
@@ -157,6 +157,6 @@
     now += LEASE * 3;
     control.handle(SidecarEvent::Tick, now);
     let read = SidecarEvent::EngineRead(Some(status(order.fence, vec![key(1)])));
-    let next = fence_to_take(&control.handle(read, now)).expect("a fence");
+    let next = fence_order(&control.handle(read, now)).expect("a fence");
     assert!(next.fence > order.fence);
 }
--- a/coordination/tests/keepers.rs
+++ b/coordination/tests/keepers.rs
@@ -1,4 +1,4 @@
-//! which sidecars keep a matter of the whole fleet
+//! Selection of the sidecars that aggregate state for the fleet.
 
 use {
     chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
@@ -14,25 +14,25 @@
         .collect()
 }
 
-/// sidecars of a build without the matter are asked ever less often, and used once they know it
+/// Sidecars of a build that doesn't support the state are retried with a growing back-off.
 #[test]
-fn keepers_that_do_not_know_the_matter_are_left_alone_for_longer_each_time() {
+fn aggregators_without_support_are_retried_with_exponential_backoff() {
     let engines = engines();
-    let mut choice = AggregatorSelector::new(AggregatedState::Crashes);
+    let mut selector = AggregatorSelector::new(AggregatedState::Crashes);
     let mut now = Instant::now();
-    let mut asked = 0;
+    let mut calls = 0;
     let end = now + Duration::from_secs(60);
     while now < end {
-        if let Some(keeper) = choice.select(&engines, now) {
-            asked += 1;
-            choice.on_unsupported(keeper, now);
+        if let Some(aggregator) = selector.select(&engines, now) {
+            calls += 1;
+            selector.on_unsupported(aggregator, now);
         }
         now += Duration::from_millis(100);
     }
     // at 0, 3, 9, 21, 36 and 51 s
-    assert_eq!(asked, 6 * engines.len());
+    assert_eq!(calls, 6 * engines.len());
     now += Duration::from_secs(15);
-    let keeper = choice.select(&engines, now).expect("a keeper");
-    choice.on_response(keeper);
-    assert_eq!(choice.select(&engines, now), Some(keeper));
+    let aggregator = selector.select(&engines, now).expect("an aggregator");
+    selector.on_response(aggregator);
+    assert_eq!(selector.select(&engines, now), Some(aggregator));
 }
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -1,6 +1,6 @@
-//! a simulated fleet that shares limits and hears of keys: no I/O, seeds, time in
-//! steps. Messages are late, lost and out of order; keepers and entries die, freeze
-//! and are cut off; accounts run hot.
+//! Simulates a fleet that shares rate limits and revokes API keys, with fixed seeds and time
+//! in steps. Messages are delayed, lost and reordered; aggregators and entries crash, freeze
+//! and are disconnected; some accounts exceed their limit.
 
 use {
     chalkcart_coordination::{
@@ -19,30 +19,29 @@
 };
 
 const SEEDS: u64 = 200;
-const HERD_SEEDS: u64 = 8;
+const RESTART_SEEDS: u64 = 8;
 const STEP: Duration = Duration::from_millis(25);
 /// 20 s
 const STEPS: u64 = 800;
-/// all processes are down for this long, 0.5 s
-const HERD_DOWN_STEPS: u64 = 20;
-/// entries reach a keeper so much later, 0.6 s
-const KEEPER_DOWN_STEPS: u64 = 24;
-/// an entry knows how many entries there are after this time, 0.9 s
-const COUNTED_STEPS: u64 = 36;
-/// requests wait for the first word of a keeper for this long, 1.2 s
-const HELD_STEPS: u64 = 48;
-/// until entries are no longer young, 2.25 s
-const WARM_STEPS: u64 = 90;
-const KEEPERS: u8 = 6;
+/// Downtime of all processes after a fleet-wide restart, 0.5 s.
+const RESTART_DOWN_STEPS: u64 = 20;
+/// Additional time until aggregators are reachable after it, 0.6 s.
+const AGGREGATOR_DOWN_STEPS: u64 = 24;
+/// Time after its start until an entry knows the number of entries, 0.9 s.
+const COUNT_KNOWN_STEPS: u64 = 36;
+/// Time for which requests wait for the first level of an aggregator, 1.2 s.
+const MAX_HOLD_STEPS: u64 = 48;
+/// Time until entries have left the warm-up, 2.25 s.
+const WARMUP_STEPS: u64 = 90;
+const AGGREGATORS: u8 = 6;
 const WINDOW: Duration = Duration::from_secs(8);
-/// an entry gives a keeper up that has not answered for this long
-const ANSWER_STEPS: u64 = 10;
-const REVOKED_WITHIN: Duration = Duration::from_secs(5);
-/// longest time between two answers of the store to a sound entry
-const STORE_STEPS: u64 = 40;
+/// Time after which an entry gives up a call to an aggregator.
+const CALL_TIMEOUT_STEPS: u64 = 10;
+const REVOCATION_DEADLINE: Duration = Duration::from_secs(5);
+/// Interval between two calls of an entry to the store.
+const STORE_INTERVAL_STEPS: u64 = 40;
 
-/// units a second of the accounts, from the largest to the smallest on the pages,
-/// and the part of it that is asked for
+/// Limits of the accounts in units per second, and the requested rate as a fraction of it.
 const ACCOUNTS: [(f64, f64); 4] = [
     (140_000.0, 0.5),
     (40_000.0, 0.7),
@@ -69,7 +68,7 @@
     ClientAccount::new(&format!("account-{number}"), 1, Some(limit))
 }
 
-/// mark and limit of an account
+/// Returns the id and the limit of an account.
 fn limit_of(number: usize) -> (AccountMark, RateLimit) {
     static LIMITS: OnceLock<Vec<(AccountMark, RateLimit)>> = OnceLock::new();
     let limits = LIMITS.get_or_init(|| {
@@ -80,10 +79,10 @@
     limits[number]
 }
 
-/// numbers that follow from a seed
-struct Draw(u64, u64);
+/// Deterministic random numbers from a seed.
+struct SeededRandom(u64, u64);
 
-impl Draw {
+impl SeededRandom {
     fn next(&mut self) -> u64 {
         self.1 += 1;
         rendezvous_weight(self.0, self.1)
@@ -91,42 +90,42 @@
     fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
-    /// true once in so many calls
+    /// Returns true on average once in so many calls.
     fn once_in(&mut self, calls: u64) -> bool {
         self.below(calls) == 0
     }
 }
 
 struct Entry {
-    book: AccountLimiter,
+    limiter: AccountLimiter,
     started: u64,
-    /// requests that came before the first word of a keeper: account, units
+    /// Requests held until the first level arrives: account and units.
     held: Vec<(usize, u64)>,
-    choice: AggregatorSelector,
+    selector: AggregatorSelector,
     lease: ConfigLease,
     report_at: u64,
-    /// keeper, since when, and what was reported
-    asked: Option<(SocketAddr, u64, UsageReport)>,
-    /// nothing goes out or comes in until then
+    /// The call in flight: aggregator, start and report.
+    pending_call: Option<(SocketAddr, u64, UsageReport)>,
+    /// Disconnected until this step.
     cut_until: u64,
-    /// it does nothing at all until then
+    /// Suspended until this step.
     frozen_until: u64,
 }
 
 impl Entry {
-    /// it knows how many entries there are after a while
+    /// Creates an entry that doesn't know the number of entries yet.
     fn new(number: usize, incarnation: u64, started: u64, now: Instant) -> Self {
-        let mut book = AccountLimiter::new(settings(), format!("e{number}"), incarnation, now);
+        let mut limiter = AccountLimiter::new(settings(), format!("e{number}"), incarnation, now);
         let accounts: Vec<ClientAccount> = (0..ACCOUNTS.len()).map(account).collect();
-        book.set_accounts(accounts.iter(), now);
+        limiter.set_accounts(accounts.iter(), now);
         Self {
-            book,
+            limiter,
             started,
             held: Vec::new(),
-            choice: AggregatorSelector::new(AggregatedState::Limits),
-            lease: ConfigLease::new(Some(REVOKED_WITHIN)),
+            selector: AggregatorSelector::new(AggregatedState::Limits),
+            lease: ConfigLease::new(Some(REVOCATION_DEADLINE)),
             report_at: 0,
-            asked: None,
+            pending_call: None,
             cut_until: 0,
             frozen_until: 0,
         }
@@ -135,27 +134,27 @@
 
 enum Message {
     Report(usize, SocketAddr, UsageReport),
-    Answer(usize, SocketAddr, UsageAnswer),
-    /// what the store had published when it was asked: the keys' version
+    Response(usize, SocketAddr, UsageAnswer),
+    /// Response of the store: the version of the keys when the call was made.
     Published(usize, u64, Instant),
 }
 
 struct Fleet {
-    draw: Draw,
+    random: SeededRandom,
     start: Instant,
     step: u64,
     has_faults: bool,
-    /// at this step all processes are killed; 0 if never
-    herd_at: u64,
+    /// Step at which all processes are killed; 0 for never.
+    restart_at: u64,
     entries: Vec<Entry>,
-    keepers: BTreeMap<SocketAddr, (UsageAggregator, u64)>,
-    on_their_way: BTreeMap<(u64, u64), Message>,
+    aggregators: BTreeMap<SocketAddr, (UsageAggregator, u64)>,
+    in_transit: BTreeMap<(u64, u64), Message>,
     sent: u64,
-    /// units run, by account, with their steps
-    run: HashMap<usize, VecDeque<(u64, u64)>>,
-    asked: u64,
-    refused: u64,
-    /// the step at which a key was taken away
+    /// Units admitted by account, with their steps.
+    admitted: HashMap<usize, VecDeque<(u64, u64)>>,
+    requested: u64,
+    rejected: u64,
+    /// Step at which a key is revoked.
     revoked: u64,
     known_version: Vec<u64>,
 }
@@ -163,22 +162,23 @@
 impl Fleet {
     fn new(seed: u64, entries: usize, has_faults: bool) -> Self {
         let start = Instant::now();
-        let keeper = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
-        let keepers = (0..KEEPERS).map(|n| (keeper(n), (UsageAggregator::new(u64::from(n)), 0)));
+        let aggregator = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
+        let aggregators =
+            (0..AGGREGATORS).map(|n| (aggregator(n), (UsageAggregator::new(u64::from(n)), 0)));
         let entry = |n| Entry::new(n, n as u64, 0, start);
         Self {
-            draw: Draw(seed, 0),
+            random: SeededRandom(seed, 0),
             start,
             step: 0,
             has_faults,
-            herd_at: 0,
+            restart_at: 0,
             entries: (0..entries).map(entry).collect(),
-            keepers: keepers.collect(),
-            on_their_way: BTreeMap::new(),
+            aggregators: aggregators.collect(),
+            in_transit: BTreeMap::new(),
             sent: 0,
-            run: HashMap::new(),
-            asked: 0,
-            refused: 0,
+            admitted: HashMap::new(),
+            requested: 0,
+            rejected: 0,
             revoked: STEPS / 2,
             known_version: vec![0; entries],
         }
@@ -189,75 +189,75 @@
     }
 
     fn send(&mut self, message: Message) {
-        if self.has_faults && self.draw.once_in(200) {
+        if self.has_faults && self.random.once_in(200) {
             return;
         }
         self.sent += 1;
-        let late = 1 + match self.has_faults && self.draw.once_in(20) {
-            true => self.draw.below(12),
+        let delay = 1 + match self.has_faults && self.random.once_in(20) {
+            true => self.random.below(12),
             false => 0,
         };
-        self.on_their_way
-            .insert((self.step + late, self.sent), message);
+        self.in_transit
+            .insert((self.step + delay, self.sent), message);
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.step += 1;
         if self.has_faults {
-            self.fail_something();
+            self.inject_faults();
         }
-        if self.step == self.herd_at {
+        if self.step == self.restart_at {
             self.restart_all();
         }
         self.deliver();
         for number in 0..self.entries.len() {
             if self.entries[number].frozen_until <= self.step {
                 self.report(number);
-                self.ask_store(number);
+                self.call_store(number);
                 self.serve(number);
             }
         }
     }
 
-    /// all processes are killed and started again, also the keepers
+    /// Restarts all entries and aggregators.
     fn restart_all(&mut self) {
-        let (step, now) = (self.step + HERD_DOWN_STEPS, self.now());
+        let (step, now) = (self.step + RESTART_DOWN_STEPS, self.now());
         for number in 0..self.entries.len() {
-            let incarnation = self.draw.next();
+            let incarnation = self.random.next();
             self.entries[number] = Entry::new(number, incarnation, step, now);
             self.entries[number].frozen_until = step;
             self.known_version[number] = 0;
         }
-        for row in self.keepers.values_mut() {
+        for row in self.aggregators.values_mut() {
             *row = (
-                UsageAggregator::new(self.draw.next()),
-                step + KEEPER_DOWN_STEPS,
+                UsageAggregator::new(self.random.next()),
+                step + AGGREGATOR_DOWN_STEPS,
             );
         }
     }
 
-    fn fail_something(&mut self) {
+    fn inject_faults(&mut self) {
         let (step, entries) = (self.step, self.entries.len() as u64);
-        if self.draw.once_in(80) {
-            let entry = self.draw.below(entries) as usize;
-            self.entries[entry].cut_until = step + self.draw.below(300);
+        if self.random.once_in(80) {
+            let entry = self.random.below(entries) as usize;
+            self.entries[entry].cut_until = step + self.random.below(300);
         }
-        if self.draw.once_in(80) {
-            let entry = self.draw.below(entries) as usize;
-            self.entries[entry].frozen_until = step + self.draw.below(200);
+        if self.random.once_in(80) {
+            let entry = self.random.below(entries) as usize;
+            self.entries[entry].frozen_until = step + self.random.below(200);
         }
-        if self.draw.once_in(240) {
-            let entry = self.draw.below(entries) as usize;
-            let incarnation = self.draw.next();
+        if self.random.once_in(240) {
+            let entry = self.random.below(entries) as usize;
+            let incarnation = self.random.next();
             let now = self.now();
             self.entries[entry] = Entry::new(entry, incarnation, step, now);
             self.known_version[entry] = 0;
         }
-        if self.draw.once_in(60) {
-            let keeper = self.draw.below(u64::from(KEEPERS)) as usize;
-            let dead_until = step + self.draw.below(160);
-            let incarnation = self.draw.next();
-            if let Some(row) = self.keepers.values_mut().nth(keeper) {
+        if self.random.once_in(60) {
+            let aggregator = self.random.below(u64::from(AGGREGATORS)) as usize;
+            let dead_until = step + self.random.below(160);
+            let incarnation = self.random.next();
+            if let Some(row) = self.aggregators.values_mut().nth(aggregator) {
                 *row = (UsageAggregator::new(incarnation), dead_until);
             }
         }
@@ -265,19 +265,21 @@
 
     fn deliver(&mut self) {
         let (step, now) = (self.step, self.now());
-        while let Some(first) = self.on_their_way.first_entry() {
+        while let Some(first) = self.in_transit.first_entry() {
             if first.key().0 > step {
                 return;
             }
             match first.remove() {
                 Message::Report(entry, to, report) => {
-                    let keeper = self.keepers.get_mut(&to).expect("a keeper");
-                    if keeper.1 <= step {
-                        let answer = keeper.0.on_report(report, now);
-                        self.send(Message::Answer(entry, to, answer));
+                    let aggregator = self.aggregators.get_mut(&to).expect("an aggregator");
+                    if aggregator.1 <= step {
+                        let response = aggregator.0.on_report(report, now);
+                        self.send(Message::Response(entry, to, response));
                     }
                 }
-                Message::Answer(entry, from, answer) => self.on_answer(entry, from, &answer),
+                Message::Response(entry, from, response) => {
+                    self.on_response(entry, from, &response)
+                }
                 Message::Published(entry, version, current_at) => {
                     let known = &mut self.entries[entry];
                     if known.cut_until <= step && known.frozen_until <= step {
@@ -289,17 +291,19 @@
         }
     }
 
-    fn on_answer(&mut self, number: usize, from: SocketAddr, answer: &UsageAnswer) {
+    fn on_response(&mut self, number: usize, from: SocketAddr, response: &UsageAnswer) {
         let now = self.now();
         let entry = &mut self.entries[number];
         if entry.cut_until > self.step || entry.frozen_until > self.step {
             return;
         }
-        let asked = entry.asked.take_if(|(keeper, ..)| *keeper == from);
-        if let Some((_, _, report)) = asked {
-            entry.choice.on_response(from);
-            entry.book.on_response(&report, answer, now);
-            let every = entry.book.report_interval(now).as_millis() / STEP.as_millis();
+        let call = entry
+            .pending_call
+            .take_if(|(aggregator, ..)| *aggregator == from);
+        if let Some((_, _, report)) = call {
+            entry.selector.on_response(from);
+            entry.limiter.on_response(&report, response, now);
+            let every = entry.limiter.report_interval(now).as_millis() / STEP.as_millis();
             entry.report_at = self.step + every as u64;
         }
     }
@@ -308,148 +312,152 @@
         let now = self.now();
         let entries = self.entries.len() as u32;
         let entry = &mut self.entries[number];
-        if self.step >= entry.started + COUNTED_STEPS {
-            entry.book.set_entry_count(Some(entries), now);
+        if self.step >= entry.started + COUNT_KNOWN_STEPS {
+            entry.limiter.set_entry_count(Some(entries), now);
         }
-        let late =
-            |(_, since, _): &mut (SocketAddr, u64, UsageReport)| *since + ANSWER_STEPS < self.step;
-        if let Some((keeper, ..)) = entry.asked.take_if(late) {
-            entry.choice.on_failure(keeper, now);
+        let is_late = |(_, since, _): &mut (SocketAddr, u64, UsageReport)| {
+            *since + CALL_TIMEOUT_STEPS < self.step
+        };
+        if let Some((aggregator, ..)) = entry.pending_call.take_if(is_late) {
+            entry.selector.on_failure(aggregator, now);
             entry.report_at = self.step;
         }
-        if entry.asked.is_some() || entry.report_at > self.step {
+        if entry.pending_call.is_some() || entry.report_at > self.step {
             return;
         }
-        let keepers: Vec<SocketAddr> = self.keepers.keys().copied().collect();
-        let (Some(report), Some(keeper)) = (
-            entry.book.usage_report(now),
-            entry.choice.select(&keepers, now),
+        let aggregators: Vec<SocketAddr> = self.aggregators.keys().copied().collect();
+        let (Some(report), Some(aggregator)) = (
+            entry.limiter.usage_report(now),
+            entry.selector.select(&aggregators, now),
         ) else {
             return;
         };
-        entry.asked = Some((keeper, self.step, report.clone()));
+        entry.pending_call = Some((aggregator, self.step, report.clone()));
         if entry.cut_until <= self.step {
-            self.send(Message::Report(number, keeper, report));
+            self.send(Message::Report(number, aggregator, report));
         }
     }
 
-    fn ask_store(&mut self, number: usize) {
-        let is_due = (self.step + number as u64).is_multiple_of(STORE_STEPS);
+    fn call_store(&mut self, number: usize) {
+        let is_due = (self.step + number as u64).is_multiple_of(STORE_INTERVAL_STEPS);
         if is_due && self.entries[number].cut_until <= self.step {
-            // a call says what was so when it began, however late it is answered
+            // a response reflects the time of the call, however late it arrives
             let version = u64::from(self.step >= self.revoked);
             let current_at = self.now();
             self.send(Message::Published(number, version, current_at));
         }
     }
 
-    /// what clients ask of one entry in one step
+    /// Generates the client requests of one entry in one step.
     fn serve(&mut self, number: usize) {
         let now = self.now();
         for (account, (per_s, part)) in ACCOUNTS.into_iter().enumerate() {
-            let units = UNITS[self.draw.below(3) as usize];
+            let units = UNITS[self.random.below(3) as usize];
             let mean = UNITS.iter().sum::<u64>() as f64 / UNITS.len() as f64;
             let each_step = per_s * part * STEP.as_secs_f64() / mean / self.entries.len() as f64;
-            let draw = self.draw.below(1_000_000) as f64 / 1e6;
+            let draw = self.random.below(1_000_000) as f64 / 1e6;
             let count = each_step as u64 + u64::from(draw < each_step.fract());
             let entry = &mut self.entries[number];
             let (mark, limit) = limit_of(account);
             for _ in 0..count {
-                entry.book.record_request(mark, &limit, units, now);
+                entry.limiter.record_request(mark, &limit, units, now);
                 entry.held.push((account, units));
             }
         }
         let entry = &mut self.entries[number];
-        let is_late = self.step >= entry.started + HELD_STEPS;
+        let is_late = self.step >= entry.started + MAX_HOLD_STEPS;
         for (account, units) in std::mem::take(&mut entry.held) {
             let entry = &mut self.entries[number];
-            if is_late || entry.book.knows_fleet_demand(limit_of(account).0, now) {
-                self.ask(number, account, units, now);
+            if is_late || entry.limiter.knows_fleet_demand(limit_of(account).0, now) {
+                self.charge(number, account, units, now);
             } else {
                 entry.held.push((account, units));
             }
         }
     }
 
-    fn ask(&mut self, number: usize, account_number: usize, units: u64, now: Instant) {
+    fn charge(&mut self, number: usize, account_number: usize, units: u64, now: Instant) {
         let entry = &mut self.entries[number];
         if entry.lease.holds(now) && self.known_version[number] == 0 {
-            // a request with the key that was taken away would run
+            // a request with the revoked key would run
             let since = self.step.saturating_sub(self.revoked);
             let late = STEP * since as u32;
-            assert!(late <= REVOKED_WITHIN, "seed {}: {late:?}", self.draw.0);
+            assert!(
+                late <= REVOCATION_DEADLINE,
+                "seed {}: {late:?}",
+                self.random.0
+            );
         }
         let (mark, limit) = limit_of(account_number);
         let is_hot = ACCOUNTS[account_number].1 > 1.0;
-        let let_in = entry.book.charge(mark, &limit, units, now).is_ok();
-        if let_in {
-            let run = self.run.entry(account_number).or_default();
-            run.push_back((self.step, units));
+        let is_admitted = entry.limiter.charge(mark, &limit, units, now).is_ok();
+        if is_admitted {
+            let admitted = self.admitted.entry(account_number).or_default();
+            admitted.push_back((self.step, units));
         }
-        if !is_hot && self.step > WARM_STEPS {
-            self.asked += 1;
-            self.refused += u64::from(!let_in);
+        if !is_hot && self.step > WARMUP_STEPS {
+            self.requested += 1;
+            self.rejected += u64::from(!is_admitted);
         }
     }
 
-    /// the most units that an account ran in one window, as a part of what it may
-    fn fullest_window(&self, account: usize) -> f64 {
+    /// Returns the maximum units admitted in one window, relative to the allowed units.
+    fn max_window_usage(&self, account: usize) -> f64 {
         let per_s = ACCOUNTS[account].0;
         let allowed = (per_s * WINDOW.as_secs_f64() + per_s) * 1.25 + 11_000.0;
-        let (mut most, mut sum, mut within) = (0, 0, VecDeque::new());
+        let (mut max, mut sum, mut in_window) = (0, 0, VecDeque::new());
         let window = (WINDOW.as_millis() / STEP.as_millis()) as u64;
-        for (step, units) in self.run.get(&account).into_iter().flatten() {
-            within.push_back((*step, *units));
+        for (step, units) in self.admitted.get(&account).into_iter().flatten() {
+            in_window.push_back((*step, *units));
             sum += units;
-            while within
+            while in_window
                 .front()
                 .is_some_and(|(first, _)| first + window < *step)
             {
-                sum -= within.pop_front().map_or(0, |(_, units)| units);
+                sum -= in_window.pop_front().map_or(0, |(_, units)| units);
             }
-            most = most.max(sum);
+            max = max.max(sum);
         }
-        most as f64 / allowed
+        max as f64 / allowed
     }
 }
 
-fn play(seed: u64, entries: usize, has_faults: bool) -> Fleet {
-    play_with_herd(seed, entries, has_faults, 0)
+fn simulate(seed: u64, entries: usize, has_faults: bool) -> Fleet {
+    simulate_with_restart(seed, entries, has_faults, 0)
 }
 
-fn play_with_herd(seed: u64, entries: usize, has_faults: bool, herd_at: u64) -> Fleet {
+fn simulate_with_restart(seed: u64, entries: usize, has_faults: bool, restart_at: u64) -> Fleet {
     let mut fleet = Fleet::new(seed, entries, has_faults);
-    fleet.herd_at = herd_at;
+    fleet.restart_at = restart_at;
     for _ in 0..STEPS {
-        fleet.pass();
+        fleet.advance();
     }
     fleet
 }
 
 #[test]
-fn no_account_runs_more_than_it_may_in_any_window_and_no_key_is_used_too_late() {
+fn no_account_exceeds_its_limit_in_any_window_and_no_revoked_key_is_used_late() {
     for seed in 0..SEEDS {
         let entries = if seed % 10 == 0 { 25 } else { 4 };
-        let fleet = play(seed, entries, true);
+        let fleet = simulate(seed, entries, true);
         for account in 0..ACCOUNTS.len() {
-            let fullest = fleet.fullest_window(account);
-            assert!(fullest <= 1.0, "seed {seed}, account {account}: {fullest}");
+            let usage = fleet.max_window_usage(account);
+            assert!(usage <= 1.0, "seed {seed}, account {account}: {usage}");
         }
     }
 }
 
-/// requests of a second come at once when the processes are back, while an account is
-/// at 3.3 times its rate and nobody knows what ran before
+/// After a fleet-wide restart held requests arrive at once and the earlier usage is unknown.
 #[test]
-fn no_account_runs_more_than_it_may_when_all_processes_are_killed() {
-    for seed in 0..HERD_SEEDS {
+fn no_account_exceeds_its_limit_when_all_processes_restart() {
+    for seed in 0..RESTART_SEEDS {
         for entries in [4, 25, 103] {
-            let fleet = play_with_herd(seed, entries, false, STEPS / 2);
+            let fleet = simulate_with_restart(seed, entries, false, STEPS / 2);
             for account in 0..ACCOUNTS.len() {
-                let fullest = fleet.fullest_window(account);
+                let usage = fleet.max_window_usage(account);
                 assert!(
-                    fullest <= 1.0,
-                    "seed {seed}, {entries} entries, account {account}: {fullest}"
+                    usage <= 1.0,
+                    "seed {seed}, {entries} entries, account {account}: {usage}"
                 );
             }
         }
@@ -457,30 +465,30 @@
 }
 
 #[test]
-fn larger_fleets_hold_to_the_limits_as_well() {
+fn larger_fleets_enforce_the_limits() {
     for entries in [103, 350] {
-        let fleet = play(1, entries, true);
+        let fleet = simulate(1, entries, true);
         for account in 0..ACCOUNTS.len() {
-            let fullest = fleet.fullest_window(account);
+            let usage = fleet.max_window_usage(account);
             assert!(
-                fullest <= 1.0,
-                "{entries} entries, account {account}: {fullest}"
+                usage <= 1.0,
+                "{entries} entries, account {account}: {usage}"
             );
         }
     }
 }
 
 #[test]
-fn without_trouble_next_to_nothing_is_refused_below_the_limit() {
+fn without_faults_almost_nothing_is_rejected_below_the_limit() {
     for entries in [4, 25, 103, 350] {
-        let fleet = play(7, entries, false);
-        assert!(fleet.asked > 1_000, "{}", fleet.asked);
-        let bound = fleet.asked / 1_000;
+        let fleet = simulate(7, entries, false);
+        assert!(fleet.requested > 1_000, "{}", fleet.requested);
+        let bound = fleet.requested / 1_000;
         assert!(
-            fleet.refused <= bound,
+            fleet.rejected <= bound,
             "{entries} entries: {} of {}",
-            fleet.refused,
-            fleet.asked
+            fleet.rejected,
+            fleet.requested
         );
     }
 }
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -1,4 +1,4 @@
-//! limits of client accounts: what one entry and a keeper decide
+//! Limits of client accounts: decisions of one entry and of an aggregator.
 
 use {
     chalkcart_coordination::{
@@ -36,49 +36,51 @@
     }
 }
 
-fn book(name: &str, entries: u32, now: Instant) -> AccountLimiter {
-    let mut book = AccountLimiter::new(settings(), name.to_string(), 1, now);
-    book.set_entry_count(Some(entries), now);
-    book.set_accounts([&account()].into_iter(), now);
-    book
+fn limiter(name: &str, entries: u32, now: Instant) -> AccountLimiter {
+    let mut limiter = AccountLimiter::new(settings(), name.to_string(), 1, now);
+    limiter.set_entry_count(Some(entries), now);
+    limiter.set_accounts([&account()].into_iter(), now);
+    limiter
 }
 
-fn charge(book: &mut AccountLimiter, units: u64, now: Instant) -> Result<(), LimitExceeded> {
-    book.record_request(account().mark, &limit(), units, now);
-    book.charge(account().mark, &limit(), units, now)
+fn charge(limiter: &mut AccountLimiter, units: u64, now: Instant) -> Result<(), LimitExceeded> {
+    limiter.record_request(account().mark, &limit(), units, now);
+    limiter.charge(account().mark, &limit(), units, now)
 }
 
-fn report(book: &mut AccountLimiter, keeper: &mut UsageAggregator, now: Instant) {
-    let report = book.usage_report(now).expect("a report");
-    let answer = keeper.on_report(report.clone(), now);
-    book.on_response(&report, &answer, now);
+fn exchange_report(limiter: &mut AccountLimiter, aggregator: &mut UsageAggregator, now: Instant) {
+    let report = limiter.usage_report(now).expect("a report");
+    let response = aggregator.on_report(report.clone(), now);
+    limiter.on_response(&report, &response, now);
 }
 
-/// nothing runs until the limits are whole; gives the time then
-fn calm_down(
-    books: &mut [AccountLimiter],
-    keeper: &mut UsageAggregator,
+/// Exchanges reports without requests until the buckets are full, and returns the time.
+fn refill(
+    limiters: &mut [AccountLimiter],
+    aggregator: &mut UsageAggregator,
     start: Instant,
 ) -> Instant {
     let mut now = start;
     for _ in 0..10 {
         now += Duration::from_millis(250);
-        books.iter_mut().for_each(|book| report(book, keeper, now));
+        limiters
+            .iter_mut()
+            .for_each(|limiter| exchange_report(limiter, aggregator, now));
     }
     now
 }
 
-/// units that an entry lets run at once
-fn run_out(book: &mut AccountLimiter, now: Instant) -> u64 {
+/// Sends requests until one is rejected, and returns the units admitted.
+fn exhaust(limiter: &mut AccountLimiter, now: Instant) -> u64 {
     let mut units = 0;
-    while charge(book, 100, now).is_ok() {
+    while charge(limiter, 100, now).is_ok() {
         units += 100;
     }
     units
 }
 
 #[test]
-fn a_bucket_pays_back_what_was_taken_beyond() {
+fn a_bucket_pays_back_overuse() {
     let now = Instant::now();
     let mut bucket = TokenBucket::new(10.0, 50.0, now);
     assert_eq!(bucket.level(now), 0.0);
@@ -88,99 +90,110 @@
     assert_eq!(
         bucket.level(later + Duration::from_secs(60)),
         50.0,
-        "no more"
+        "capped at the capacity"
     );
     bucket.spend(-100.0, later);
     assert_eq!(bucket.level(later), 50.0);
 }
 
 #[test]
-fn a_window_forgets_what_fell_out_of_it() {
+fn a_window_drops_expired_units() {
     let start = Instant::now();
     let mut sum = WindowSum::default();
     for second in 0..20 {
         sum.add(1.0, WINDOW, start + Duration::from_secs(second));
     }
     let now = start + Duration::from_secs(19);
-    assert_eq!(sum.get(WINDOW, now), 9.0, "both ends of the window");
+    assert_eq!(
+        sum.get(WINDOW, now),
+        9.0,
+        "includes both ends of the window"
+    );
     assert_eq!(sum.get(WINDOW, now + WINDOW * 2), 0.0);
 }
 
 #[test]
-fn without_a_keeper_an_entry_keeps_to_its_equal_part() {
+fn without_an_aggregator_an_entry_keeps_to_its_equal_part() {
     let now = Instant::now();
-    let mut alone = book("e", 10, now);
-    let first = run_out(&mut alone, now);
-    assert!(first <= 200, "no more than its part of the burst: {first}");
+    let mut alone = limiter("e", 10, now);
+    let first = exhaust(&mut alone, now);
+    assert!(first <= 200, "more than its part of the burst: {first}");
     let later = now + Duration::from_secs(10);
     let mut units = 0;
     for tenth in 0..100 {
         let at = now + Duration::from_millis(100 * tenth);
         units += u64::from(charge(&mut alone, 100, at).is_ok()) * 100;
     }
-    assert!(units <= 1_100, "a tenth of the rate: {units}");
+    assert!(units <= 1_100, "more than a tenth of the rate: {units}");
     let over = charge(&mut alone, 100, later).err();
     assert!(over.is_none_or(|over| over.inputs.age.is_none()));
 }
 
 #[test]
-fn with_a_keeper_one_entry_may_use_the_whole_limit() {
+fn with_an_aggregator_one_entry_may_use_the_full_limit() {
     let start = Instant::now();
-    let mut keeper = UsageAggregator::new(7);
-    let new = |n| book(&format!("e{n}"), 10, start);
-    let mut books: Vec<AccountLimiter> = (0..10).map(new).collect();
-    let now = calm_down(&mut books, &mut keeper, start);
-    let units = run_out(&mut books[3], now);
-    assert!((500..=1_400).contains(&units), "most of the burst: {units}");
-    // the rate, and what it ran beyond it are known: it has to wait, and the others
-    report(&mut books[3], &mut keeper, now);
-    let rest = run_out(&mut books[3], now);
-    assert!(units + rest >= 1_000, "the burst: {units} and {rest}");
-    books[3].refund(account().mark, 0, now);
-    report(&mut books[3], &mut keeper, now);
-    report(&mut books[5], &mut keeper, now);
-    let over = charge(&mut books[5], 100, now).expect_err("over limit");
+    let mut aggregator = UsageAggregator::new(7);
+    let new = |n| limiter(&format!("e{n}"), 10, start);
+    let mut limiters: Vec<AccountLimiter> = (0..10).map(new).collect();
+    let now = refill(&mut limiters, &mut aggregator, start);
+    let units = exhaust(&mut limiters[3], now);
+    assert!(
+        (500..=1_400).contains(&units),
+        "not most of the burst: {units}"
+    );
+    // the overuse is reported now, so all entries have to wait
+    exchange_report(&mut limiters[3], &mut aggregator, now);
+    let rest = exhaust(&mut limiters[3], now);
+    assert!(
+        units + rest >= 1_000,
+        "less than the burst: {units} and {rest}"
+    );
+    limiters[3].refund(account().mark, 0, now);
+    exchange_report(&mut limiters[3], &mut aggregator, now);
+    exchange_report(&mut limiters[5], &mut aggregator, now);
+    let over = charge(&mut limiters[5], 100, now).expect_err("over limit");
     assert!(over.inputs.age == Some(Duration::ZERO) && over.inputs.level <= Some(0.0));
     assert!(over.retry_after >= Duration::from_millis(100));
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn requests_that_did_not_run_are_refunded() {
     let start = Instant::now();
-    let mut keeper = UsageAggregator::new(7);
-    let mut books = [book("e", 1, start)];
-    let now = calm_down(&mut books, &mut keeper, start);
-    let [mut one] = books;
-    let units = run_out(&mut one, now);
-    report(&mut one, &mut keeper, now);
+    let mut aggregator = UsageAggregator::new(7);
+    let mut limiters = [limiter("e", 1, start)];
+    let now = refill(&mut limiters, &mut aggregator, start);
+    let [mut one] = limiters;
+    let units = exhaust(&mut one, now);
+    exchange_report(&mut one, &mut aggregator, now);
     assert_eq!(
         one.usage_report(now).expect("a report").accounts[0].taken,
         units as i64
     );
     one.refund(account().mark, units, now);
-    report(&mut one, &mut keeper, now);
-    let told = one.usage_report(now).expect("a report");
+    exchange_report(&mut one, &mut aggregator, now);
+    let reported = one.usage_report(now).expect("a report");
     assert_eq!(
-        (told.accounts[0].taken, told.accounts[0].told_taken),
+        (reported.accounts[0].taken, reported.accounts[0].told_taken),
         (0, 0)
     );
-    assert!(run_out(&mut one, now) >= 500);
+    assert!(exhaust(&mut one, now) >= 500);
 }
 
-/// an entry that another keeper hears takes its part of the limit with it
+/// Guards against two aggregators that each grant a full limit while entries disagree.
 #[test]
-fn two_keepers_give_out_no_more_than_one_limit() {
+fn two_aggregators_grant_no_more_than_one_limit() {
     let start = Instant::now();
-    let mut keepers = [UsageAggregator::new(1), UsageAggregator::new(2)];
-    let mut books: Vec<AccountLimiter> =
-        (0..10).map(|n| book(&format!("e{n}"), 10, start)).collect();
+    let mut aggregators = [UsageAggregator::new(1), UsageAggregator::new(2)];
+    let mut limiters: Vec<AccountLimiter> = (0..10)
+        .map(|n| limiter(&format!("e{n}"), 10, start))
+        .collect();
     let mut units = 0;
     for step in 0..320 {
         let now = start + Duration::from_millis(25 * step);
-        for (n, book) in books.iter_mut().enumerate() {
-            units += u64::from(charge(book, 100, now).is_ok()) * 100;
+        for (n, limiter) in limiters.iter_mut().enumerate() {
+            units += u64::from(charge(limiter, 100, now).is_ok()) * 100;
             if step % 10 == n as u64 {
-                report(book, &mut keepers[usize::from(n < 3)], now);
+                exchange_report(limiter, &mut aggregators[usize::from(n < 3)], now);
             }
         }
     }
@@ -190,25 +203,25 @@
 }
 
 #[test]
-fn those_that_come_back_do_not_come_together() {
+fn retries_of_rejected_requests_are_spread_out() {
     let now = Instant::now();
-    let mut one = book("e", 1, now);
-    run_out(&mut one, now);
-    let refused = (0..4).map(|_| charge(&mut one, 500, now).expect_err("over limit"));
-    let times: Vec<Duration> = refused.map(|over| over.retry_after).collect();
+    let mut one = limiter("e", 1, now);
+    exhaust(&mut one, now);
+    let rejected = (0..4).map(|_| charge(&mut one, 500, now).expect_err("over limit"));
+    let times: Vec<Duration> = rejected.map(|over| over.retry_after).collect();
     let apart = times.windows(2).map(|two| two[1].saturating_sub(two[0]));
     assert!(apart.min() >= Some(Duration::from_millis(300)), "{times:?}");
     assert!(times.iter().all(|time| *time <= Duration::from_secs(5)));
 }
 
 #[test]
-fn a_limit_that_is_taken_off_or_changed_is_so_at_once() {
+fn a_removed_or_changed_limit_takes_effect_at_once() {
     let now = Instant::now();
-    let mut one = book("e", 1, now);
+    let mut one = limiter("e", 1, now);
     assert_eq!(
         one.set_accounts([&account()].into_iter(), now),
         [],
-        "the same"
+        "unchanged limits are not reported"
     );
     let raised = RateLimit {
         per_s: 5_000.0,
@@ -219,42 +232,48 @@
     assert_eq!(changed[0].bounds.granted_per_s, 5_000.0);
     let free = ClientAccount::new("acme", 1, None);
     one.set_accounts([&free].into_iter(), now);
-    assert!(one.usage_report(now).is_none(), "nothing is limited");
+    assert!(one.usage_report(now).is_none(), "no account has a limit");
 }
 
 #[test]
-fn entries_with_one_list_choose_one_keeper_and_come_back_to_it() {
+fn entries_with_the_same_list_select_the_same_aggregator_and_return_to_it() {
     let now = Instant::now();
     let engine = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
     let engines: Vec<SocketAddr> = (1..40).map(engine).collect();
     let reversed: Vec<SocketAddr> = engines.iter().rev().copied().collect();
     let mut one = AggregatorSelector::new(AggregatedState::Limits);
     let mut other = AggregatorSelector::new(AggregatedState::Limits);
-    let first = one.select(&engines, now).expect("a keeper");
+    let first = one.select(&engines, now).expect("an aggregator");
     assert_eq!(other.select(&reversed, now), Some(first));
     one.on_failure(first, now);
-    assert_eq!(one.select(&engines, now), Some(first), "once is no reason");
+    assert_eq!(
+        one.select(&engines, now),
+        Some(first),
+        "one failure is tolerated"
+    );
     one.on_failure(first, now);
-    let next = one.select(&engines, now).expect("another");
+    let next = one.select(&engines, now).expect("another aggregator");
     assert_ne!(next, first);
     let later = now + Duration::from_secs(4);
     assert_eq!(one.select(&engines, later), Some(first));
     assert_eq!(one.select(&[], later), None);
 }
 
-/// it knows only later how many entries there are
+/// A restarted entry doesn't know the number of entries yet.
 #[test]
-fn an_entry_that_has_just_started_takes_nothing_from_the_others() {
+fn a_restarted_entry_leaves_the_level_of_the_others_unchanged() {
     let start = Instant::now();
-    let mut keeper = UsageAggregator::new(7);
-    let mut books: Vec<AccountLimiter> = (0..4).map(|n| book(&format!("e{n}"), 4, start)).collect();
-    let now = calm_down(&mut books, &mut keeper, start);
+    let mut aggregator = UsageAggregator::new(7);
+    let mut limiters: Vec<AccountLimiter> = (0..4)
+        .map(|n| limiter(&format!("e{n}"), 4, start))
+        .collect();
+    let now = refill(&mut limiters, &mut aggregator, start);
     let mut restarted = AccountLimiter::new(settings(), "e0".to_string(), 2, now);
     restarted.set_accounts([&account()].into_iter(), now);
-    report(&mut restarted, &mut keeper, now);
-    report(&mut books[1], &mut keeper, now);
-    let units = run_out(&mut books[1], now);
-    report(&mut books[1], &mut keeper, now);
-    let units = units + run_out(&mut books[1], now);
-    assert!(units >= 1_000, "the whole burst: {units}");
+    exchange_report(&mut restarted, &mut aggregator, now);
+    exchange_report(&mut limiters[1], &mut aggregator, now);
+    let units = exhaust(&mut limiters[1], now);
+    exchange_report(&mut limiters[1], &mut aggregator, now);
+    let units = units + exhaust(&mut limiters[1], now);
+    assert!(units >= 1_000, "less than the full burst: {units}");
 }
--- a/coordination/tests/run_once.rs
+++ b/coordination/tests/run_once.rs
@@ -1,5 +1,5 @@
-//! the run-once table against every order of copies, cancels, starts, ends
-//! and reservations, with fixed seeds
+//! The run-once table under random sequences of reservations, copies, starts, cancellations
+//! and completions, with fixed seeds.
 
 use {
     chalkcart_coordination::run_once::{Admission, RunOnceSettings, RunOnceTable},
@@ -25,9 +25,9 @@
     })
 }
 
-/// apply random operations; true if no id started twice and no id started
-/// after it was said not to have run
-fn keeps_its_word(codes: Vec<u16>) -> bool {
+/// Applies random operations, and returns whether no id started twice or after it was
+/// reported as not run.
+fn runs_at_most_once(codes: Vec<u16>) -> bool {
     let mut table = new_table();
     let mut now = Instant::now();
     let mut ids: Vec<ReservedId> = Vec::new();
@@ -68,21 +68,21 @@
             _ => table.finish(&id, Outcome::Ran),
         }
     }
-    let once = starts.values().all(|n| *n == 1);
-    let word = not_run.iter().all(|id| !starts.contains_key(id));
-    once && word && table.len() <= CAPACITY
+    let is_started_once = starts.values().all(|n| *n == 1);
+    let is_never_run = not_run.iter().all(|id| !starts.contains_key(id));
+    is_started_once && is_never_run && table.len() <= CAPACITY
 }
 
 #[test]
-fn no_order_of_events_starts_an_id_twice_or_breaks_a_not_run() {
+fn no_sequence_of_events_starts_an_id_twice_or_after_not_run() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(400, SEED))
         .tests(2_000)
-        .quickcheck(keeps_its_word as fn(Vec<u16>) -> bool);
+        .quickcheck(runs_at_most_once as fn(Vec<u16>) -> bool);
 }
 
 #[test]
-fn a_copy_after_the_first_is_never_the_first_again() {
+fn later_copies_are_duplicates() {
     let now = Instant::now();
     let mut table = new_table();
     let id = table.reserve(1, now, || 5).expect("room").remove(0);
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn ids_of_others_are_refused() {
+fn invalid_ids_are_rejected() {
     let now = Instant::now();
     let mut table = new_table();
     let id = table.reserve(1, now, || 5).expect("room").remove(0);
     let cases = [
         (
-            "guessed",
+            "guessed secret",
             ReservedId {
                 secret: 6,
                 ..id.clone()
@@ -110,7 +110,7 @@
             Outcome::NotRun,
         ),
         (
-            "never given",
+            "never issued",
             ReservedId {
                 number: 9,
                 ..id.clone()
@@ -118,7 +118,7 @@
             Outcome::NotRun,
         ),
         (
-            "of an earlier process",
+            "issued by an earlier process",
             ReservedId {
                 incarnation: 6,
                 ..id.clone()
@@ -127,13 +127,13 @@
         ),
     ];
     for (case, id, outcome) in cases {
-        let refused = table.admit(&id, now).expect_err(case);
-        assert_eq!(refused.outcome(), outcome, "{case}");
+        let error = table.admit(&id, now).expect_err(case);
+        assert_eq!(error.outcome(), outcome, "{case}");
     }
 }
 
 #[test]
-fn an_unused_id_expires_and_a_forgotten_one_may_have_run() {
+fn an_unused_id_expires_and_an_evicted_id_may_have_run() {
     let now = Instant::now();
     let mut table = new_table();
     let ids = table.reserve(CAPACITY as u32, now, || 5).expect("room");
@@ -145,7 +145,7 @@
     );
     table
         .reserve(1, later, || 5)
-        .expect("the oldest is dropped");
-    let forgotten = table.admit(&ids[0], later).expect_err("forgotten");
-    assert_eq!(forgotten.outcome(), Outcome::MayHaveRun);
+        .expect("the oldest id is evicted");
+    let evicted = table.admit(&ids[0], later).expect_err("evicted");
+    assert_eq!(evicted.outcome(), Outcome::MayHaveRun);
 }
