--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -1,7 +1,7 @@
 //! what back ends say of themselves in the heads of their answers
 
 mod dispatch_fixture;
-mod keeper_fixture;
+mod placement_fixture;
 
 use {
     chalkcart_coordination::{
@@ -11,7 +11,7 @@
     },
     chalkcart_state::backends::Backend,
     dispatch_fixture::*,
-    keeper_fixture::{holding, Keeper, ENGINE},
+    placement_fixture::{holding, PlacementFixture, ENGINE},
     std::time::Duration,
 };
 
@@ -248,8 +248,8 @@
 }
 
 /// a sidecar whose engine holds its base model and is known by name
-fn keeper() -> Keeper {
-    let mut keeper = Keeper::new();
+fn keeper() -> PlacementFixture {
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper.report(holding(0, &["m"], &[]));
     keeper.identify();
@@ -317,7 +317,7 @@
 /// one that says it of the next life.
 #[test]
 fn a_sidecar_passes_on_what_its_engine_takes_and_forgets_it_with_its_life() {
-    let mut keeper = Keeper::new();
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&[], &[]);
     keeper.identify();
     let word = OwnWord::default()
--- a/coordination/tests/keeper_fixture/mod.rs
+++ b/coordination/tests/placement_fixture/mod.rs
@@ -16,12 +16,12 @@
 
 pub const ENGINE: &str = "engines-1";
 
-pub struct Keeper {
+pub struct PlacementFixture {
     pub control: PlacementControl,
     pub now: Instant,
 }
 
-impl Keeper {
+impl PlacementFixture {
     pub fn new() -> Self {
         Self {
             control: PlacementControl::new(PlacementSettings::default(), 1),
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -1,7 +1,7 @@
 //! engines that start again under the name that they had
 
 mod dispatch_fixture;
-mod keeper_fixture;
+mod placement_fixture;
 
 use {
     chalkcart_coordination::{
@@ -11,7 +11,7 @@
     chalkcart_protocol::peer::EngineView,
     chalkcart_state::backends::{Backend, BackendId},
     dispatch_fixture::*,
-    keeper_fixture::{holding, Keeper},
+    placement_fixture::{holding, PlacementFixture},
     std::time::Duration,
 };
 
@@ -178,14 +178,14 @@
 }
 
 /// one whose engine is wanted to hold an adapter
-fn keeper() -> Keeper {
-    let mut keeper = Keeper::new();
+fn keeper() -> PlacementFixture {
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper
 }
 
 /// the engine is asked for its name, and tells it
-fn identify(keeper: &mut Keeper) {
+fn identify(keeper: &mut PlacementFixture) {
     assert!(matches!(keeper.step(), PlacementStep::Identify { .. }));
     keeper.identify();
 }
@@ -274,7 +274,7 @@
 /// before: between two of its steps the engine may have been ordered, emptied or replaced.
 #[test]
 fn no_order_is_given_by_what_was_read_before_a_pause() {
-    let mut keeper = Keeper::new();
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper.report(holding(FIRST, &["m"], &[]));
     keeper.identify();
@@ -298,7 +298,7 @@
 #[test]
 fn a_sidecar_that_learns_the_engine_s_name_knows_what_it_holds() {
     let full = [("a", 1), ("b", 1), ("c", 1), ("d", 1)];
-    let mut keeper = Keeper::new();
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&["e"], &[]);
     keeper.report(holding(0, &["m"], &full));
     assert!(matches!(keeper.step(), PlacementStep::Identify { .. }));
--- a/coordination/tests/versions.rs
+++ b/coordination/tests/versions.rs
@@ -1,7 +1,7 @@
 //! new versions of an adapter, several of them on their way at once
 
 mod dispatch_fixture;
-mod keeper_fixture;
+mod placement_fixture;
 
 use {
     chalkcart_coordination::{
@@ -10,7 +10,7 @@
     },
     chalkcart_state::backends::HeldAdapter,
     dispatch_fixture::*,
-    keeper_fixture::Keeper,
+    placement_fixture::PlacementFixture,
     std::time::Duration,
 };
 
@@ -88,7 +88,7 @@
     }]
 }
 
-fn orders_replacement(keeper: &mut Keeper) -> bool {
+fn orders_replacement(keeper: &mut PlacementFixture) -> bool {
     let replacement = OrderKind::LoadAdapter(adapter("a"));
     keeper
         .order()
@@ -97,20 +97,20 @@
 
 #[test]
 fn a_version_named_while_the_one_before_is_loaded_is_ordered_next() {
-    let mut keeper = Keeper::new();
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&[], &[]);
-    keeper.report(keeper_fixture::holding(0, &["m"], &[("a", 1)]));
+    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 1)]));
     keeper.identify();
     keeper.demand(&[], &knows(2));
     assert!(orders_replacement(&mut keeper));
     // version 2 is on its way; 3 is named meanwhile
-    let mut loading = keeper_fixture::holding(0, &["m"], &[("a", 1)]);
+    let mut loading = placement_fixture::holding(0, &["m"], &[("a", 1)]);
     loading.loading = vec![adapter("a")];
     keeper.report(loading);
     keeper.demand(&[], &knows(3));
     keeper.now += ms(250);
-    keeper.report(keeper_fixture::holding(0, &["m"], &[("a", 2)]));
+    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 2)]));
     assert!(orders_replacement(&mut keeper));
-    keeper.report(keeper_fixture::holding(0, &["m"], &[("a", 3)]));
+    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 3)]));
     assert!(!orders_replacement(&mut keeper));
 }
