--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -130,7 +130,7 @@
             let bucket = bucket.or_insert_with(|| SharedBucket::new(bounds, entries, phase, now));
             bucket.set_bounds(bounds, entries, now);
         }
-        self.accounts.retain(|mark, _| limited.contains(mark));
+        self.accounts.retain(|account, _| limited.contains(account));
         changed
     }
 
--- a/coordination/tests/account_turns.rs
+++ b/coordination/tests/account_turns.rs
@@ -1,4 +1,4 @@
-//! no account keeps another one waiting by asking for much
+//! Fairness between accounts: a flood of one account doesn't delay the others.
 
 use {
     chalkcart_coordination::dispatch::AccountTurns,
@@ -8,12 +8,12 @@
 
 const SEED: u64 = 31;
 const CASES: u64 = 200;
-/// requests of each account that wait all the time
+/// Number of queued requests of each account.
 const BACKLOG: usize = 30;
 const SERVED: usize = 200;
 
-/// units that each account has had after so many services, while all have requests
-/// that wait; `sizes` are those of the accounts' requests
+/// Returns the units served per account while all accounts have queued requests; `sizes` are
+/// the sizes of the accounts' requests.
 fn served(sizes: &[u32]) -> HashMap<u64, u64> {
     let mut turns = AccountTurns::default();
     let mut waiting = BTreeSet::new();
@@ -49,27 +49,27 @@
     let largest = u64::from(sizes.iter().copied().max().unwrap_or(0));
     let most = had.values().copied().max().unwrap_or(0);
     let all_had = (0..sizes.len() as u64).map(|a| had.get(&a).copied().unwrap_or(0));
-    // never further apart than two of the largest requests
+    // the difference is at most two of the largest requests
     all_had.min().unwrap_or(0) + 2 * largest >= most
 }
 
 #[test]
-fn accounts_that_all_wait_are_served_alike_whatever_the_size_of_their_requests() {
+fn queued_accounts_are_served_equally_regardless_of_request_size() {
     let gen = Gen::from_size_and_seed(20, SEED);
     let mut check = QuickCheck::new().rng(gen).tests(CASES);
     check.quickcheck(parts_are_even as fn(Vec<u16>) -> bool);
 }
 
 #[test]
-fn who_comes_late_with_little_is_served_before_the_rest_of_a_flood() {
+fn a_small_account_is_served_before_the_rest_of_a_flood() {
     let mut turns = AccountTurns::default();
     let flood: Vec<u64> = (0..100).map(|_| turns.next(Some(1), 1_000)).collect();
     turns.on_served(flood[10]);
     let late = turns.next(Some(2), 1_000);
     assert!(late < flood[12], "{late}");
-    // what left unserved is no debt of its account
+    // requests that left the queue unserved are not charged to their account
     (0..100).for_each(|_| turns.on_left(Some(1), 1_000));
     assert!(turns.next(Some(1), 1_000) <= late);
-    // without accounts requests are served as they arrive
+    // requests without an account are served in order of arrival
     assert_eq!(turns.next(None, 5), turns.next(None, 5));
 }
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Requests whose route or client account names the regions in which they may be served.
+//! Requests whose route or client account restricts the regions that may serve them.
 
 mod dispatch_fixture;
 
@@ -16,7 +16,7 @@
     AllowedRegions::only(names.iter().map(ToString::to_string))
 }
 
-/// a back end in the zone of a region; zone and region have the same name here
+/// Returns a back end in a region's only zone, which has the name of the region.
 fn in_region(service: &str, number: u8, region: &str) -> Backend {
     Backend {
         zone: region.to_string(),
@@ -46,10 +46,9 @@
     numbered.map(|(n, r)| in_region(service, n, r)).collect()
 }
 
-/// Guards against: a request that is served where its route does not allow it, since nothing
-/// compares regions.
+/// Guards against serving a request in a region that its route doesn't allow.
 #[test]
-fn a_bound_request_goes_to_its_regions_alone() {
+fn a_restricted_request_is_sent_to_its_regions_only() {
     let mut fixture = fixture(of_each_region(PLAIN));
     for ticket in 0..20 {
         let ask = bound(&fixture, PLAIN, None, &["south"]);
@@ -58,15 +57,15 @@
     }
 }
 
-/// Guards against: a way past the bound where the regions' own back ends are gone, fail or are
-/// full.
+/// Guards against ignoring the restriction when the back ends of the allowed regions are gone,
+/// fail or are full.
 #[test]
-fn it_is_refused_at_once_where_they_have_none() {
+fn it_is_rejected_at_once_if_its_regions_have_no_back_end() {
     let mut fixture = fixture(of_each_region(PLAIN));
     let ask = bound(&fixture, PLAIN, None, &["south"]);
     fixture.ask(1, ask);
     fixture.end(1, SendOutcome::Unreachable);
-    // one that rests is tried where no other may be
+    // a back end in back-off is tried if no other is allowed
     let ask = bound(&fixture, PLAIN, None, &["south"]);
     assert_eq!(sent_to(&fixture.ask(2, ask)), ["plain-3"]);
     fixture.end(2, SendOutcome::Answered);
@@ -82,9 +81,9 @@
     }
 }
 
-/// Guards against: a repeat, or what waits, that goes past the bound of the first send.
+/// Guards against ignoring the restriction for retries and queued requests.
 #[test]
-fn repeats_and_what_waits_are_bound_as_well() {
+fn retries_and_queued_requests_are_restricted() {
     let mut fixture = fixture(of_each_region(PLAIN));
     let repeat = Ask {
         sends: 1,
@@ -100,9 +99,9 @@
     assert!(sent_to(&fixture.pass(ms(25))).is_empty());
 }
 
-/// Guards against: adapters that are brought where their requests may not be served.
+/// Guards against loading adapters in regions that may not serve their requests.
 #[test]
-fn adapters_are_brought_to_their_regions() {
+fn adapters_are_loaded_in_the_allowed_regions() {
     let mut fixture = fixture(of_each_region(ENGINES));
     for number in 1..=3 {
         fixture.view(number, view(&format!("engines-{number}"), &[]));
@@ -112,9 +111,9 @@
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
-/// Guards against: the wish of one region that ends that of another for the same adapter.
+/// Guards against a load request of one region that replaces that of another.
 #[test]
-fn two_regions_wish_for_the_same_adapter() {
+fn two_regions_request_the_same_adapter() {
     let mut fixture = fixture(of_each_region(ENGINES));
     for number in 1..=3 {
         fixture.view(number, view(&format!("engines-{number}"), &[]));
@@ -130,9 +129,9 @@
     );
 }
 
-/// Guards against: a holder elsewhere that keeps an adapter from being brought.
+/// Guards against not loading an adapter because an engine in another region holds it.
 #[test]
-fn a_holder_elsewhere_does_not_count() {
+fn a_holder_in_another_region_does_not_count() {
     let mut fixture = fixture(of_each_region(ENGINES));
     fixture.view(1, view("engines-1", &[("a", 1)]));
     for number in 2..=3 {
@@ -143,9 +142,9 @@
     assert_eq!(fixture.homes("a"), ["engines-3"]);
 }
 
-/// Guards against: a back end whose zone no region is known of.
+/// Guards against sending restricted requests to a zone whose region is unknown.
 #[test]
-fn a_zone_of_no_known_region_serves_what_is_not_bound_alone() {
+fn a_zone_without_a_known_region_serves_unrestricted_requests_only() {
     let mut fixture = fixture(vec![in_region(PLAIN, 1, "new-zone")]);
     let ask = bound(&fixture, PLAIN, None, &["north"]);
     assert!(sent_to(&fixture.ask(1, ask)).is_empty());
@@ -154,7 +153,7 @@
 }
 
 #[test]
-fn both_a_route_and_an_account_bind() {
+fn restrictions_of_route_and_account_are_combined() {
     let any = AllowedRegions::default();
     let (north, both) = (only(&["north"]), only(&["north", "south"]));
     assert_eq!(any.and(&north), north);
@@ -163,7 +162,7 @@
     let none = north.and(&only(&["south"]));
     assert!(!none.allows_each());
     assert!(!REGIONS.iter().any(|r| none.allows(Some(&r.to_string()))));
-    // an empty list binds to nothing, as an absent one
+    // an empty list doesn't restrict
     assert_eq!(only(&[]), any);
 }
 
@@ -173,9 +172,9 @@
 }
 
 quickcheck! {
-    /// of any fleet, by any bounds of route and account: whatever is sent is sent where both
-    /// allow it, and it is sent if any sound back end is there
-    fn what_is_sent_is_sent_where_a_plain_model_allows_it(
+    /// A request is sent only to regions that both the route and the account allow, and it is
+    /// sent if a healthy back end is there.
+    fn requests_are_sent_where_the_reference_model_allows(
         zones: Vec<u8>, route: u8, account: u8, leaving: Vec<bool>
     ) -> TestResult {
         let zones: Vec<&str> = zones.iter().take(12).map(|z| REGIONS[usize::from(z % 3)]).collect();
@@ -183,7 +182,7 @@
             leaving: leaving.get(usize::from(n)).copied().unwrap_or(false),
             ..in_region(PLAIN, n, zone)
         }).collect();
-        // the plain model: sets of names
+        // reference model: sets of region names
         let set = |mask: u8| -> HashSet<&str> {
             let names = drawn(mask);
             if names.is_empty() { REGIONS.into() } else { names.into_iter().collect() }
@@ -206,9 +205,9 @@
     }
 }
 
-/// Guards against: zones that are emptied, which are tried where no other may be.
+/// Guards against using an evacuated zone as the last resort.
 #[test]
-fn an_emptied_zone_is_none_of_them() {
+fn an_evacuated_zone_is_not_used() {
     let mut fixture = fixture(of_each_region(PLAIN));
     fixture.tell(DispatchEvent::Evacuated(HashSet::from([
         "south".to_string()
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -157,7 +157,7 @@
     fixture.pass(ms(1_100));
     fixture.view(1, without_state());
     assert_eq!(suspected(&mut fixture), []);
-    // a later report says so
+    // a later report shows it
     fixture.view(1, down(without_state()));
     assert_eq!(suspected(&mut fixture), [digest("one")]);
 }
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -68,7 +68,7 @@
     ClientAccount::new(&format!("account-{number}"), 1, Some(limit))
 }
 
-/// Returns the id and the limit of an account.
+/// Returns the fingerprint and the limit of an account.
 fn limit_of(number: usize) -> (AccountMark, RateLimit) {
     static LIMITS: OnceLock<Vec<(AccountMark, RateLimit)>> = OnceLock::new();
     let limits = LIMITS.get_or_init(|| {
@@ -358,9 +358,11 @@
             let draw = self.random.below(1_000_000) as f64 / 1e6;
             let count = each_step as u64 + u64::from(draw < each_step.fract());
             let entry = &mut self.entries[number];
-            let (mark, limit) = limit_of(account);
+            let (fingerprint, limit) = limit_of(account);
             for _ in 0..count {
-                entry.limiter.record_request(mark, &limit, units, now);
+                entry
+                    .limiter
+                    .record_request(fingerprint, &limit, units, now);
                 entry.held.push((account, units));
             }
         }
@@ -388,9 +390,12 @@
                 self.random.0
             );
         }
-        let (mark, limit) = limit_of(account_number);
+        let (fingerprint, limit) = limit_of(account_number);
         let is_hot = ACCOUNTS[account_number].1 > 1.0;
-        let is_admitted = entry.limiter.charge(mark, &limit, units, now).is_ok();
+        let is_admitted = entry
+            .limiter
+            .charge(fingerprint, &limit, units, now)
+            .is_ok();
         if is_admitted {
             let admitted = self.admitted.entry(account_number).or_default();
             admitted.push_back((self.step, units));
--- a/coordination/tests/placement_fixture/mod.rs
+++ b/coordination/tests/placement_fixture/mod.rs
@@ -1,6 +1,6 @@
-//! the keeper of one engine, with its clock and the demand of one entry
+//! Placement control of one engine, with a clock and the demand of one entry.
 
-// each test file uses a part of it
+// each test file uses only some of the functions
 #![allow(dead_code)]
 
 use {
@@ -31,11 +31,11 @@
     fn handle(&mut self, event: PlacementEvent) {
         self.control.handle(event, self.now);
     }
-    /// an entry says what it needs, as it does each second
+    /// Reports the demand of an entry, as entries do every second.
     pub fn demand(&mut self, wanted: &[&str], outdated: &[HeldAdapter]) {
         self.demand_of(ENGINE, wanted, outdated);
     }
-    /// the same of an engine under this name
+    /// Reports the demand of an entry for an engine with this name.
     pub fn demand_of(&mut self, engine: &str, wanted: &[&str], outdated: &[HeldAdapter]) {
         let wanted = wanted.iter().map(|name| WantedAdapter {
             adapter: adapter(name),
@@ -68,7 +68,7 @@
     pub fn report(&mut self, report: EngineReport) {
         self.handle(PlacementEvent::Report(report));
     }
-    /// the engine tells its name
+    /// Reports the name of the engine.
     pub fn identify(&mut self) {
         self.identify_as(ENGINE);
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// an engine that holds adapters in one version
+/// Returns the report of an engine that holds these adapters and versions.
 pub fn holding(born: u64, models: &[&str], held: &[(&str, u64)]) -> EngineReport {
     let held = held.iter().map(|(name, version)| HeldAdapter {
         adapter: adapter(name),
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -1,4 +1,4 @@
-//! engines that start again under the name that they had
+//! Engines that restart under the same name.
 
 mod dispatch_fixture;
 mod placement_fixture;
@@ -18,7 +18,7 @@
 const FIRST: u64 = 1_700_000_000_000;
 const SECOND: u64 = FIRST + 5_000;
 const THIRD: u64 = FIRST + 9_000;
-/// of a life whose clock stepped back
+/// Start time of an incarnation whose clock was set back.
 const EARLIER: u64 = FIRST - 60_000;
 
 fn id(born: u64) -> BackendId {
@@ -44,7 +44,7 @@
     view
 }
 
-/// where a request for an adapter goes, if it goes at once
+/// Returns the back end to which a request for an adapter is sent immediately, if any.
 fn goes_to(fixture: &mut Fixture, ticket: u64, wanted: &str) -> Option<String> {
     let ask = fixture.new_ask(ENGINES, Some(wanted));
     let sent = sent_to(&fixture.ask(ticket, ask));
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn the_sidecar_s_word_of_a_new_life_ends_the_former_at_once() {
+fn a_sidecar_s_report_of_a_new_incarnation_ends_the_previous_at_once() {
     for born in [SECOND, EARLIER] {
         let mut fixture = Fixture::new(vec![listed(FIRST)]);
         fixture.view(1, said(FIRST, &[("a", 1)]));
         assert_eq!(goes_to(&mut fixture, 1, "a"), text(FIRST));
         fixture.view(1, said(born, &[]));
-        assert_eq!(goes_to(&mut fixture, 2, "a"), None, "nothing is held");
+        assert_eq!(goes_to(&mut fixture, 2, "a"), None, "no adapter is held");
         fixture.view(1, said(born, &[("a", 1)]));
         assert_eq!(goes_to(&mut fixture, 3, "a"), text(born));
-        // the list lags, then follows
+        // the list is stale at first
         fixture.list(vec![listed(FIRST)]);
         assert_eq!(goes_to(&mut fixture, 4, "a"), text(born));
         fixture.list(vec![listed(born)]);
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn the_list_s_word_of_a_later_life_ends_the_former_at_once() {
+fn a_listed_later_incarnation_ends_the_previous_at_once() {
     let mut fixture = Fixture::new(vec![listed(FIRST)]);
     fixture.view(1, said(FIRST, &[("a", 1)]));
     fixture.list(vec![listed(SECOND)]);
-    // its sidecar is frozen: its last word is of the former life
+    // its sidecar is frozen, and its last view is of the previous incarnation
     assert_eq!(goes_to(&mut fixture, 1, "a"), None);
     fixture.tell(DispatchEvent::ViewLost(id(FIRST)));
     assert_eq!(goes_to(&mut fixture, 2, "a"), None);
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_late_word_of_a_former_life_changes_nothing() {
+fn a_late_report_of_a_previous_incarnation_is_ignored() {
     for born in [SECOND, EARLIER] {
         let mut fixture = Fixture::new(vec![listed(FIRST)]);
         fixture.view(1, said(FIRST, &[("a", 1)]));
         fixture.now += ms(500);
         fixture.view(1, said(born, &[("b", 1)]));
-        // by a relay that has not heard the sidecar since
+        // from a relay without a newer report of the sidecar
         fixture.view(1, aged(said(FIRST, &[("a", 1)]), 300));
         assert_eq!(goes_to(&mut fixture, 1, "a"), None);
         assert_eq!(goes_to(&mut fixture, 2, "b"), text(born));
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn health_places_drain_and_memory_end_with_the_life() {
+fn health_slots_drain_and_history_are_reset_with_the_incarnation() {
     let mut fixture = Fixture::new(vec![listed(FIRST), backend(ENGINES, 2)]);
     fixture.view(2, view("engines-2", &[]));
     fixture.view(1, said(FIRST, &[("a", 1)]));
-    // four places taken, then it fails, and drains
+    // four slots are taken, then the engine fails and drains
     for ticket in 0..4 {
         let ask = fixture.new_ask(ENGINES, Some("a"));
         assert_eq!(sent_to(&fixture.ask(ticket, ask)).len(), 1);
@@ -135,14 +135,14 @@
         let sent = sent_to(&fixture.ask(ticket, ask));
         assert_eq!(sent, [id(SECOND).to_string()], "{ticket}");
     }
-    // what ran in the former life frees no place of this one
+    // runs of the previous incarnation free no slot of this one
     (0..4).for_each(|ticket| fixture.end(ticket, SendOutcome::Failed));
     let ask = fixture.new_ask(ENGINES, Some("a"));
-    assert!(fixture.ask(30, ask).is_empty(), "four places");
+    assert!(fixture.ask(30, ask).is_empty(), "all four slots are taken");
 }
 
 #[test]
-fn a_life_that_restarts_five_times_is_the_last_one_that_was_heard_of() {
+fn after_five_restarts_the_last_reported_incarnation_is_used() {
     let mut fixture = Fixture::new(vec![listed(FIRST)]);
     for life in 0..5 {
         fixture.now += ms(200);
@@ -152,14 +152,13 @@
     for life in 0..5 {
         let held = goes_to(&mut fixture, life, &format!("of-{life}"));
         let expected = (life == 4).then(|| id(FIRST + life).to_string());
-        assert_eq!(held, expected, "life {life}");
+        assert_eq!(held, expected, "incarnation {life}");
     }
 }
 
-/// the address of an engine that is gone may go to a back end of another service, whose
-/// life no sidecar tells
+/// The address of a removed engine may be reused by a back end of a service without sidecars.
 #[test]
-fn an_address_that_another_service_got_is_used_by_it() {
+fn an_address_reused_by_another_service_is_used_for_it() {
     for falls_silent in [true, false] {
         let mut fixture = Fixture::new(vec![listed(FIRST), backend(ENGINES, 2)]);
         fixture.view(1, said(FIRST, &[("a", 1)]));
@@ -173,30 +172,34 @@
         fixture.list(vec![reused.clone(), backend(ENGINES, 2)]);
         let ask = fixture.new_ask(PLAIN, None);
         let sent = sent_to(&fixture.ask(1, ask));
-        assert_eq!(sent, [reused.id.to_string()], "silent: {falls_silent}");
+        assert_eq!(
+            sent,
+            [reused.id.to_string()],
+            "sidecar unresponsive: {falls_silent}"
+        );
     }
 }
 
-/// one whose engine is wanted to hold an adapter
+/// Creates a placement whose engine is to hold an adapter.
 fn keeper() -> PlacementFixture {
     let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper
 }
 
-/// the engine is asked for its name, and tells it
+/// Expects a query for the engine's name and responds to it.
 fn identify(keeper: &mut PlacementFixture) {
     assert!(matches!(keeper.step(), PlacementStep::Identify { .. }));
     keeper.identify();
 }
 
 #[test]
-fn a_sidecar_speaks_of_the_new_life_and_of_nothing_that_it_held() {
+fn a_sidecar_reports_the_new_incarnation_without_the_adapters_of_the_previous() {
     for born in [SECOND, EARLIER] {
         let mut keeper = keeper();
         keeper.report(holding(FIRST, &["m"], &[("a", 1), ("b", 1)]));
         identify(&mut keeper);
-        // one adapter that left in this life may come back fast
+        // an adapter unloaded in this incarnation can be reloaded from the host cache
         keeper.report(holding(FIRST, &["m"], &[("a", 1)]));
         assert_eq!(keeper.view().lately, [adapter_mark(&adapter("b"))]);
         keeper.report(holding(born, &["m"], &[]));
@@ -204,30 +207,33 @@
         assert_eq!(view.backend, id(born));
         assert_eq!((view.held, view.lately), (Vec::new(), Vec::new()));
         identify(&mut keeper);
-        let order = keeper.order().expect("what is wanted is ordered anew");
+        let order = keeper.order().expect("the wanted adapter is ordered again");
         assert_eq!(order.kind, OrderKind::LoadAdapter(adapter("a")));
         assert_eq!(order.backend, id(born));
     }
 }
 
 #[test]
-fn an_order_without_an_answer_is_given_to_the_new_life_at_once() {
+fn an_order_without_a_response_is_sent_to_the_new_incarnation_at_once() {
     let mut keeper = keeper();
     keeper.report(holding(FIRST, &["m"], &[]));
     identify(&mut keeper);
     let order = keeper.order().expect("an order");
     keeper.answer(order, OrderAnswer::Unknown);
     keeper.report(holding(FIRST, &["m"], &[]));
-    assert_eq!(keeper.order(), None, "it rests in the same life");
+    assert_eq!(
+        keeper.order(),
+        None,
+        "no order to the same incarnation during the back-off"
+    );
     keeper.report(holding(SECOND, &["m"], &[]));
     identify(&mut keeper);
     assert!(keeper.order().is_some());
 }
 
-/// the weight store allows some loads a second over all engines: an engine that starts
-/// again five times in a row takes no more of them than one that starts once
+/// Guards against an engine in a restart loop that uses up the weight store's rate of loads.
 #[test]
-fn the_base_model_is_ordered_at_once_and_once_in_a_while() {
+fn the_base_model_is_ordered_at_once_and_at_a_limited_rate() {
     let mut keeper = keeper();
     keeper.report(holding(FIRST, &["m"], &[]));
     identify(&mut keeper);
@@ -240,7 +246,7 @@
         identify(&mut keeper);
         if let Some(order) = keeper.order() {
             assert_eq!(order.kind, OrderKind::LoadModel("m".to_string()));
-            assert_eq!(life, 1, "at once");
+            assert_eq!(life, 1, "ordered after the first restart");
             keeper.answer(order, OrderAnswer::Taken);
             ordered += 1;
         }
@@ -253,9 +259,9 @@
     assert!(keeper.order().is_some());
 }
 
-/// another name at the same address: the list has both for a while
+/// While the list has two names at one address, the ended incarnation must not be used.
 #[test]
-fn a_life_that_has_ended_is_not_used_again_when_the_sidecar_falls_silent() {
+fn an_ended_incarnation_is_not_used_when_the_sidecar_becomes_unresponsive() {
     let other = Backend {
         id: "other".into(),
         ..backend(ENGINES, 1)
@@ -270,19 +276,19 @@
     }
 }
 
-/// A process that did not run, or whose machine was suspended, knew the engine as it was
-/// before: between two of its steps the engine may have been ordered, emptied or replaced.
+/// After a suspension of the sidecar its state is stale: the engine may have been controlled by
+/// another process or replaced meanwhile.
 #[test]
-fn no_order_is_given_by_what_was_read_before_a_pause() {
+fn no_order_is_based_on_a_report_from_before_a_suspension() {
     let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper.report(holding(FIRST, &["m"], &[]));
     keeper.identify();
     keeper.report(holding(FIRST, &["m"], &[]));
-    assert!(keeper.order().is_some(), "before the pause");
+    assert!(keeper.order().is_some(), "before the suspension");
     keeper.now += Duration::from_secs(2);
     keeper.demand(&["a"], &[]);
-    assert_eq!(keeper.order(), None, "after it");
+    assert_eq!(keeper.order(), None, "after the suspension");
     keeper.report(holding(SECOND, &["m"], &[]));
     keeper.identify();
     keeper.report(holding(SECOND, &["m"], &[]));
@@ -290,13 +296,10 @@
     assert_eq!(order.map(|o| o.backend.born), Some(SECOND));
 }
 
-/// Seen: an engine with two places got an order for a third adapter, which makes it end. How
-/// it came about: it had started again under another name, its sidecar had been killed, and the
-/// new one first took the engine for the life that the list still had. When the engine told
-/// its name, what the sidecar had just read of it was forgotten, and yet the next order went by
-/// it. Proof: here, with one report, one name and one step.
+/// Guards against ordering a load into a full engine, which crashes it, after the engine's name
+/// turned out to differ from the listed one.
 #[test]
-fn a_sidecar_that_learns_the_engine_s_name_knows_what_it_holds() {
+fn identifying_an_engine_keeps_the_report_of_its_adapters() {
     let full = [("a", 1), ("b", 1), ("c", 1), ("d", 1)];
     let mut keeper = PlacementFixture::new();
     keeper.demand(&["e"], &[]);
--- a/coordination/tests/shared_budget.rs
+++ b/coordination/tests/shared_budget.rs
@@ -1,13 +1,7 @@
-//! Repeats beyond what is allowed, across the lives of entries.
+//! Retry budgets across restarts of an entry.
 //!
-//! Seen: a service got 218 repeats in 10 s for 815 requests, 217 were allowed, on a day on
-//! which its engines shed nearly half of what came and all entries were killed once while
-//! they did. How it came about: the entries had used what 10 s of requests allow in the 4 s
-//! before their end, and their next lives repeated a full part of their own requests.
-//! Cause: after a restart only the extra repeats were earned anew, the part of the requests
-//! counted in full, though the repeats of the former life still stood in the window.
-//! Proof: 0.7 x (0.2 x 815 + 54) before and 0.7 x 0.2 x 0.52 x 815 + 8 after make 219; the
-//! property below finds the same with nothing but a budget and its clock.
+//! Guards against a restarted entry that gets a full retry budget for its own requests, although
+//! the retries before the restart still count in the window.
 
 use {
     chalkcart_coordination::dispatch::{BudgetBounds, SharedBudget},
@@ -24,14 +18,14 @@
 const STEPS_IN_WINDOW: usize = 100;
 const SEED: u64 = 40;
 
-/// a day of one entry that repeats whatever it may
+/// Workload of one entry that uses its full retry budget.
 #[derive(Debug, Clone)]
 struct Day {
-    /// requests of each step
+    /// Requests in each step.
     requests: Vec<u8>,
-    /// steps at which the process is killed and starts again
+    /// Steps at which the process is killed and restarted.
     kills: Vec<u16>,
-    /// it repeats nothing before this step, so that its budget is full then
+    /// No retries before this step, so that the budget is full then.
     quiet_until: u16,
 }
 
@@ -62,7 +56,7 @@
     }
 }
 
-/// repeats of each step
+/// Returns the retries in each step.
 fn play(day: &Day) -> Vec<u32> {
     let start = Instant::now();
     let mut budget = SharedBudget::new(BOUNDS, None);
@@ -83,8 +77,8 @@
     repeats.collect()
 }
 
-/// the requests of the window that ends here, of the one half a window before it, or of the
-/// one before it: whichever holds the most
+/// Returns the largest number of requests in the windows that end here, half a window earlier
+/// and one window earlier.
 fn requests_for(day: &Day, end: usize) -> u32 {
     let ends = [0, STEPS_IN_WINDOW / 2, STEPS_IN_WINDOW].map(|before| end.saturating_sub(before));
     let counted = ends.map(|end| {
@@ -104,16 +98,16 @@
 }
 
 #[test]
-fn all_lives_of_an_entry_repeat_no_more_than_one_may() {
+fn restarts_of_an_entry_grant_no_additional_retries() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
         .tests(600)
         .quickcheck(is_within as fn(Day) -> bool);
 }
 
-/// as on the day on which it was seen
+/// A restart right after the budget was spent.
 #[test]
-fn a_restart_after_the_budget_was_spent_earns_it_anew() {
+fn a_restart_does_not_refill_a_spent_budget() {
     let day = Day {
         requests: vec![8; 300],
         kills: vec![143],
--- a/coordination/tests/unheard.rs
+++ b/coordination/tests/unheard.rs
@@ -1,8 +1,7 @@
-//! engines whose sidecar is not heard
+//! Engines without a reporting sidecar.
 //!
-//! Seen: entries beside sidecars whose words they could not read served 30 in 100 requests, as
-//! no engine had a spare place for all they knew: no adapter was ever asked for, and requests
-//! waited to the end for what nobody was to bring.
+//! Guards against requests that wait for an adapter which is never loaded, since no engine is
+//! known to have a free slot.
 
 mod dispatch_fixture;
 
@@ -14,7 +13,7 @@
     dispatch_fixture::*,
 };
 
-/// engines with the base model, known long enough that their sidecars should have spoken
+/// Creates engines with the base model, whose sidecars should have reported by now.
 fn unheard(engines: u8) -> Fixture {
     let mut fixture = Fixture::new(listed(engines, &[]));
     fixture.pass(ms(2_000));
@@ -46,7 +45,7 @@
     refused.collect()
 }
 
-/// a request that comes back after an engine said that it lacks the adapter
+/// Repeats a request after an engine responded that it lacks the adapter.
 fn again(fixture: &mut Fixture, ticket: Ticket, sends: u32) -> Vec<(Ticket, Decision)> {
     fixture.end(ticket, SendOutcome::Misdirected);
     let mut ask = fixture.new_ask(ENGINES, Some("a"));
@@ -54,16 +53,16 @@
     fixture.ask(ticket, ask)
 }
 
-/// the sidecar is asked, and the engine tried once the adapter should be there
+/// The adapter is requested, and the engine is tried once the load should have completed.
 #[test]
-fn an_adapter_is_asked_for_and_expected() {
+fn an_adapter_is_requested_and_expected() {
     let mut fixture = unheard(3);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert!(fixture.ask(1, ask).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_eq!(sent_to(&fixture.pass(ms(400))), homes);
-    // it ran there: the next one goes there at once, also after the wish is forgotten
+    // after a run there the next request is sent at once, also after the load request expires
     fixture.tell(DispatchEvent::Started(1));
     fixture.end(1, SendOutcome::Answered);
     fixture.pass(ms(3_000));
@@ -71,9 +70,9 @@
     assert_eq!(sent_to(&fixture.ask(2, ask)), homes);
 }
 
-/// neither the sidecar hears nor another one: nobody is held for what nobody brings
+/// Guards against holding requests for an adapter that no sidecar loads.
 #[test]
-fn what_nobody_brings_is_refused_at_once() {
+fn requests_for_an_adapter_that_is_not_loaded_are_rejected_at_once() {
     let mut fixture = unheard(1);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     fixture.ask(1, ask);
@@ -84,16 +83,16 @@
     );
     let ask = fixture.new_ask(ENGINES, Some("b"));
     assert_eq!(refusals(&fixture.ask(2, ask)), [RefusalCause::Unheard]);
-    // after a while it is asked again
+    // the load is requested again later
     fixture.pass(ms(6_000));
     let ask = fixture.new_ask(ENGINES, Some("b"));
     assert!(fixture.ask(3, ask).is_empty());
     assert_eq!(fixture.homes("b").len(), 1);
 }
 
-/// the list says who has it; an engine that lacks it after all is not asked at once again
+/// The listed holders are used; one that lacks the adapter is not retried at once.
 #[test]
-fn the_list_is_used_and_corrected_by_what_engines_answer() {
+fn listed_holders_are_used_and_corrected_by_responses() {
     let mut fixture = Fixture::new(listed(2, &["a"]));
     fixture.pass(ms(2_000));
     let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -104,9 +103,9 @@
     assert_ne!(first, second);
 }
 
-/// a link that is cut: what the sidecar said last is most likely true still
+/// After a disconnect the last reported view is still assumed to be valid.
 #[test]
-fn what_was_held_before_a_cut_is_expected_there() {
+fn adapters_held_before_a_disconnect_are_expected_to_remain() {
     let mut fixture = unheard(2);
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.view(2, view("engines-2", &[]));
@@ -117,9 +116,9 @@
     assert_eq!(sent_to(&fixture.ask(1, ask)), ["engines-1"]);
 }
 
-/// where one sidecar is heard, adapters are asked for there
+/// Loads are requested from sidecars that report, if there are any.
 #[test]
-fn sidecars_that_are_heard_go_first() {
+fn reporting_sidecars_are_preferred() {
     let mut fixture = unheard(3);
     fixture.view(2, view("engines-2", &[]));
     let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -127,9 +126,9 @@
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
-/// engines that have begun anew, whose sidecars load the base model: requests wait for it
+/// Requests wait while the sidecars of restarted engines load the base model.
 #[test]
-fn a_base_model_that_is_being_loaded_is_waited_for() {
+fn requests_wait_for_a_loading_base_model() {
     let mut fixture = unheard(2);
     for number in [1, 2] {
         let mut bare = view(&format!("engines-{number}"), &[]);
@@ -142,16 +141,10 @@
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
 
-// Seen: an entry that hears no sidecar served 0.61 of the worth on a quiet day with one seed and
-// 0.38 with another. 863 of 2,000 sends met an engine without the adapter: all requests that
-// waited for it went at once, 0.35 s after it was asked for, also while loads took longer, and
-// each that was turned away cost a repeat. 557 requests were refused since no repeat was left;
-// others since sidecars that were slow passed for ones that bring nothing.
-
-/// the first shows whether the adapter is there; the others go when it could have been
-/// turned away
+/// Guards against sending all waiting requests to an engine that is still loading the adapter,
+/// which uses up the retry budget. The others are sent once the first could have failed.
 #[test]
-fn one_request_shows_whether_an_adapter_has_come() {
+fn one_request_probes_whether_an_adapter_is_loaded() {
     let mut fixture = unheard(1);
     for ticket in 1..=3 {
         let ask = fixture.new_ask(ENGINES, Some("a"));
@@ -162,13 +155,13 @@
     assert_eq!(sent_to(&fixture.pass(ms(40))).len(), 2);
 }
 
-/// entries know nothing of each other there; each would bring what all together need
+/// Without a count of the entries each one would request as many copies as all need together.
 #[test]
-fn one_home_is_asked_while_nobody_has_counted_the_entries() {
+fn one_home_is_used_while_the_number_of_entries_is_unknown() {
     let mut fixture = unheard(6);
     for ticket in 1..=6 {
         let mut ask = fixture.new_ask(ENGINES, Some("a"));
-        // six of them are read in 0.6 s, those of eight entries in 2.4 s
+        // prefill takes 0.6 s for these six, and 2.4 s for the requests of eight entries
         ask.prompt_tokens = 1_500;
         fixture.ask(ticket, ask);
     }
@@ -176,9 +169,9 @@
     assert_eq!(fixture.homes("a").len(), 1);
 }
 
-/// requests that came too early make later ones wait longer, those that did not shorter
+/// The delay grows after requests that were sent too early, and shrinks after others.
 #[test]
-fn loads_that_take_longer_are_expected_later() {
+fn the_load_delay_adapts_to_early_requests() {
     let mut time = BringTime::default();
     let at_first = time.get();
     time.on_early();
@@ -187,7 +180,7 @@
     for _ in 0..50 {
         time.on_early();
     }
-    // no longer than a sidecar is asked for an adapter
+    // bounded by the time for which a load request is repeated
     assert!(time.get() < ms(1_500));
     for _ in 0..500 {
         time.on_there();
@@ -196,7 +189,7 @@
 }
 
 #[test]
-fn an_entry_learns_how_long_loads_take() {
+fn an_entry_adapts_its_load_delay() {
     let mut fixture = unheard(3);
     for (ticket, name) in (1..).zip(["a", "b", "c", "d"]) {
         let ask = fixture.new_ask(ENGINES, Some(name));
@@ -211,9 +204,9 @@
     assert_eq!(sent_to(&fixture.pass(ms(500))).len(), 1);
 }
 
-/// a sidecar that has just brought something is slow, not deaf
+/// A sidecar that has recently loaded an adapter is slow, not unresponsive.
 #[test]
-fn a_sidecar_that_is_late_once_is_asked_on() {
+fn a_sidecar_that_is_late_once_still_receives_load_requests() {
     let mut fixture = unheard(1);
     let ask = fixture.new_ask(ENGINES, Some("a"));
     fixture.ask(1, ask);
@@ -228,10 +221,9 @@
     assert_eq!(fixture.homes("c").len(), 1);
 }
 
-/// Seen: with all links cut for 10 s, 82 requests were held to their end on a quiet day, as
-/// each engine had to turn one away before its sidecar passed for one that brings nothing
+/// Guards against holding requests until their deadline while no sidecar can be reached.
 #[test]
-fn what_no_sidecar_could_be_asked_for_is_refused_at_once() {
+fn requests_are_rejected_at_once_while_no_sidecar_accepts_demand() {
     let mut fixture = unheard(2);
     for number in [1, 2] {
         let addr = addr(number);
@@ -240,7 +232,7 @@
     }
     let ask = fixture.new_ask(ENGINES, Some("a"));
     assert_eq!(refusals(&fixture.ask(1, ask)), [RefusalCause::Unheard]);
-    // the next demand is taken
+    // the next demand is accepted
     fixture.tell(DispatchEvent::Demanded {
         addr: addr(2),
         is_taken: true,
--- a/coordination/tests/versions.rs
+++ b/coordination/tests/versions.rs
@@ -1,4 +1,4 @@
-//! new versions of an adapter, several of them on their way at once
+//! New versions of an adapter, several of which are being rolled out at the same time.
 
 mod dispatch_fixture;
 mod placement_fixture;
@@ -14,7 +14,7 @@
     std::time::Duration,
 };
 
-/// half of the time after which no request may begin on an older version
+/// Half of the time after which no request may start on an older version.
 const GRACE: Duration = Duration::from_millis(2_500);
 
 fn name_version(fixture: &mut Fixture, version: u64) {
@@ -24,7 +24,7 @@
     });
 }
 
-/// whether a request begins on what engines hold
+/// Returns whether a request is sent to an engine with the versions that engines hold.
 fn begins(fixture: &mut Fixture, ticket: u64) -> bool {
     let ask = fixture.new_ask(ENGINES, Some("a"));
     let sent = !sent_to(&fixture.ask(ticket, ask)).is_empty();
@@ -40,25 +40,32 @@
 }
 
 #[test]
-fn each_version_has_its_own_time_however_soon_the_next_is_named() {
+fn each_version_has_its_own_deadline_however_soon_the_next_is_published() {
     let mut fixture = holding(1);
-    // each is named before the one before it is everywhere
+    // each is published before the previous one is loaded everywhere
     for version in 2..=4 {
         name_version(&mut fixture, version);
         fixture.now += GRACE - ms(100);
         let late = version > 2;
-        assert_eq!(begins(&mut fixture, version), !late, "before {version}");
+        assert_eq!(
+            begins(&mut fixture, version),
+            !late,
+            "shortly before the deadline of version {version}"
+        );
     }
     let mut second = holding(1);
     for version in 2..=4 {
         name_version(&mut second, version);
         second.now += ms(500);
     }
-    // version 2 is there: it is as old as version 3, not as version 4
+    // version 2 is loaded: its deadline is set by version 3, not by version 4
     second.view(1, view("engines-1", &[("a", 2)]));
     assert!(begins(&mut second, 1));
     second.now += GRACE - ms(1_000);
-    assert!(!begins(&mut second, 2), "3 was named before {GRACE:?}");
+    assert!(
+        !begins(&mut second, 2),
+        "version 3 was published {GRACE:?} ago"
+    );
     second.view(1, view("engines-1", &[("a", 3)]));
     assert!(begins(&mut second, 3));
     second.now += ms(500);
@@ -68,7 +75,7 @@
 }
 
 #[test]
-fn an_older_version_that_is_heard_late_changes_nothing() {
+fn a_late_update_of_an_older_version_is_ignored() {
     let mut fixture = holding(1);
     name_version(&mut fixture, 3);
     fixture.now += GRACE + ms(1);
@@ -80,7 +87,7 @@
     assert!(begins(&mut fixture, 3));
 }
 
-/// an entry that knows this version of the adapter
+/// Returns the version of the adapter that an entry knows.
 fn knows(version: u64) -> [HeldAdapter; 1] {
     [HeldAdapter {
         adapter: adapter("a"),
@@ -96,14 +103,14 @@
 }
 
 #[test]
-fn a_version_named_while_the_one_before_is_loaded_is_ordered_next() {
+fn a_version_published_during_a_load_is_ordered_next() {
     let mut keeper = PlacementFixture::new();
     keeper.demand(&[], &[]);
     keeper.report(placement_fixture::holding(0, &["m"], &[("a", 1)]));
     keeper.identify();
     keeper.demand(&[], &knows(2));
     assert!(orders_replacement(&mut keeper));
-    // version 2 is on its way; 3 is named meanwhile
+    // version 3 is published while version 2 is loading
     let mut loading = placement_fixture::holding(0, &["m"], &[("a", 1)]);
     loading.loading = vec![adapter("a")];
     keeper.report(loading);
