--- /dev/null
+++ b/coordination/src/crashes/crash_detector.rs
@@ -0,0 +1,110 @@
+use {
+    crate::dispatch::reported_at,
+    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_state::{backends::BackendId, ingress::RequestDigest},
+    std::{
+        collections::HashMap,
+        time::{Duration, Instant},
+    },
+};
+
+/// An interrupted run and the end of its engine are attributed to each other within this
+/// time. The backend list shows an engine's end after three missed heartbeats, up to 3.6 s.
+const CORRELATION_WINDOW: Duration = Duration::from_secs(5);
+/// If an engine responds to its sidecar this long after a run was interrupted, the engine
+/// has survived the interruption. Longer than the sidecar's poll interval of 100 ms plus
+/// its timeout of 500 ms.
+const SURVIVAL_DELAY: Duration = Duration::from_secs(1);
+/// Upper bound on the interrupted runs that are kept per engine incarnation.
+const MAX_RUNS: usize = 512;
+
+/// End of an engine incarnation, with the requests that it ran for this entry.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct EngineCrash {
+    pub backend: BackendId,
+    pub runs: Vec<InterruptedRun>,
+}
+
+/// Run whose connection closed before the response was complete.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InterruptedRun {
+    pub digest: RequestDigest,
+    pub at: Instant,
+}
+
+/// Attributes interrupted runs to crashes of engines.
+///
+/// A closed connection alone is no evidence of a crash. The end of an incarnation has to be
+/// confirmed by the engine's sidecar or by the backend list. All requests that the engine
+/// ran are then suspected alike.
+#[derive(Debug, Default)]
+pub struct CrashDetector {
+    /// Interrupted runs by engine incarnation.
+    interrupted: HashMap<BackendId, Vec<InterruptedRun>>,
+    /// When the end of an incarnation was reported.
+    ended: HashMap<BackendId, Instant>,
+    crashes: Vec<EngineCrash>,
+}
+
+impl CrashDetector {
+    /// Records a run whose connection closed before the response was complete.
+    pub fn on_interrupted_run(&mut self, backend: &BackendId, digest: RequestDigest, now: Instant) {
+        self.expire(now);
+        let runs = self.interrupted.entry(backend.clone()).or_default();
+        if runs.len() < MAX_RUNS {
+            runs.push(InterruptedRun { digest, at: now });
+        }
+        if self.ended.contains_key(backend) {
+            self.confirm(backend);
+        }
+    }
+
+    /// Records the end of an engine incarnation.
+    pub fn on_engine_ended(&mut self, backend: &BackendId, now: Instant) {
+        self.expire(now);
+        self.ended.entry(backend.clone()).or_insert(now);
+        self.confirm(backend);
+    }
+
+    /// Applies what an engine's sidecar reports about the engine.
+    pub fn on_engine_stats(&mut self, backend: &BackendId, figures: &EngineFigures, now: Instant) {
+        match figures.is_down {
+            Some(true) => self.on_engine_ended(backend, now),
+            Some(false) => self.on_alive(backend, reported_at(figures, now)),
+            // a sidecar without this field may repeat stats from before the end
+            None => {}
+        }
+    }
+
+    /// Drops the runs that an engine has survived; it responded at `read_at`.
+    fn on_alive(&mut self, backend: &BackendId, read_at: Instant) {
+        let Some(runs) = self.interrupted.get_mut(backend) else {
+            return;
+        };
+        runs.retain(|run| read_at < run.at + SURVIVAL_DELAY);
+        if runs.is_empty() {
+            self.interrupted.remove(backend);
+        }
+    }
+
+    /// Returns the crashes confirmed since the last call.
+    pub fn take_crashes(&mut self) -> Vec<EngineCrash> {
+        std::mem::take(&mut self.crashes)
+    }
+
+    fn confirm(&mut self, backend: &BackendId) {
+        if let Some(runs) = self.interrupted.remove(backend) {
+            let backend = backend.clone();
+            self.crashes.push(EngineCrash { backend, runs });
+        }
+    }
+
+    fn expire(&mut self, now: Instant) {
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < CORRELATION_WINDOW;
+        self.ended.retain(|_, at| is_recent(at));
+        for runs in self.interrupted.values_mut() {
+            runs.retain(|run| is_recent(&run.at));
+        }
+        self.interrupted.retain(|_, runs| !runs.is_empty());
+    }
+}
--- /dev/null
+++ b/coordination/src/crashes/crash_registry.rs
@@ -0,0 +1,293 @@
+use {
+    chalkcart_protocol::peer::{CrashEvent, CrashWord},
+    chalkcart_state::ingress::RequestDigest,
+    std::{
+        collections::HashMap,
+        time::{Duration, Instant},
+    },
+};
+
+/// A request is blocked after this many engines have crashed while running it, without a
+/// completed run in between. One crash doesn't tell which of the concurrent requests was
+/// the cause.
+pub const BLOCKED_AFTER_CRASHES: usize = 3;
+/// Upper bound on the number of tracked requests; about 0.9 MB when full.
+pub const MAX_TRACKED_REQUESTS: usize = 4_096;
+/// One in this many requests is evicted when the registry is full.
+const EVICTION_DIVISOR: usize = 4;
+/// A request that hasn't been tried for this long may run again, since the engines may have
+/// been fixed meanwhile.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Upper bound on the crashes that are kept per request.
+const MAX_CRASHES: usize = BLOCKED_AFTER_CRASHES + 1;
+/// Upper bound on the reports in one message, about 72 kB.
+const MAX_REPORTS_PER_MESSAGE: usize = 1_000;
+
+/// Assessment of a request by the crashes attributed to it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RequestVerdict {
+    /// No engine has crashed while running it since its last completed run.
+    Clear,
+    /// Engines have crashed while running it, but fewer than block it.
+    Suspected { crashes: usize },
+    /// It crashes the engines that run it and must be rejected.
+    Blocked {
+        crashes: usize,
+        /// Time since the last crash.
+        age: Duration,
+    },
+}
+
+/// Records requests that were running when an engine crashed.
+///
+/// Each record states an event that has happened. Registries can therefore be merged in any
+/// order and any number of times; entries exchange their records through aggregators.
+#[derive(Debug, Default)]
+pub struct CrashRegistry {
+    requests: HashMap<RequestDigest, RequestRecord>,
+    revision: u64,
+}
+
+#[derive(Debug, Clone)]
+struct RequestRecord {
+    /// The newest crashes since the last completed run, ordered by time.
+    crashes: Vec<Crash>,
+    completed: Option<Stamp>,
+    /// When the request was last tried or reported.
+    last_used: Instant,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct Crash {
+    /// Hash of the engine's incarnation.
+    incarnation: u64,
+    stamp: Stamp,
+}
+
+/// Time of an event and the registry's revision that added it.
+#[derive(Debug, Clone, Copy)]
+struct Stamp {
+    at: Instant,
+    revision: u64,
+}
+
+impl CrashRegistry {
+    /// Returns the revision, which increases with each new event.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+    pub fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    /// Assesses a request that arrives now.
+    pub fn verdict(&mut self, digest: &RequestDigest, now: Instant) -> RequestVerdict {
+        let Some(record) = self.requests.get_mut(digest) else {
+            return RequestVerdict::Clear;
+        };
+        if record.is_expired(now) {
+            self.requests.remove(digest);
+            return RequestVerdict::Clear;
+        }
+        record.last_used = now;
+        record.verdict(now)
+    }
+
+    /// Records that an engine crashed while running a request. Returns whether this is new.
+    pub fn on_engine_ended(
+        &mut self,
+        digest: RequestDigest,
+        incarnation: u64,
+        at: Instant,
+        now: Instant,
+    ) -> bool {
+        let event = CrashEvent::Ended { life: incarnation };
+        self.record(digest, event, at, now)
+    }
+
+    /// Records that a request ran to completion. Returns whether this is new. Requests
+    /// without a crash are not recorded, so that the registry stays empty while no engine
+    /// crashes.
+    pub fn on_completed(&mut self, digest: RequestDigest, now: Instant) -> bool {
+        let record = self.requests.get(&digest);
+        let is_suspected = record.is_some_and(|record| !record.crashes.is_empty());
+        is_suspected && self.record(digest, CrashEvent::Served, now, now)
+    }
+
+    /// Adds the reports of another process. Returns whether any of them is new.
+    pub fn merge(&mut self, reports: &[CrashWord], now: Instant) -> bool {
+        let previous = self.revision;
+        for report in reports {
+            let age = Duration::from_millis(report.age_ms);
+            let at = now.checked_sub(age).unwrap_or(now);
+            self.record(report.digest, report.event, at, now);
+        }
+        self.revision != previous
+    }
+
+    /// Returns the events after a revision, oldest first and at most one message full, and
+    /// the revision up to which they are complete.
+    pub fn reports_since(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
+        if revision >= self.revision {
+            return (Vec::new(), self.revision);
+        }
+        let mut reports: Vec<(u64, CrashWord)> = Vec::new();
+        for (digest, record) in &self.requests {
+            let newer = record
+                .events()
+                .filter(|(_, stamp)| stamp.revision > revision);
+            reports.extend(newer.map(|(event, stamp)| {
+                let age = now.saturating_duration_since(stamp.at);
+                let report = CrashWord {
+                    digest: *digest,
+                    event,
+                    age_ms: age.as_millis() as u64,
+                };
+                (stamp.revision, report)
+            }));
+        }
+        reports.sort_unstable_by_key(|(revision, _)| *revision);
+        let complete_up_to = match reports.get(MAX_REPORTS_PER_MESSAGE) {
+            Some(_) => reports[MAX_REPORTS_PER_MESSAGE - 1].0,
+            None => self.revision,
+        };
+        reports.truncate(MAX_REPORTS_PER_MESSAGE);
+        (
+            reports.into_iter().map(|(_, report)| report).collect(),
+            complete_up_to,
+        )
+    }
+
+    fn record(
+        &mut self,
+        digest: RequestDigest,
+        event: CrashEvent,
+        at: Instant,
+        now: Instant,
+    ) -> bool {
+        if now.saturating_duration_since(at) >= RETENTION {
+            return false;
+        }
+        let stamp = Stamp {
+            at,
+            revision: self.revision + 1,
+        };
+        let record = self.record_mut(digest, now);
+        let is_new = match event {
+            CrashEvent::Ended { life } => record.add_crash(Crash {
+                incarnation: life,
+                stamp,
+            }),
+            CrashEvent::Served => record.on_completed(stamp),
+        };
+        if is_new {
+            self.revision += 1;
+        }
+        is_new
+    }
+
+    fn record_mut(&mut self, digest: RequestDigest, now: Instant) -> &mut RequestRecord {
+        if self.requests.len() >= MAX_TRACKED_REQUESTS && !self.requests.contains_key(&digest) {
+            self.evict(now);
+        }
+        let record = self.requests.entry(digest);
+        let record = record.or_insert_with(|| RequestRecord::new(now));
+        record.last_used = now;
+        record
+    }
+
+    /// Evicts the requests with the fewest crashes, and among these the least recently used,
+    /// so that a flood of new crashing requests doesn't displace those already blocked.
+    fn evict(&mut self, now: Instant) {
+        self.requests.retain(|_, record| !record.is_expired(now));
+        let mut ranked: Vec<(usize, Instant, RequestDigest)> = self
+            .requests
+            .iter()
+            .map(|(digest, record)| (record.crashes.len(), record.last_used, *digest))
+            .collect();
+        ranked.sort_unstable();
+        let excess = (ranked.len() + MAX_TRACKED_REQUESTS / EVICTION_DIVISOR)
+            .saturating_sub(MAX_TRACKED_REQUESTS);
+        for (_, _, digest) in ranked.into_iter().take(excess) {
+            self.requests.remove(&digest);
+        }
+    }
+}
+
+impl RequestRecord {
+    fn new(now: Instant) -> Self {
+        Self {
+            crashes: Vec::new(),
+            completed: None,
+            last_used: now,
+        }
+    }
+
+    /// Adds a crash, unless it is already known or precedes a completed run. Returns whether
+    /// it was added.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        let is_known = self
+            .crashes
+            .iter()
+            .any(|known| known.incarnation == crash.incarnation);
+        let is_cleared = self
+            .completed
+            .is_some_and(|completed| crash.stamp.at <= completed.at);
+        if is_known || is_cleared {
+            return false;
+        }
+        // keep the newest, since a completed run clears all crashes before it
+        let index = self
+            .crashes
+            .partition_point(|c| c.stamp.at <= crash.stamp.at);
+        let is_too_old = index == 0 && self.crashes.len() >= MAX_CRASHES;
+        if !is_too_old {
+            self.crashes.insert(index, crash);
+            let excess = self.crashes.len().saturating_sub(MAX_CRASHES);
+            self.crashes.drain(..excess);
+        }
+        !is_too_old
+    }
+
+    /// Clears the crashes up to a completed run. Returns whether the run is the newest.
+    fn on_completed(&mut self, stamp: Stamp) -> bool {
+        if self
+            .completed
+            .is_some_and(|completed| stamp.at <= completed.at)
+        {
+            return false;
+        }
+        self.completed = Some(stamp);
+        self.crashes.retain(|crash| crash.stamp.at > stamp.at);
+        true
+    }
+
+    fn verdict(&self, now: Instant) -> RequestVerdict {
+        let crashes = self.crashes.len();
+        match self.crashes.last().map(|crash| crash.stamp.at) {
+            None => RequestVerdict::Clear,
+            Some(at) if crashes >= BLOCKED_AFTER_CRASHES => RequestVerdict::Blocked {
+                crashes,
+                age: now.saturating_duration_since(at),
+            },
+            Some(_) => RequestVerdict::Suspected { crashes },
+        }
+    }
+
+    fn events(&self) -> impl Iterator<Item = (CrashEvent, Stamp)> + '_ {
+        let crashes = self.crashes.iter().map(|crash| {
+            let event = CrashEvent::Ended {
+                life: crash.incarnation,
+            };
+            (event, crash.stamp)
+        });
+        crashes.chain(self.completed.map(|stamp| (CrashEvent::Served, stamp)))
+    }
+
+    fn is_expired(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_used) >= RETENTION
+    }
+}
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -44,7 +44,7 @@
             state.is_unlisted = !(is_listed || state.is_ahead_of_list && state.view.is_some());
             // a reporting sidecar detects the end itself
             if state.is_unlisted && !was_unlisted && state.view.is_none() {
-                self.crashes.on_ended(id, now);
+                self.crashes.on_engine_ended(id, now);
             }
         }
         for backend in list {
@@ -125,7 +125,8 @@
             return none_affected;
         };
         let is_first = state.view.is_none();
-        self.crashes.on_word(&view.backend, &view.figures, now);
+        self.crashes
+            .on_engine_stats(&view.backend, &view.figures, now);
         let reported = (view.backend.clone(), view.figures);
         let affected = state.on_view(view, now);
         self.on_reported_signals(&reported.0, &reported.1, now);
@@ -153,7 +154,7 @@
             self.add_ahead_of_list(addr, &view.backend, now);
         }
         if let Some(previous) = previous.and_then(|id| self.backends.get_mut(&id)) {
-            self.crashes.on_ended(&previous.listed.id, now);
+            self.crashes.on_engine_ended(&previous.listed.id, now);
             previous.end_incarnation();
         }
         let id = view.backend.clone();
@@ -217,7 +218,7 @@
         self.last_report_at = Some(now);
         self.on_entry_count(stats.entries, now);
         if let Some(state) = self.backends.get_mut(backend) {
-            self.crashes.on_word(backend, &stats, now);
+            self.crashes.on_engine_stats(backend, &stats, now);
             state.on_stats(stats, now);
             let addr = state.listed.addr;
             self.on_reported_signals(backend, &stats, now);
@@ -241,7 +242,7 @@
         let Some(previous) = states.find(|b| b.listed.addr == addr) else {
             return;
         };
-        self.crashes.on_ended(&previous.listed.id, now);
+        self.crashes.on_engine_ended(&previous.listed.id, now);
         previous.end_incarnation();
         let service = self.table.services.get(&previous.listed.service);
         let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -9,7 +9,7 @@
     },
     crate::{
         backend_signals::BackendSignals,
-        crashes::{Crash, CrashEvidence},
+        crashes::{CrashDetector, EngineCrash},
     },
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId},
@@ -77,7 +77,7 @@
     /// at each event.
     pub(super) may_have_slow_start: bool,
     /// Attributes engine crashes to the requests that were running.
-    pub(super) crashes: CrashEvidence,
+    pub(super) crashes: CrashDetector,
     /// Requests completed since the last call of `take_completed`.
     completed: Vec<RequestDigest>,
     /// Start time of this process, if the fleet was already serving.
@@ -115,7 +115,7 @@
             limited_backends: HashSet::new(),
             limits_refreshed_at: None,
             may_have_slow_start: false,
-            crashes: CrashEvidence::default(),
+            crashes: CrashDetector::default(),
             completed: Vec::new(),
             last_report_at: None,
         }
@@ -198,7 +198,7 @@
         std::mem::take(&mut self.requested_loads)
     }
     /// Returns the engine crashes detected since the last call.
-    pub fn take_crashes(&mut self) -> Vec<Crash> {
+    pub fn take_crashes(&mut self) -> Vec<EngineCrash> {
         self.crashes.take_crashes()
     }
     /// Returns the requests completed since the last call.
@@ -353,7 +353,7 @@
             },
             SendOutcome::Superseded => {
                 state.is_superseded = true;
-                self.crashes.on_ended(&backend, now);
+                self.crashes.on_engine_ended(&backend, now);
             }
             SendOutcome::Unreachable => state.health.on_unreachable(now),
             SendOutcome::Failed => state.health.on_failure(now),
@@ -361,7 +361,7 @@
                 state.health.on_failure(now);
                 // responses cut off by a leaving engine belong to its planned stop
                 if !state.is_leaving() {
-                    self.crashes.on_broken(&backend, sent.digest, now);
+                    self.crashes.on_interrupted_run(&backend, sent.digest, now);
                 }
             }
             SendOutcome::Abandoned => {}
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -3,8 +3,8 @@
 use {
     super::{PermitMode, ReplyId, SidecarAction, SidecarControl},
     crate::{
-        once::{Admission, Phase},
         queue::QueuedRequest,
+        run_once::{Admission, RunPhase},
         slots::AdapterKey,
     },
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, ReserveAnswer, Step, Work, WorkOrder},
@@ -94,7 +94,7 @@
     fn reject_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
         if reserved {
             refusal.outcome = match request.parse::<ReservedId>() {
-                Ok(id) => self.once.seal(&id),
+                Ok(id) => self.once.cancel(&id),
                 Err(_) => Outcome::NotRun,
             };
         }
@@ -109,7 +109,7 @@
         })?;
         match self.once.admit(&id, now) {
             Ok(Admission::First) => Ok(()),
-            Ok(Admission::Repeat) => Err(self.repeat_refusal(&id, now)),
+            Ok(Admission::Duplicate) => Err(self.repeat_refusal(&id, now)),
             Err(e) => {
                 let peer = &self.settings.name;
                 let refusal = Refusal::new(e.outcome(), Step::Admission, peer, e.reason());
@@ -121,7 +121,7 @@
     /// Returns the refusal of a repeated request whose response is no longer buffered.
     fn repeat_refusal(&self, id: &ReservedId, now: Instant) -> Refusal {
         let outcome = match self.once.phase(id, now) {
-            Ok(Phase::Ended) => Outcome::Ran,
+            Ok(RunPhase::Completed) => Outcome::Ran,
             _ => Outcome::MayHaveRun,
         };
         let peer = &self.settings.name;
@@ -283,7 +283,7 @@
             });
         }
         match reserved {
-            Some(id) => self.once.seal(&id),
+            Some(id) => self.once.cancel(&id),
             None if self.runs.contains(request) => Outcome::MayHaveRun,
             None => Outcome::NotRun,
         }
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -4,9 +4,9 @@
         SidecarEvent, SidecarSettings, TargetKind,
     },
     crate::{
-        fence::{EngineStatus, FenceKeeper, FenceState, FenceStep, PauseDetector},
-        once::{OnceSettings, RunOnceTable},
+        fence::{EngineStatus, FenceAction, FenceController, FenceState, PauseDetector},
         queue::FairQueue,
+        run_once::{RunOnceSettings, RunOnceTable},
         slots::SlotTable,
     },
     chalkcart_protocol::peer::{Reason, TargetReport, WorkOrder},
@@ -32,7 +32,7 @@
     pub(super) slots: SlotTable,
     pub(super) loads: LoadTable,
     pub(super) runs: RunTable,
-    pub(super) fence: FenceKeeper,
+    pub(super) fence: FenceController,
     pub(super) max_running: u32,
     pub(super) is_draining: bool,
     pause: PauseDetector,
@@ -46,7 +46,7 @@
 
 impl SidecarControl {
     pub fn new(settings: SidecarSettings, now: Instant) -> Self {
-        let once = OnceSettings {
+        let once = RunOnceSettings {
             target: settings.name.clone(),
             incarnation: settings.incarnation,
             capacity: settings.id_capacity,
@@ -67,7 +67,7 @@
             policy,
             loads: LoadTable::new(),
             runs: RunTable::new(),
-            fence: FenceKeeper::new(settings.epoch, settings.incarnation),
+            fence: FenceController::new(settings.epoch, settings.incarnation),
             max_running,
             is_draining: false,
             pause: PauseDetector::new(settings.lease, now),
@@ -171,14 +171,14 @@
             self.invalidate_engine_state();
             return;
         };
-        match self.fence.on_read(&status) {
-            FenceStep::GiveUp => self.stop_superseded(),
-            FenceStep::Take { incarnation, fence } => {
+        match self.fence.on_status(&status) {
+            FenceAction::Stop => self.stop_superseded(),
+            FenceAction::Take { incarnation, fence } => {
                 self.is_resync_needed = true;
                 let order = OrderFence { incarnation, fence };
                 self.actions.push(SidecarAction::TakeFence(order));
             }
-            FenceStep::Keep => {
+            FenceAction::Keep => {
                 if self.is_resync_needed {
                     self.resync(&status, now);
                 }
@@ -189,7 +189,7 @@
 
     fn on_fence_take_ended(&mut self, incarnation: Incarnation, fence: Fence, result: OrderResult) {
         match result {
-            OrderResult::Done => self.fence.on_taken(incarnation, fence),
+            OrderResult::Done => self.fence.on_accepted(incarnation, fence),
             OrderResult::Failed | OrderResult::Fenced | OrderResult::Unknown => {
                 self.invalidate_engine_state()
             }
@@ -205,7 +205,7 @@
             return;
         }
         self.is_resync_needed = true;
-        self.fence.on_doubt();
+        self.fence.invalidate();
     }
 
     /// Rebuilds the slots and their pins from the engine's status.
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -1,7 +1,7 @@
 //! Signals that back ends send in the heads of their responses.
 
 mod dispatch_fixture;
-mod keeper_fixture;
+mod placement_fixture;
 
 use {
     chalkcart_coordination::{
@@ -11,7 +11,7 @@
     },
     chalkcart_state::backends::Backend,
     dispatch_fixture::*,
-    keeper_fixture::{holding, Keeper, ENGINE},
+    placement_fixture::{holding, PlacementFixture, ENGINE},
     std::time::Duration,
 };
 
@@ -256,8 +256,8 @@
 }
 
 /// Returns a sidecar that knows the identity of its engine, which holds the base model.
-fn keeper() -> Keeper {
-    let mut keeper = Keeper::new();
+fn keeper() -> PlacementFixture {
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&["a"], &[]);
     keeper.report(holding(0, &["m"], &[]));
     keeper.identify();
@@ -328,7 +328,7 @@
 /// reports them for the next incarnation.
 #[test]
 fn a_sidecar_reports_the_limit_and_slow_start_of_one_incarnation_only() {
-    let mut keeper = Keeper::new();
+    let mut keeper = PlacementFixture::new();
     keeper.demand(&[], &[]);
     keeper.identify();
     let word = BackendSignals::default()
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -1,7 +1,7 @@
 use {
     chalkcart_coordination::{
         config::ConfigLease,
-        limits::{LimitBook, LimitSettings, OverLimit},
+        limits::{AccountLimiter, LimitExceeded, LimitSettings},
     },
     chalkcart_state::{
         accounts::{AccountMark, ApiKeyDigest, ApiKeyError, ClientAccount, RateLimit},
@@ -40,7 +40,7 @@
 /// limit of its account
 pub struct Admission {
     lease: Mutex<ConfigLease>,
-    limits: Mutex<LimitBook>,
+    limits: Mutex<AccountLimiter>,
 }
 
 impl Admission {
@@ -50,7 +50,7 @@
         let incarnation = rand::random();
         Self {
             lease: Mutex::new(ConfigLease::new(revoked_within)),
-            limits: Mutex::new(LimitBook::new(
+            limits: Mutex::new(AccountLimiter::new(
                 limits,
                 entry.clone(),
                 incarnation,
@@ -63,7 +63,7 @@
         // no holder panics halfway through a change
         self.lease.lock().unwrap_or_else(|e| e.into_inner())
     }
-    pub fn limits(&self) -> MutexGuard<'_, LimitBook> {
+    pub fn limits(&self) -> MutexGuard<'_, AccountLimiter> {
         // no holder panics halfway through a change
         self.limits.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -83,7 +83,7 @@
     pub fn ages(&self, account: AccountMark) -> (Option<Duration>, Option<Duration>) {
         let now = clock::now();
         let configuration = self.lease().age(now);
-        (configuration, self.limits().word_age(account, now))
+        (configuration, self.limits().level_age(account, now))
     }
 
     /// the account that asks, none on a route that needs no key
@@ -146,7 +146,8 @@
     /// a request came that is to be charged to its account's limit
     pub fn ask(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
-        self.limits().ask(account.mark, limit, units, now);
+        self.limits()
+            .record_request(account.mark, limit, units, now);
     }
 
     /// charge a request that came to its account's limit
@@ -158,7 +159,7 @@
         account: &ClientAccount,
         limit: &RateLimit,
         units: u64,
-    ) -> Result<Charge, OverLimit> {
+    ) -> Result<Charge, LimitExceeded> {
         let now = clock::now();
         self.limits().charge(account.mark, limit, units, now)?;
         Ok(Charge {
@@ -192,7 +193,7 @@
     fn drop(&mut self) {
         if !self.may_have_run {
             let mut limits = self.admission.limits();
-            limits.give_back(self.account, self.units, clock::now());
+            limits.refund(self.account, self.units, clock::now());
         }
     }
 }
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -1,6 +1,6 @@
 use {
     super::shared::Shared,
-    chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
+    chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
     chalkcart_protocol::peer::{path, CrashAnswer, CrashAsk, CrashMark},
     chalkcart_transport::{
         client::{ClientError, PeerClient},
@@ -32,7 +32,7 @@
 /// one of the links by which an entry shares what it knows
 struct CrashLink {
     shared: Arc<Shared>,
-    choice: Arc<Mutex<KeeperChoice>>,
+    choice: Arc<Mutex<AggregatorSelector>>,
     rank: usize,
     peers: PeerClient,
     changed: watch::Receiver<u64>,
@@ -50,7 +50,7 @@
 
 /// share what this entry knows with all others, until the process ends
 pub fn exchange_crashes(shared: &Arc<Shared>) {
-    let choice = KeeperChoice::new(KeptMatter::Crashes);
+    let choice = AggregatorSelector::new(AggregatedState::Crashes);
     let choice = Arc::new(Mutex::new(choice));
     for rank in 0..KEEPERS {
         let link = CrashLink {
@@ -82,7 +82,9 @@
     /// the keeper to be used now
     fn choose(&mut self) -> Option<Present> {
         let engines = self.shared.control.engines();
-        let engine = self.choice().choose_at(self.rank, &engines, clock::now())?;
+        let engine = self
+            .choice()
+            .select_ranked(self.rank, &engines, clock::now())?;
         let kept = self.present.filter(|present| present.engine == engine);
         let present = kept.unwrap_or_else(|| {
             log::info!(keeper = engine.to_string().as_str(), rank = self.rank;
@@ -123,7 +125,7 @@
                 return Ok(());
             }
         };
-        self.choice().on_heard(present.engine);
+        self.choice().on_response(present.engine);
         self.take_in(present, told, answer);
         Ok(())
     }
@@ -146,14 +148,14 @@
             cause = e.to_string().as_str(); "crashes: no answer");
         let now = clock::now();
         match present.heard {
-            _ if e.proves_other_build() => self.choice().on_unknowing(present.engine, now),
-            Some(_) => self.choice().on_silent(present.engine, now),
-            None => self.choice().on_failed(present.engine, now),
+            _ if e.proves_other_build() => self.choice().on_unsupported(present.engine, now),
+            Some(_) => self.choice().on_timeout(present.engine, now),
+            None => self.choice().on_failure(present.engine, now),
         }
         self.present = None;
     }
 
-    fn choice(&self) -> MutexGuard<'_, KeeperChoice> {
+    fn choice(&self) -> MutexGuard<'_, AggregatorSelector> {
         // no holder panics halfway through a change
         self.choice.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -9,7 +9,7 @@
     bytes::Bytes,
     chalkcart_coordination::{
         backend_signals::RequestRate,
-        crashes::Standing,
+        crashes::RequestVerdict,
         dispatch::{
             Assignment, Decision, DecisionInputs, DispatchEvent, DispatchRequest, SendOutcome,
             Ticket,
@@ -215,7 +215,7 @@
     /// again loses time only, so it is not told to come back. This try has not run, unless
     /// an earlier send of it broke off.
     fn refusal_of_crashing(&mut self) -> Option<ClientResponse> {
-        let Standing::Condemned { ended, age } = self.standing() else {
+        let RequestVerdict::Blocked { crashes, age } = self.standing() else {
             return None;
         };
         log::warn!(
@@ -223,7 +223,7 @@
             digest = self.accepted.digest.to_string().as_str(),
             route = self.accepted.route.name.as_str(),
             account = self.account_name(),
-            ended = ended,
+            ended = crashes,
             age_ms = age.as_millis() as u64,
             sends = self.ask.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived);
@@ -236,12 +236,12 @@
         })
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> RequestVerdict {
         self.shared.crashes.judge(&self.accepted.digest)
     }
     /// whether it may end the engine that runs it, for all that is known
     fn is_suspected(&self) -> bool {
-        self.standing() != Standing::Clear
+        self.standing() != RequestVerdict::Clear
     }
 
     /// whether the caller's key is still its own
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -1,6 +1,6 @@
 use {
     super::shared::Shared,
-    chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
+    chalkcart_coordination::membership::{AggregatedState, AggregatorSelector},
     chalkcart_protocol::peer::{path, UsageAnswer},
     chalkcart_transport::{client::PeerClient, clock},
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -18,12 +18,12 @@
 /// may use, until the process ends
 pub async fn report_usage(shared: Arc<Shared>, sidecar_port: u16) {
     let peers = PeerClient::new();
-    let mut choice = KeeperChoice::new(KeptMatter::Limits);
+    let mut choice = AggregatorSelector::new(AggregatedState::Limits);
     let mut present = None;
     loop {
         let pause =
             match report_once(&shared, &peers, &mut choice, &mut present, sidecar_port).await {
-                Some(true) => shared.admission.limits().report_every(clock::now()),
+                Some(true) => shared.admission.limits().report_interval(clock::now()),
                 Some(false) => RETRY,
                 None => LOOK_EVERY,
             };
@@ -36,18 +36,18 @@
 async fn report_once(
     shared: &Shared,
     peers: &PeerClient,
-    choice: &mut KeeperChoice,
+    choice: &mut AggregatorSelector,
     present: &mut Option<SocketAddr>,
     sidecar_port: u16,
 ) -> Option<bool> {
     let now = clock::now();
     let report = {
         let mut limits = shared.admission.limits();
-        limits.set_entries(shared.control.counted_entries(), now);
-        limits.report(now)?
+        limits.set_entry_count(shared.control.counted_entries(), now);
+        limits.usage_report(now)?
     };
     let engines = shared.control.engines();
-    let engine = choice.choose(&engines, now)?;
+    let engine = choice.select(&engines, now)?;
     if *present != Some(engine) {
         log::info!(keeper = engine.to_string().as_str(), entries = report.entries,
             accounts = report.accounts.len(); "limits: keeper taken");
@@ -57,10 +57,10 @@
     let answer = peers.call::<_, UsageAnswer>(keeper, path::USAGE, &report, ANSWER_LIMIT);
     match answer.await {
         Ok(answer) => {
-            choice.on_heard(engine);
+            choice.on_response(engine);
             let now = clock::now();
             let mut limits = shared.admission.limits();
-            limits.on_answer(&report, &answer, now);
+            limits.on_response(&report, &answer, now);
             shared
                 .metrics
                 .on_usage_answer(answer.entries, report.entries);
@@ -69,7 +69,7 @@
         Err(e) => {
             log::warn!(keeper = engine.to_string().as_str(), cause = e.to_string().as_str();
                 "limits: no answer");
-            choice.on_failed(engine, clock::now());
+            choice.on_failure(engine, clock::now());
             Some(false)
         }
     }
