--- a/coordination/src/crashes/crash_book.rs
+++ b/coordination/src/crashes/crash_book.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::{CrashEvent, CrashWord},
+    chalkcart_protocol::peer::{CrashEvent, CrashReport},
     chalkcart_state::ingress::RequestDigest,
     std::{
         collections::HashMap,
@@ -118,7 +118,7 @@
     }
 
     /// take in what another process knows; says whether any of it is news
-    pub fn merge(&mut self, words: &[CrashWord], now: Instant) -> bool {
+    pub fn merge(&mut self, words: &[CrashReport], now: Instant) -> bool {
         let known = self.revision;
         for word in words {
             let age = Duration::from_millis(word.age_ms);
@@ -130,16 +130,16 @@
 
     /// what is known beyond a revision, the oldest first, and the revision up to which it
     /// is told with these words
-    pub fn words_after(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
+    pub fn words_after(&self, revision: u64, now: Instant) -> (Vec<CrashReport>, u64) {
         if revision >= self.revision {
             return (Vec::new(), self.revision);
         }
-        let mut words: Vec<(u64, CrashWord)> = Vec::new();
+        let mut words: Vec<(u64, CrashReport)> = Vec::new();
         for (digest, row) in &self.rows {
             let newer = row.events().filter(|(_, noted)| noted.revision > revision);
             words.extend(newer.map(|(event, noted)| {
                 let age = now.saturating_duration_since(noted.at);
-                let word = CrashWord {
+                let word = CrashReport {
                     digest: *digest,
                     event,
                     age_ms: age.as_millis() as u64,
--- a/coordination/src/crashes/crash_evidence.rs
+++ b/coordination/src/crashes/crash_evidence.rs
@@ -1,6 +1,6 @@
 use {
     crate::dispatch::said_at,
-    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_protocol::peer::EngineStats,
     chalkcart_state::{backends::BackendId, ingress::RequestDigest},
     std::{
         collections::HashMap,
@@ -67,7 +67,7 @@
     }
 
     /// the sidecar of an engine has spoken of it
-    pub fn on_word(&mut self, life: &BackendId, figures: &EngineFigures, now: Instant) {
+    pub fn on_word(&mut self, life: &BackendId, figures: &EngineStats, now: Instant) {
         match figures.is_down {
             Some(true) => self.on_ended(life, now),
             Some(false) => self.on_alive(life, said_at(figures, now)),
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -7,7 +7,7 @@
         membership::{rendezvous_weight, stable_hash},
         placement::{adapter_mark, AdapterMark, LatelyHeld},
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend},
         ingress::RequestDigest,
@@ -205,7 +205,7 @@
         ViewNews::Came(came.map(|h| h.adapter.clone()).collect())
     }
     /// its sidecar says that nothing but these figures has changed
-    pub fn on_figures(&mut self, figures: EngineFigures, now: Instant) {
+    pub fn on_figures(&mut self, figures: EngineStats, now: Instant) {
         if let Some(view) = &mut self.view {
             view.figures = figures;
             self.viewed_at = said_at(&figures, now);
@@ -415,7 +415,7 @@
 }
 
 /// when the sidecar said this; relays count how long ago that was
-pub(crate) fn said_at(figures: &EngineFigures, now: Instant) -> Instant {
+pub(crate) fn said_at(figures: &EngineStats, now: Instant) -> Instant {
     let age = Duration::from_millis(u64::from(figures.age_ms));
     now.checked_sub(age).unwrap_or(now)
 }
--- a/coordination/src/dispatch/demands.rs
+++ b/coordination/src/dispatch/demands.rs
@@ -1,6 +1,8 @@
 use {
     super::{AdapterVersions, BackendState, DispatchSettings},
-    chalkcart_protocol::peer::{AdapterDemand, AdapterUse, EngineRoom, ModelSize, WantedAdapter},
+    chalkcart_protocol::peer::{
+        AdapterDemand, AdapterUse, EngineCapacity, ModelSize, WantedAdapter,
+    },
     chalkcart_state::{
         backends::{AdapterRef, HeldAdapter},
         ingress::{EngineSpec, Service},
@@ -46,14 +48,14 @@
     AdapterUse { adapter, in_flight }
 }
 
-fn room(spec: &EngineSpec) -> EngineRoom {
+fn room(spec: &EngineSpec) -> EngineCapacity {
     let models = spec.models.iter().map(|m| ModelSize {
         model: m.name.clone(),
         weights_mb: m.weights_mb,
         adapter_mb: m.adapter_mb,
         reload_ms: m.reload_time.as_millis() as u32,
     });
-    EngineRoom {
+    EngineCapacity {
         adapter_slots: spec.adapter_slots,
         weights_mb: spec.weights_mb,
         models: models.collect(),
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -1,7 +1,7 @@
 use {
     super::{Ask, DispatchSettings, NoDeal, Ticket},
     crate::own_word::OwnWord,
-    chalkcart_protocol::peer::{EngineFigures, EngineView, IntakeAnswer},
+    chalkcart_protocol::peer::{AdmissionResponse, EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, BackendId, BackendList},
         ids::ZoneName,
@@ -74,7 +74,7 @@
     Dealt {
         backend: BackendId,
         asked: Instant,
-        answer: Result<IntakeAnswer, NoDeal>,
+        answer: Result<AdmissionResponse, NoDeal>,
     },
     Listed {
         version: u64,
@@ -93,7 +93,7 @@
     /// nothing but these figures of a view has changed
     Figures {
         backend: BackendId,
-        figures: EngineFigures,
+        figures: EngineStats,
     },
     ViewLost(BackendId),
     /// whether the sidecar of the engine at this address takes demands
--- a/coordination/src/dispatch/limited.rs
+++ b/coordination/src/dispatch/limited.rs
@@ -6,7 +6,7 @@
         intake::{NamedLimit, Sharers},
         own_word::{LimitWord, RequestRate},
     },
-    chalkcart_protocol::peer::{EngineFigures, IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse, EngineStats},
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct IntakeQuestion {
     pub engine: SocketAddr,
-    pub report: IntakeReport,
+    pub report: AdmissionReport,
     pub asked: Instant,
 }
 
@@ -52,7 +52,7 @@
     pub(super) fn on_limit_told(
         &mut self,
         backend: &BackendId,
-        figures: &EngineFigures,
+        figures: &EngineStats,
         now: Instant,
     ) {
         let told = figures.limit_milli_per_s.map(RequestRate::of_milli);
@@ -69,7 +69,7 @@
         &mut self,
         backend: &BackendId,
         asked: Instant,
-        answer: Result<IntakeAnswer, NoDeal>,
+        answer: Result<AdmissionResponse, NoDeal>,
         now: Instant,
     ) {
         self.change_limit(backend, now, |limit, sharers| match &answer {
@@ -167,7 +167,7 @@
             }
             questions.push(IntakeQuestion {
                 engine: state.listed.addr,
-                report: IntakeReport {
+                report: AdmissionReport {
                     entry: self.settings.entry.clone(),
                     backend: id.clone(),
                     named: news.named,
--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/listing.rs
@@ -7,7 +7,7 @@
         BackendState,
     },
     crate::own_word::OwnWord,
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId, BackendList, BackendName},
         ids::ServiceName,
@@ -192,7 +192,7 @@
     /// Its sidecar heard from the engine itself that it leaves, how many requests it takes or
     /// that it is cold: entries that had no answer of it know it by that, also while the
     /// store is silent.
-    fn on_own_word_told(&mut self, backend: &BackendId, figures: &EngineFigures, now: Instant) {
+    fn on_own_word_told(&mut self, backend: &BackendId, figures: &EngineStats, now: Instant) {
         self.on_limit_told(backend, figures, now);
         if figures.cold_left_ms > 0 {
             let left = Duration::from_millis(u64::from(figures.cold_left_ms));
@@ -204,7 +204,7 @@
         }
     }
 
-    pub(super) fn on_figures(&mut self, backend: &BackendId, figures: EngineFigures, now: Instant) {
+    pub(super) fn on_figures(&mut self, backend: &BackendId, figures: EngineStats, now: Instant) {
         self.last_heard = Some(now);
         self.on_counted(figures.entries, now);
         if let Some(state) = self.backends.get_mut(backend) {
--- a/coordination/src/intake/engine_limit.rs
+++ b/coordination/src/intake/engine_limit.rs
@@ -1,7 +1,7 @@
 use {
     super::PermitDealer,
     crate::own_word::{LimitWord, RequestRate},
-    chalkcart_protocol::peer::{HeardLimit, IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse, ObservedLimit},
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -49,9 +49,9 @@
     pub fn on_report(
         &mut self,
         backend: &BackendId,
-        report: &IntakeReport,
+        report: &AdmissionReport,
         now: Instant,
-    ) -> IntakeAnswer {
+    ) -> AdmissionResponse {
         let is_its = report.backend == *backend;
         if is_its {
             self.take_in(report, now);
@@ -61,7 +61,7 @@
             Some(rate) => self.dealer.deal(rate.per_s(), report, now),
             None => (0, Duration::ZERO),
         };
-        IntakeAnswer {
+        AdmissionResponse {
             backend: backend.clone(),
             limit_milli_per_s: named.map(RequestRate::milli),
             freed_ago_ms: self.freed.map(|at| ms_since(at, now)),
@@ -70,12 +70,12 @@
         }
     }
 
-    fn take_in(&mut self, report: &IntakeReport, now: Instant) {
+    fn take_in(&mut self, report: &AdmissionReport, now: Instant) {
         if let Some(freed) = report.freed_ago_ms.map(|ago| ms_ago(ago, now)) {
             self.by_entries = self.by_entries.filter(|(_, at)| *at > freed);
             self.freed = Some(self.freed.map_or(freed, |known| known.max(freed)));
         }
-        let Some(HeardLimit {
+        let Some(ObservedLimit {
             milli_per_s,
             ago_ms,
         }) = report.named
--- a/coordination/src/intake/held_permits.rs
+++ b/coordination/src/intake/held_permits.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::IntakeAnswer,
+    chalkcart_protocol::peer::AdmissionResponse,
     std::time::{Duration, Instant},
 };
 
@@ -86,7 +86,7 @@
     }
 
     /// it has answered a question that was asked then
-    pub fn on_answer(&mut self, answer: &IntakeAnswer, asked: Instant, now: Instant) {
+    pub fn on_answer(&mut self, answer: &AdmissionResponse, asked: Instant, now: Instant) {
         let next = Duration::from_millis(u64::from(answer.next_ms));
         self.count = self.count(now) + answer.granted;
         if answer.granted > 0 {
--- a/coordination/src/intake/named_limit.rs
+++ b/coordination/src/intake/named_limit.rs
@@ -1,7 +1,7 @@
 use {
     super::{EqualShare, HeldPermits, IntakeReason, ShareBasis, LEAST_PER_S},
     crate::own_word::{LimitWord, RequestRate},
-    chalkcart_protocol::peer::{HeardLimit, IntakeAnswer},
+    chalkcart_protocol::peer::{AdmissionResponse, ObservedLimit},
     std::time::{Duration, Instant},
 };
 
@@ -32,7 +32,7 @@
 /// what the dealer of a back end's permits has not heard of this entry
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitNews {
-    pub named: Option<HeardLimit>,
+    pub named: Option<ObservedLimit>,
     pub freed_ago_ms: Option<u32>,
 }
 
@@ -93,7 +93,7 @@
     /// that named no limit, and that was written after the last one that came here.
     pub fn on_dealt(
         &mut self,
-        answer: &IntakeAnswer,
+        answer: &AdmissionResponse,
         asked: Instant,
         sharers: Sharers,
         now: Instant,
@@ -199,7 +199,7 @@
             u32::try_from(passed).unwrap_or(u32::MAX)
         };
         let news = LimitNews {
-            named: self.said.map(|said| HeardLimit {
+            named: self.said.map(|said| ObservedLimit {
                 milli_per_s: said.rate.milli(),
                 ago_ms: ms_since(said.at),
             }),
--- a/coordination/src/intake/permit_dealer.rs
+++ b/coordination/src/intake/permit_dealer.rs
@@ -1,6 +1,6 @@
 use {
     super::LEAST_PER_S,
-    chalkcart_protocol::peer::IntakeReport,
+    chalkcart_protocol::peer::AdmissionReport,
     chalkcart_state::ids::BoxName,
     std::{
         collections::HashMap,
@@ -38,7 +38,7 @@
 
 impl PermitDealer {
     /// what an entry is given now, and the time until its next turn
-    pub fn deal(&mut self, per_s: f64, report: &IntakeReport, now: Instant) -> (u32, Duration) {
+    pub fn deal(&mut self, per_s: f64, report: &AdmissionReport, now: Instant) -> (u32, Duration) {
         let per_s = per_s.max(LEAST_PER_S);
         self.refill(per_s, f64::from(report.unused), now);
         self.hear(report, now);
@@ -72,7 +72,7 @@
         self.level = (self.level + due + returned).min(most);
     }
 
-    fn hear(&mut self, report: &IntakeReport, now: Instant) {
+    fn hear(&mut self, report: &AdmissionReport, now: Instant) {
         self.entries
             .retain(|_, e| now.saturating_duration_since(e.heard) < KEPT);
         let known = self.entries.get(&report.entry);
--- a/coordination/src/limits/limit_book.rs
+++ b/coordination/src/limits/limit_book.rs
@@ -5,7 +5,7 @@
         LimitBounds, LimitSettings,
     },
     crate::membership::{rendezvous_weight, stable_hash},
-    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageAnswer, UsageReport},
+    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
         accounts::{AccountMark, ClientAccount, ClientAccountName, RateLimit},
         ids::{BoxName, Incarnation},
@@ -238,7 +238,7 @@
     }
 
     /// the keeper has answered a report
-    pub fn on_answer(&mut self, report: &UsageReport, answer: &UsageAnswer, now: Instant) {
+    pub fn on_answer(&mut self, report: &UsageReport, answer: &UsageResponse, now: Instant) {
         if self.keeper != Some(answer.incarnation) {
             self.words = 0;
         }
--- a/coordination/src/limits/usage_keeper.rs
+++ b/coordination/src/limits/usage_keeper.rs
@@ -1,6 +1,6 @@
 use {
     super::{TokenBucket, WindowSum},
-    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageAnswer, UsageReport},
+    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
         accounts::AccountMark,
         ids::{BoxName, Incarnation},
@@ -61,7 +61,7 @@
     }
 
     /// an entry has told what it let run
-    pub fn on_report(&mut self, report: UsageReport, now: Instant) -> UsageAnswer {
+    pub fn on_report(&mut self, report: UsageReport, now: Instant) -> UsageResponse {
         self.expire(now);
         let known = self.entries.get(&report.entry);
         if known.is_none_or(|row| row.incarnation != report.incarnation) {
@@ -100,7 +100,7 @@
                 accounts.push(row.level(*mark, now));
             }
         }
-        UsageAnswer {
+        UsageResponse {
             incarnation: self.incarnation,
             entries: counted,
             accounts,
--- a/coordination/src/permits/permit_giver.rs
+++ b/coordination/src/permits/permit_giver.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk},
+    chalkcart_protocol::peer::{PermitRequest, PermitResponse},
     chalkcart_state::ids::{AdapterName, BoxName},
     std::{
         collections::HashMap,
@@ -83,14 +83,14 @@
         self.settings.loads_at_once = loads_at_once;
     }
 
-    pub fn ask(&mut self, ask: &PermitAsk, now: Instant) -> PermitAnswer {
+    pub fn ask(&mut self, ask: &PermitRequest, now: Instant) -> PermitResponse {
         self.refill(now);
         self.forget_old(now);
         let asker = Asker::from(ask);
         if let Some(expires) = self.leases.get(&asker) {
             // the answer to an earlier ask was lost
             let lease = expires.saturating_duration_since(now);
-            return PermitAnswer::Granted { lease };
+            return PermitResponse::Granted { lease };
         }
         self.claims.insert(
             asker.clone(),
@@ -102,20 +102,20 @@
         );
         let rank = self.rank(&asker);
         if rank >= self.free_permits() {
-            return PermitAnswer::Wait {
+            return PermitResponse::Wait {
                 retry_after: self.retry_after(rank),
             };
         }
         self.claims.remove(&asker);
         self.leases.insert(asker, now + self.settings.lease);
         self.allowance -= 1.0;
-        PermitAnswer::Granted {
+        PermitResponse::Granted {
             lease: self.settings.lease,
         }
     }
 
     /// the load ended
-    pub fn give_back(&mut self, ask: &PermitAsk) {
+    pub fn give_back(&mut self, ask: &PermitRequest) {
         let asker = Asker::from(ask);
         self.leases.remove(&asker);
         self.claims.remove(&asker);
@@ -161,8 +161,8 @@
     }
 }
 
-impl From<&PermitAsk> for Asker {
-    fn from(ask: &PermitAsk) -> Self {
+impl From<&PermitRequest> for Asker {
+    fn from(ask: &PermitRequest) -> Self {
         Self {
             target: ask.target.clone(),
             adapter: ask.adapter.clone(),
--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{placement_control::Place, OrderKind, PlacementControl},
-    chalkcart_protocol::peer::EngineRoom,
+    chalkcart_protocol::peer::EngineCapacity,
     chalkcart_state::backends::AdapterRef,
     std::time::Instant,
 };
@@ -30,7 +30,7 @@
     }
 
     /// the base model that wanted adapters belong to and that is not there
-    fn missing_model(&mut self, room: &EngineRoom, now: Instant) -> Option<OrderKind> {
+    fn missing_model(&mut self, room: &EngineCapacity, now: Instant) -> Option<OrderKind> {
         if self.report.busy || !self.report.models.is_empty() {
             return None;
         }
@@ -84,7 +84,7 @@
     }
 
     /// adapters that fit the engine, by places and by weight
-    fn capacity(&self, room: &EngineRoom) -> usize {
+    fn capacity(&self, room: &EngineCapacity) -> usize {
         let held = room.models.iter();
         let held = held.filter(|m| self.report.models.contains(&m.model));
         let (mut left, mut largest) = (room.weights_mb, 0.0f64);
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -8,7 +8,7 @@
         own_word::{OwnWord, RequestRate},
     },
     chalkcart_protocol::peer::{
-        AdapterDemand, EngineFigures, EngineView, IntakeAnswer, IntakeReport,
+        AdapterDemand, AdmissionReport, AdmissionResponse, EngineStats, EngineView,
     },
     chalkcart_state::backends::{AdapterRef, BackendId, BackendName},
     std::{
@@ -176,7 +176,7 @@
 
     /// what entries may know
     pub fn view(&self, now: Instant) -> EngineView {
-        let figures = EngineFigures {
+        let figures = EngineStats {
             fence: self.fence.value(),
             next_load_ms: self.next_load(self.speed.load_time(), now).as_millis() as u32,
             next_return_ms: self.next_load(self.speed.return_time(), now).as_millis() as u32,
@@ -191,7 +191,7 @@
             is_leaving: self.says_leaving,
             limit_milli_per_s: self.limit.named(now).map(RequestRate::milli),
             cold_left_ms: self.cold_left_ms(now),
-            ..EngineFigures::default()
+            ..EngineStats::default()
         };
         let mut view = EngineView {
             backend: self.backend.clone(),
@@ -225,7 +225,7 @@
         }
     }
     /// an entry says what it heard of the engine's limit, and asks for permits
-    pub fn deal(&mut self, report: &IntakeReport, now: Instant) -> IntakeAnswer {
+    pub fn deal(&mut self, report: &AdmissionReport, now: Instant) -> AdmissionResponse {
         self.limit.on_report(&self.backend, report, now)
     }
     fn cold_left_ms(&self, now: Instant) -> u16 {
--- a/coordination/src/relay/published_book.rs
+++ b/coordination/src/relay/published_book.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::PublishedAnswer,
+    chalkcart_protocol::peer::PublishedResponse,
     chalkcart_state::{
         backends::{AdapterRef, BackendName},
         ids::ZoneName,
@@ -93,10 +93,10 @@
         after: Option<u64>,
         asked: Instant,
         now: Instant,
-    ) -> Option<PublishedAnswer> {
+    ) -> Option<PublishedResponse> {
         let age = self.heard.map(|at| now.saturating_duration_since(at));
         if age.is_none_or(|age| age > self.stale_after) {
-            return Some(PublishedAnswer::Stale);
+            return Some(PublishedResponse::Stale);
         }
         let Some(after) = after else {
             let is_there = |record: &&Record| !matches!(record, Record::BackendGone(_));
@@ -104,7 +104,7 @@
             return Some(self.records(records.filter(is_there).cloned().collect(), asked));
         };
         if after < self.forgotten_to {
-            return Some(PublishedAnswer::HistoryLost);
+            return Some(PublishedResponse::HistoryLost);
         }
         let newer = self.records.values().filter(|(at, _)| *at > after);
         let newer: Vec<Record> = newer.map(|(_, record)| record.clone()).collect();
@@ -112,24 +112,24 @@
     }
 
     /// the answer to an entry that has waited long enough for something newer
-    pub fn nothing_newer(&self, after: Option<u64>, asked: Instant) -> PublishedAnswer {
+    pub fn nothing_newer(&self, after: Option<u64>, asked: Instant) -> PublishedResponse {
         let at = self.at.max(after.unwrap_or(0));
         let records = Vec::new();
         self.answer_with(Snapshot { records, at }, asked)
     }
 
-    fn records(&self, records: Vec<Record>, asked: Instant) -> PublishedAnswer {
+    fn records(&self, records: Vec<Record>, asked: Instant) -> PublishedResponse {
         let at = self.at;
         self.answer_with(Snapshot { records, at }, asked)
     }
 
-    fn answer_with(&self, snapshot: Snapshot, asked: Instant) -> PublishedAnswer {
+    fn answer_with(&self, snapshot: Snapshot, asked: Instant) -> PublishedResponse {
         let current_ms = match self.current_at {
             Some(at) if at >= asked => at.duration_since(asked).as_millis() as i64,
             Some(at) => -(asked.duration_since(at).as_millis() as i64) - 1,
-            None => return PublishedAnswer::Stale,
+            None => return PublishedResponse::Stale,
         };
-        PublishedAnswer::Records {
+        PublishedResponse::Records {
             snapshot,
             current_ms,
         }
--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_book.rs
@@ -1,7 +1,7 @@
 use {
     crate::placement::{adapter_mark, DemandBook, LatelyHeld},
     chalkcart_protocol::peer::{
-        AdapterDemand, EngineFigures, EngineNews, EngineView, EngineWord, RelayDemands,
+        AdapterDemand, EngineStats, EngineUpdate, EngineView, EngineViewState, RelayDemands,
         RelayUpdate, ViewUpdate,
     },
     chalkcart_state::{
@@ -112,7 +112,7 @@
         &mut self,
         engine: SocketAddr,
         backend: &BackendId,
-        figures: EngineFigures,
+        figures: EngineStats,
         now: Instant,
     ) -> bool {
         let Some(known) = self.engines.get_mut(&engine) else {
@@ -142,12 +142,12 @@
     /// what entries have not heard, for all of them
     pub fn take_news(&mut self, now: Instant) -> RelayUpdate {
         let forgotten = std::mem::take(&mut self.forgotten);
-        let mut news: Vec<EngineNews> = forgotten.into_iter().map(silent).collect();
+        let mut news: Vec<EngineUpdate> = forgotten.into_iter().map(silent).collect();
         for addr in std::mem::take(&mut self.with_news) {
             let Some(engine) = self.engines.get_mut(&addr) else {
                 continue;
             };
-            news.extend(engine.take_word().map(|word| EngineNews {
+            news.extend(engine.take_word().map(|word| EngineUpdate {
                 engine: addr,
                 age_ms: engine.age_ms(now),
                 word,
@@ -160,10 +160,10 @@
     pub fn whole(&self, now: Instant) -> RelayUpdate {
         let told = self.engines.iter().filter_map(|(addr, engine)| {
             let view = engine.told.as_ref()?;
-            Some(EngineNews {
+            Some(EngineUpdate {
                 engine: *addr,
                 age_ms: engine.age_ms(now),
-                word: EngineWord::View(ViewUpdate::Whole(engine.with_lately(view))),
+                word: EngineViewState::View(ViewUpdate::Whole(engine.with_lately(view))),
             })
         });
         RelayUpdate {
@@ -211,11 +211,11 @@
     }
 }
 
-fn silent(engine: SocketAddr) -> EngineNews {
-    EngineNews {
+fn silent(engine: SocketAddr) -> EngineUpdate {
+    EngineUpdate {
         engine,
         age_ms: 0,
-        word: EngineWord::Silent,
+        word: EngineViewState::Silent,
     }
 }
 
@@ -247,20 +247,20 @@
     }
 
     /// the smallest message that tells entries the newest view
-    fn take_word(&mut self) -> Option<EngineWord> {
+    fn take_word(&mut self) -> Option<EngineViewState> {
         let word = match (&mut self.told, &self.view) {
             (None, None) => return None,
-            (Some(_), None) => EngineWord::Silent,
-            (None, Some(view)) => EngineWord::View(ViewUpdate::Whole(self.with_lately(view))),
+            (Some(_), None) => EngineViewState::Silent,
+            (None, Some(view)) => EngineViewState::View(ViewUpdate::Whole(self.with_lately(view))),
             (Some(told), Some(view)) if !told.differs_in_holdings(view) => {
                 told.figures = view.figures;
-                return Some(EngineWord::View(ViewUpdate::Figures(view.figures)));
+                return Some(EngineViewState::View(ViewUpdate::Figures(view.figures)));
             }
             (Some(told), Some(view)) => match ViewUpdate::between(told, view) {
                 ViewUpdate::Whole(view) => {
-                    EngineWord::View(ViewUpdate::Whole(self.with_lately(&view)))
+                    EngineViewState::View(ViewUpdate::Whole(self.with_lately(&view)))
                 }
-                change => EngineWord::View(change),
+                change => EngineViewState::View(change),
             },
         };
         self.told = self.view.clone();
--- a/coordination/src/sidecar/actions.rs
+++ b/coordination/src/sidecar/actions.rs
@@ -1,7 +1,7 @@
 use {
     super::Ticket,
     crate::slots::AdapterKey,
-    chalkcart_protocol::peer::{Outcome, PermitAsk, Refusal, ReserveAnswer, WorkOrder},
+    chalkcart_protocol::peer::{Outcome, PermitRequest, Refusal, ReserveAnswer, WorkOrder},
     chalkcart_state::ids::{Fence, Incarnation, RequestId},
     std::{net::SocketAddr, time::Instant},
 };
@@ -49,12 +49,12 @@
     },
     AskPermit {
         giver: SocketAddr,
-        ask: PermitAsk,
+        ask: PermitRequest,
         adapter: AdapterKey,
     },
     ReturnPermit {
         giver: SocketAddr,
-        ask: PermitAsk,
+        ask: PermitRequest,
     },
     AnswerReserve {
         ticket: Ticket,
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -1,6 +1,6 @@
 use {
     crate::{fence::EngineStatus, slots::AdapterKey},
-    chalkcart_protocol::peer::{Outcome, PermitAnswer, Reason, WorkOrder},
+    chalkcart_protocol::peer::{Outcome, PermitResponse, Reason, WorkOrder},
     chalkcart_state::{
         config::Root,
         ids::{Fence, Incarnation, RequestId},
@@ -74,7 +74,7 @@
     /// the giver's answer; none if it can't be reached
     PermitAnswered {
         adapter: AdapterKey,
-        answer: Option<PermitAnswer>,
+        answer: Option<PermitResponse>,
     },
     Configured(Arc<Root>),
     DrainAsked,
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -6,7 +6,7 @@
         OrderFence, OrderResult, PermitMode, SidecarAction, SidecarControl,
     },
     crate::slots::{AdapterKey, Room},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose, Reason, Step},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest, PermitResponse, Reason, Step},
     chalkcart_state::ids::{Incarnation, RequestId},
     std::time::{Duration, Instant},
 };
@@ -61,18 +61,18 @@
     pub(super) fn on_permit(
         &mut self,
         key: &AdapterKey,
-        answer: Option<PermitAnswer>,
+        answer: Option<PermitResponse>,
         now: Instant,
     ) {
         let Some(wish) = self.loads.wishes.get_mut(key) else {
-            if matches!(answer, Some(PermitAnswer::Granted { .. })) {
+            if matches!(answer, Some(PermitResponse::Granted { .. })) {
                 self.return_permit(key);
             }
             return;
         };
         wish.permit = match answer {
-            Some(PermitAnswer::Granted { lease }) => PermitState::Held(now + lease),
-            Some(PermitAnswer::Wait { retry_after }) => PermitState::AskAt(now + retry_after),
+            Some(PermitResponse::Granted { lease }) => PermitState::Held(now + lease),
+            Some(PermitResponse::Wait { retry_after }) => PermitState::AskAt(now + retry_after),
             None => {
                 wish.unanswered += 1;
                 PermitState::AskAt(now + UNANSWERED_PAUSE)
@@ -226,13 +226,13 @@
         });
     }
 
-    fn permit_ask(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitAsk {
+    fn permit_ask(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitRequest {
         let waiting = self
             .queue
             .iter()
             .filter(|w| w.adapter.as_ref() == Some(key));
         let most_urgent = waiting.min_by_key(|w| (w.priority_at(now), w.arrived));
-        PermitAsk {
+        PermitRequest {
             purpose,
             target: self.settings.name.clone(),
             adapter: key.adapter.clone(),
@@ -248,7 +248,7 @@
         };
         self.actions.push(SidecarAction::ReturnPermit {
             giver,
-            ask: PermitAsk {
+            ask: PermitRequest {
                 purpose: PermitPurpose::Return,
                 target: self.settings.name.clone(),
                 adapter: key.adapter.clone(),
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -7,7 +7,7 @@
         crashes::{Crash, CrashBook, Standing, CONDEMNED_AFTER, MOST_DIGESTS},
         dispatch::{Ask, DispatchEvent, SendOutcome},
     },
-    chalkcart_protocol::peer::{CrashEvent, CrashWord, EngineView},
+    chalkcart_protocol::peer::{CrashEvent, CrashReport, EngineView},
     chalkcart_state::{backends::Backend, ingress::RequestDigest},
     dispatch_fixture::*,
     quickcheck::{Arbitrary, Gen, QuickCheck},
@@ -259,8 +259,8 @@
 
 const STEPS_MS: u64 = 50;
 
-fn word(happening: &Happening) -> CrashWord {
-    CrashWord {
+fn word(happening: &Happening) -> CrashReport {
+    CrashReport {
         digest: digest(&happening.body.to_string()),
         event: match happening.life {
             Some(life) => CrashEvent::Ended { life: life.into() },
@@ -312,8 +312,8 @@
         let happenings = with_one_end_a_life(happenings);
         let rule = plain_rule(&happenings);
         let now = Instant::now();
-        let words: Vec<CrashWord> = happenings.iter().map(word).collect();
-        let reversed: Vec<CrashWord> = words.iter().rev().copied().collect();
+        let words: Vec<CrashReport> = happenings.iter().map(word).collect();
+        let reversed: Vec<CrashReport> = words.iter().rev().copied().collect();
         let cut = if words.is_empty() {
             0
         } else {
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -7,7 +7,7 @@
         Ask, Decision, DispatchEvent, DispatchSettings, RefusalCause, SendOutcome, SharedBudget,
         Ticket,
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     dispatch_fixture::*,
     std::time::Instant,
 };
@@ -372,7 +372,7 @@
     list[0].slots = 5;
     let figures = DispatchEvent::Figures {
         backend: "engines-1".into(),
-        figures: EngineFigures::default(),
+        figures: EngineStats::default(),
     };
     fixture.tell(figures);
     let ask = fixture.new_ask(ENGINES, Some("a"));
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -11,7 +11,7 @@
         },
         placement::{adapter_mark, AdapterMark},
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, HeldAdapter},
         ingress::{BaseModel, EngineSpec, IngressLimits, RequestDigest, RouteTable, Service},
@@ -95,11 +95,11 @@
         backend: backend.into(),
         held: held.collect(),
         models: vec!["m".to_string()],
-        figures: EngineFigures {
+        figures: EngineStats {
             spare_slots: 2,
             entries: 2,
             is_down: Some(false),
-            ..EngineFigures::default()
+            ..EngineStats::default()
         },
         ..EngineView::default()
     }
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -5,7 +5,7 @@
 
 use {
     chalkcart_coordination::dispatch::{Ask, DemandsDue, DispatchEvent, SendOutcome},
-    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_protocol::peer::EngineStats,
     chalkcart_state::backends::{Backend, HeldAdapter},
     dispatch_fixture::*,
 };
@@ -192,7 +192,7 @@
     fixture.view(1, view("engines-1", &[("a", 1)]));
     let figures = |running| DispatchEvent::Figures {
         backend: "engines-1".into(),
-        figures: EngineFigures {
+        figures: EngineStats {
             running,
             ..view("engines-1", &[]).figures
         },
@@ -214,7 +214,7 @@
     fixture.tell(DispatchEvent::ViewLost("engines-1".into()));
     let figures = DispatchEvent::Figures {
         backend: "engines-1".into(),
-        figures: EngineFigures::default(),
+        figures: EngineStats::default(),
     };
     fixture.tell(figures);
     let ask = fixture.new_ask(ENGINES, Some("a"));
--- a/coordination/tests/intake_fleet.rs
+++ b/coordination/tests/intake_fleet.rs
@@ -63,7 +63,7 @@
 #[test]
 fn the_dealer_serves_all_in_turn() {
     use chalkcart_coordination::intake::PermitDealer;
-    use chalkcart_protocol::peer::IntakeReport;
+    use chalkcart_protocol::peer::AdmissionReport;
     use std::time::{Duration, Instant};
     let mut dealer = PermitDealer::default();
     let mut granted = [0u32; 5];
@@ -71,7 +71,7 @@
     for step in 0..6_000u32 {
         let now = begun + Duration::from_millis(10) * step;
         let number = step as usize % granted.len();
-        let report = IntakeReport {
+        let report = AdmissionReport {
             entry: format!("entry-{number}"),
             backend: "e".into(),
             named: None,
--- a/coordination/tests/intake_sim/mod.rs
+++ b/coordination/tests/intake_sim/mod.rs
@@ -9,7 +9,7 @@
         intake::{EngineLimit, NamedLimit, Sharers},
         own_word::{LimitWord, RequestRate},
     },
-    chalkcart_protocol::peer::{IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse},
     chalkcart_state::backends::BackendId,
     rand::{rngs::StdRng, RngExt, SeedableRng},
     std::time::{Duration, Instant},
@@ -93,7 +93,7 @@
     /// when an answer first named a limit
     told: Option<Instant>,
     answers: Vec<(Instant, Instant, f64)>,
-    dealt: Option<(Instant, Instant, Option<IntakeAnswer>)>,
+    dealt: Option<(Instant, Instant, Option<AdmissionResponse>)>,
 }
 
 pub fn allowed(per_s: f64) -> usize {
@@ -215,7 +215,7 @@
             entry.limit.set_wanted(entry.waiting.len() as u32, 1);
             if hears && entry.dealt.is_none() && entry.limit.is_question_due(now) {
                 let (news, unused) = entry.limit.on_asked(now);
-                let report = IntakeReport {
+                let report = AdmissionReport {
                     entry: format!("entry-{number}"),
                     backend: backend.clone(),
                     named: news.named,
--- a/coordination/tests/keeper_fixture/mod.rs
+++ b/coordination/tests/keeper_fixture/mod.rs
@@ -9,7 +9,9 @@
         EngineOrder, EngineReport, OrderAnswer, PlacementControl, PlacementEvent,
         PlacementSettings, PlacementStep,
     },
-    chalkcart_protocol::peer::{AdapterDemand, EngineRoom, EngineView, ModelSize, WantedAdapter},
+    chalkcart_protocol::peer::{
+        AdapterDemand, EngineCapacity, EngineView, ModelSize, WantedAdapter,
+    },
     chalkcart_state::backends::HeldAdapter,
     std::time::Instant,
 };
@@ -50,7 +52,7 @@
             list_version: 1,
             fence_seen: 0,
             health_path: "/health".to_string(),
-            room: EngineRoom {
+            room: EngineCapacity {
                 adapter_slots: 4,
                 weights_mb: 1_000.0,
                 models: vec![ModelSize {
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -8,7 +8,7 @@
         limits::{LimitBook, LimitSettings, UsageKeeper},
         membership::{rendezvous_weight, KeeperChoice, KeptMatter},
     },
-    chalkcart_protocol::peer::{UsageAnswer, UsageReport},
+    chalkcart_protocol::peer::{UsageReport, UsageResponse},
     chalkcart_state::accounts::{AccountMark, ClientAccount, LimitUnit, RateLimit},
     std::{
         collections::{BTreeMap, HashMap, VecDeque},
@@ -135,7 +135,7 @@
 
 enum Message {
     Report(usize, SocketAddr, UsageReport),
-    Answer(usize, SocketAddr, UsageAnswer),
+    Answer(usize, SocketAddr, UsageResponse),
     /// what the store had published when it was asked: the keys' version
     Published(usize, u64, Instant),
 }
@@ -286,7 +286,7 @@
         }
     }
 
-    fn on_answer(&mut self, number: usize, from: SocketAddr, answer: &UsageAnswer) {
+    fn on_answer(&mut self, number: usize, from: SocketAddr, answer: &UsageResponse) {
         let now = self.now();
         let entry = &mut self.entries[number];
         if entry.cut_until > self.step || entry.frozen_until > self.step {
--- a/coordination/tests/permits.rs
+++ b/coordination/tests/permits.rs
@@ -2,12 +2,12 @@
 
 use {
     chalkcart_coordination::permits::{PermitGiver, PermitSettings},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest, PermitResponse},
     std::time::{Duration, Instant},
 };
 
-fn ask(target: &str, priority: u8, waited: u64) -> PermitAsk {
-    PermitAsk {
+fn ask(target: &str, priority: u8, waited: u64) -> PermitRequest {
+    PermitRequest {
         purpose: PermitPurpose::Ask,
         target: target.to_string(),
         adapter: "a".to_string(),
@@ -16,8 +16,8 @@
     }
 }
 
-fn is_granted(answer: PermitAnswer) -> bool {
-    matches!(answer, PermitAnswer::Granted { .. })
+fn is_granted(answer: PermitResponse) -> bool {
+    matches!(answer, PermitResponse::Granted { .. })
 }
 
 #[test]
@@ -93,8 +93,8 @@
     let settings = PermitSettings::default();
     let mut giver = PermitGiver::new(settings.clone(), start);
     let retry = |answer| match answer {
-        PermitAnswer::Wait { retry_after } => retry_after,
-        PermitAnswer::Granted { .. } => Duration::ZERO,
+        PermitResponse::Wait { retry_after } => retry_after,
+        PermitResponse::Granted { .. } => Duration::ZERO,
     };
     let pauses: Vec<Duration> = (0..50)
         .map(|number| giver.ask(&ask(&format!("t{number}"), number, 0), start))
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -5,7 +5,9 @@
         adapter_mark, EngineOrder, EngineReport, OrderAnswer, OrderKind, PlacementControl,
         PlacementEvent, PlacementSettings, PlacementStep,
     },
-    chalkcart_protocol::peer::{AdapterDemand, AdapterUse, EngineRoom, ModelSize, WantedAdapter},
+    chalkcart_protocol::peer::{
+        AdapterDemand, AdapterUse, EngineCapacity, ModelSize, WantedAdapter,
+    },
     chalkcart_state::backends::{AdapterRef, HeldAdapter},
     std::{
         collections::HashSet,
@@ -41,7 +43,7 @@
         list_version: 1,
         fence_seen: 0,
         health_path: "/health".to_string(),
-        room: EngineRoom {
+        room: EngineCapacity {
             adapter_slots: 2,
             weights_mb: 1_000.0,
             models: vec![ModelSize {
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -6,8 +6,8 @@
         RELAYS_PER_ZONE,
     },
     chalkcart_protocol::peer::{
-        AdapterDemand, AdapterUse, EngineDemand, EngineFigures, EngineRoom, EngineView, EngineWord,
-        PublishedAnswer, RelayDemands, RelayUpdate, WantedAdapter,
+        AdapterDemand, AdapterUse, EngineCapacity, EngineDemand, EngineStats, EngineView,
+        EngineViewState, PublishedResponse, RelayDemands, RelayUpdate, WantedAdapter,
     },
     chalkcart_state::{
         backends::{AdapterRef, Backend, HeldAdapter},
@@ -123,7 +123,7 @@
         list_version: 1,
         fence_seen: 7,
         health_path: "/health".to_string(),
-        room: EngineRoom::default(),
+        room: EngineCapacity::default(),
         wanted: vec![WantedAdapter {
             adapter: adapter(adapter_name),
             waiting: 2,
@@ -244,11 +244,11 @@
     fn take_in(&mut self, update: RelayUpdate) {
         for news in update.news {
             match news.word {
-                EngineWord::Unknown => panic!("of no build"),
-                EngineWord::Silent => {
+                EngineViewState::Unknown => panic!("of no build"),
+                EngineViewState::Silent => {
                     self.0.remove(&news.engine);
                 }
-                EngineWord::View(update) => {
+                EngineViewState::View(update) => {
                     let view = self.0.entry(news.engine).or_default();
                     view.apply(update);
                     view.lately.clear();
@@ -281,9 +281,9 @@
                 book.on_view(addr(engine), view(&held), now);
             }
             Heard::Figures(engine, running) => {
-                let figures = EngineFigures {
+                let figures = EngineStats {
                     running,
-                    ..EngineFigures::default()
+                    ..EngineStats::default()
                 };
                 if let Some(view) = truth.0.get_mut(&addr(engine)) {
                     view.figures = figures;
@@ -334,9 +334,9 @@
 }
 
 /// an answer that was current when it was asked for
-fn current(snapshot: Snapshot) -> PublishedAnswer {
+fn current(snapshot: Snapshot) -> PublishedResponse {
     let current_ms = 0;
-    PublishedAnswer::Records {
+    PublishedResponse::Records {
         snapshot,
         current_ms,
     }
@@ -346,7 +346,7 @@
 fn a_relay_tells_the_store_as_it_heard_it_and_only_while_it_hears_it() {
     let now = Instant::now();
     let mut book = PublishedBook::new(STALE_AFTER);
-    assert_eq!(book.answer(None, now, now), Some(PublishedAnswer::Stale));
+    assert_eq!(book.answer(None, now, now), Some(PublishedResponse::Stale));
     book.take_in(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
     let all = current(snapshot(5, vec![listed("a"), listed("b")]));
     assert_eq!(book.answer(None, now, now), Some(all));
@@ -354,7 +354,7 @@
     // a later whole lacks one that is known, and an older answer says nothing
     book.take_in(snapshot(9, vec![listed("a")]), true, now, now);
     book.take_in(snapshot(7, vec![listed("c")]), false, now, now);
-    let lost = Some(PublishedAnswer::HistoryLost);
+    let lost = Some(PublishedResponse::HistoryLost);
     assert_eq!(
         book.answer(Some(5), now, now),
         lost,
@@ -371,7 +371,7 @@
     let later = now + Duration::from_secs(2);
     assert_eq!(
         book.answer(Some(10), later, later),
-        Some(PublishedAnswer::Stale)
+        Some(PublishedResponse::Stale)
     );
 }
 
@@ -405,7 +405,7 @@
     let now = Instant::now();
     let mut book = PublishedBook::new(STALE_AFTER);
     book.take_in(snapshot(888, vec![listed("a")]), true, now, now);
-    let lost = Some(PublishedAnswer::HistoryLost);
+    let lost = Some(PublishedResponse::HistoryLost);
     assert_eq!(book.answer(Some(847), now, now), lost);
     assert_eq!(book.answer(Some(888), now, now), None);
     book.take_in(snapshot(890, vec![listed("c")]), false, now, now);
@@ -422,7 +422,7 @@
     book.take_in(snapshot(7, vec![listed("b")]), true, later, later);
     assert_eq!(
         book.answer(Some(9), later, later),
-        Some(PublishedAnswer::Stale)
+        Some(PublishedResponse::Stale)
     );
 }
 
@@ -452,11 +452,11 @@
     }
     assert_eq!(
         book.answer(Some(1), now, now),
-        Some(PublishedAnswer::HistoryLost)
+        Some(PublishedResponse::HistoryLost)
     );
     assert!(book
         .answer(Some(2_000), now, now)
-        .is_some_and(|a| a != PublishedAnswer::HistoryLost));
+        .is_some_and(|a| a != PublishedResponse::HistoryLost));
 }
 
 /// an entry that asks for changes, and a zone that is no longer in the whole
@@ -468,7 +468,7 @@
         is_evacuated,
     };
     let told = |book: &PublishedBook, after| match book.answer(after, now, now) {
-        Some(PublishedAnswer::Records { snapshot, .. }) => snapshot.records,
+        Some(PublishedResponse::Records { snapshot, .. }) => snapshot.records,
         other => panic!("{other:?}"),
     };
     let mut book = PublishedBook::new(STALE_AFTER);
@@ -479,7 +479,7 @@
     book.take_in(snapshot(3, Vec::new()), true, now, now);
     assert_eq!(
         book.answer(Some(2), now, now),
-        Some(PublishedAnswer::HistoryLost),
+        Some(PublishedResponse::HistoryLost),
         "what went is not known here: all must be asked for"
     );
     assert_eq!(told(&book, None), [zone(false)]);
--- a/entry/src/config/follower.rs
+++ b/entry/src/config/follower.rs
@@ -2,7 +2,7 @@
     super::{ConfigKeeper, KeepError, PeerShards, PlatformShards, ShardSource},
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::{config::Verdict, membership::watchers},
-    chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
+    chalkcart_protocol::peer::{path, SyncRequest, SyncResponse},
     chalkcart_state::{config::Root, fleet::FleetList},
     chalkcart_transport::{
         client::PeerClient,
@@ -175,8 +175,8 @@
         true
     }
 
-    async fn ask(&self, peer: SocketAddr) -> Option<SyncAnswer> {
-        let ask = SyncAsk {
+    async fn ask(&self, peer: SocketAddr) -> Option<SyncResponse> {
+        let ask = SyncRequest {
             from: self.shared.settings.name.clone(),
             generation: self.keeper().generation(),
             list_version: self.keeper().list().version,
--- a/entry/src/config/shard_source.rs
+++ b/entry/src/config/shard_source.rs
@@ -1,7 +1,7 @@
 use {
     super::KeepError,
     async_trait::async_trait,
-    chalkcart_protocol::peer::{path, ShardAnswer, ShardAsk},
+    chalkcart_protocol::peer::{path, ShardRequest, ShardResponse},
     chalkcart_state::{config::Shard, ids::Digest},
     chalkcart_transport::{client::PeerClient, platform::ConfigSource},
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -35,11 +35,11 @@
 #[async_trait]
 impl ShardSource for PeerShards {
     async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, KeepError> {
-        let ask = ShardAsk {
+        let ask = ShardRequest {
             index,
             digest: digest.clone(),
         };
-        let answer: Result<ShardAnswer, _> = self
+        let answer: Result<ShardResponse, _> = self
             .peers
             .call(self.peer, path::SHARD, &ask, SHARD_TIMEOUT)
             .await;
--- a/entry/src/control/entry_control.rs
+++ b/entry/src/control/entry_control.rs
@@ -6,7 +6,7 @@
         retry::RetryBudget,
         routing::{Target, TargetTable},
     },
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest, PermitResponse},
     std::time::{Duration, Instant},
 };
 
@@ -62,12 +62,12 @@
         }
     }
 
-    fn permit(&mut self, ask: &PermitAsk, now: Instant) -> PermitAnswer {
+    fn permit(&mut self, ask: &PermitRequest, now: Instant) -> PermitResponse {
         match ask.purpose {
             PermitPurpose::Ask => self.permits.ask(ask, now),
             PermitPurpose::Return => {
                 self.permits.give_back(ask);
-                PermitAnswer::Wait {
+                PermitResponse::Wait {
                     retry_after: Duration::ZERO,
                 }
             }
--- a/entry/src/control/events.rs
+++ b/entry/src/control/events.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::routing::{Route, RouteAsk},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, TargetReport},
+    chalkcart_protocol::peer::{PermitRequest, PermitResponse, TargetReport},
     chalkcart_state::{
         fleet::{FleetBox, FleetList},
         ids::BoxName,
@@ -46,8 +46,8 @@
         loads_at_once: u32,
     },
     Permit {
-        ask: PermitAsk,
-        answer: oneshot::Sender<PermitAnswer>,
+        ask: PermitRequest,
+        answer: oneshot::Sender<PermitResponse>,
     },
     Plan {
         ask: RouteAsk,
--- a/entry/src/control/handle.rs
+++ b/entry/src/control/handle.rs
@@ -1,7 +1,7 @@
 use {
     super::{EntryEvent, TargetRow},
     chalkcart_coordination::routing::{Route, RouteAsk},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk},
+    chalkcart_protocol::peer::{PermitRequest, PermitResponse},
     chalkcart_state::{fleet::FleetBox, ids::BoxName},
     std::{sync::mpsc, time::Duration},
     tokio::sync::oneshot,
@@ -36,9 +36,9 @@
         let asked = self.ask(|answer| EntryEvent::TakeRetry { answer }).await;
         asked.unwrap_or(false)
     }
-    pub async fn permit(&self, ask: PermitAsk) -> PermitAnswer {
+    pub async fn permit(&self, ask: PermitRequest) -> PermitResponse {
         let asked = self.ask(|answer| EntryEvent::Permit { ask, answer }).await;
-        asked.unwrap_or(PermitAnswer::Wait {
+        asked.unwrap_or(PermitResponse::Wait {
             retry_after: PERMIT_RETRY,
         })
     }
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -9,7 +9,7 @@
         dispatch::{Ask, Decision, DemandsDue, DispatchEvent, Dispatcher, Ticket, Wished},
         relay::RelayCandidate,
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::backends::BackendId,
     chalkcart_transport::{clock, links::ViewSink},
     std::{
@@ -105,7 +105,7 @@
         self.tell(DispatchEvent::Viewed { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
-    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
+    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
         self.figures.put(backend, figures);
     }
     fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
-    chalkcart_protocol::peer::{path, CrashAnswer, CrashAsk, CrashMark},
+    chalkcart_protocol::peer::{path, CrashCursor, CrashRequest, CrashResponse},
     chalkcart_transport::{
         client::{ClientError, PeerClient},
         clock,
@@ -45,7 +45,7 @@
     engine: SocketAddr,
     /// revision of the own book up to which it knows all
     told: u64,
-    heard: Option<CrashMark>,
+    heard: Option<CrashCursor>,
 }
 
 /// share what this entry knows with all others, until the process ends
@@ -103,7 +103,7 @@
         let (words, told) = self.shared.crashes.words_after(present.told);
         let is_held = words.is_empty() && present.heard.is_some();
         let wait = if is_held { HELD_FOR } else { Duration::ZERO };
-        let ask = CrashAsk {
+        let ask = CrashRequest {
             entry: self.shared.settings.name.clone(),
             heard: present.heard,
             words,
@@ -113,7 +113,7 @@
         let limit = wait + ANSWER_LIMIT;
         let call = self
             .peers
-            .call::<_, CrashAnswer>(keeper, path::CRASHES, &ask, limit);
+            .call::<_, CrashResponse>(keeper, path::CRASHES, &ask, limit);
         let answer = tokio::select! {
             answer = call => answer?,
             // news of our own go out at once
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn take_in(&mut self, before: Present, told: u64, answer: CrashAnswer) {
+    fn take_in(&mut self, before: Present, told: u64, answer: CrashResponse) {
         let heard = before.heard;
         let is_other = heard.is_some_and(|heard| heard.keeper != answer.mark.keeper);
         let told = self.shared.crashes.merge(&answer.words, told);
--- a/entry/src/ingress/crashes.rs
+++ b/entry/src/ingress/crashes.rs
@@ -3,7 +3,7 @@
         crashes::{Crash, CrashBook, Standing},
         membership::stable_hash,
     },
-    chalkcart_protocol::peer::CrashWord,
+    chalkcart_protocol::peer::CrashReport,
     chalkcart_state::ingress::RequestDigest,
     chalkcart_transport::{clock, metrics::CrashMetrics},
     std::{
@@ -67,7 +67,7 @@
 
     /// Take in what a keeper has heard of others. Gives the revision up to which that keeper
     /// knows this book, if it knew it up to `told`.
-    pub fn merge(&self, words: &[CrashWord], told: u64) -> u64 {
+    pub fn merge(&self, words: &[CrashReport], told: u64) -> u64 {
         let mut book = self.book();
         let before = book.revision();
         if book.merge(words, clock::now()) {
@@ -79,7 +79,7 @@
         }
     }
     /// what is known beyond a revision, and the revision that this leads to
-    pub fn words_after(&self, revision: u64) -> (Vec<CrashWord>, u64) {
+    pub fn words_after(&self, revision: u64) -> (Vec<CrashReport>, u64) {
         self.book().words_after(revision, clock::now())
     }
     pub fn subscribe(&self) -> watch::Receiver<u64> {
--- a/entry/src/ingress/figures_board.rs
+++ b/entry/src/ingress/figures_board.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_protocol::peer::EngineStats,
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -14,11 +14,11 @@
 /// another reason.
 #[derive(Debug, Default)]
 pub struct FiguresBoard {
-    newest: Mutex<HashMap<BackendId, EngineFigures>>,
+    newest: Mutex<HashMap<BackendId, EngineStats>>,
 }
 
 impl FiguresBoard {
-    pub fn put(&self, backend: &BackendId, figures: EngineFigures) {
+    pub fn put(&self, backend: &BackendId, figures: EngineStats) {
         let mut newest = self.lock();
         match newest.get_mut(backend) {
             Some(known) => *known = figures,
@@ -28,11 +28,11 @@
         }
     }
     /// what came since the last call
-    pub fn take(&self) -> HashMap<BackendId, EngineFigures> {
+    pub fn take(&self) -> HashMap<BackendId, EngineStats> {
         std::mem::take(&mut self.lock())
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, EngineFigures>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, EngineStats>> {
         // no holder panics halfway through a change
         self.newest.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/intake_exchange.rs
@@ -1,7 +1,7 @@
 use {
     super::control::ControlHandle,
     chalkcart_coordination::dispatch::{DispatchEvent, IntakeQuestion, NoDeal},
-    chalkcart_protocol::peer::{path, IntakeAnswer},
+    chalkcart_protocol::peer::{path, AdmissionResponse},
     chalkcart_transport::client::{ClientError, PeerClient},
     std::{net::SocketAddr, time::Duration},
     tokio::runtime::Handle,
@@ -35,7 +35,8 @@
         let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
             let IntakeQuestion { report, asked, .. } = question;
-            let answer = peers.call::<_, IntakeAnswer>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
+            let answer =
+                peers.call::<_, AdmissionResponse>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
             control.tell(DispatchEvent::Dealt {
                 backend: report.backend,
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -5,7 +5,8 @@
     },
     chalkcart_coordination::relay::{RelayCandidate, RelayChoice},
     chalkcart_protocol::peer::{
-        path, AdapterDemand, EngineNews, EngineView, EngineWord, RelayAsk, RelayUpdate, ViewUpdate,
+        path, AdapterDemand, EngineUpdate, EngineView, EngineViewState, RelayRequest, RelayUpdate,
+        ViewUpdate,
     },
     chalkcart_transport::{
         client::{ClientError, ClientStep, MessageStream, PeerClient},
@@ -166,7 +167,7 @@
     }
 
     async fn open(&self, relay: SocketAddr) -> Result<MessageStream<RelayUpdate>, ClientError> {
-        let ask = RelayAsk {
+        let ask = RelayRequest {
             entry: self.settings.entry.clone(),
         };
         let stream = self.peers.stream(relay, path::RELAY_VIEWS, &ask);
@@ -192,18 +193,18 @@
         chosen != Some(engine)
     }
 
-    fn take_in(&mut self, news: EngineNews) {
+    fn take_in(&mut self, news: EngineUpdate) {
         let (engine, age_ms) = (news.engine, news.age_ms);
         match news.word {
-            EngineWord::Silent => self.forget(engine),
-            EngineWord::Unknown | EngineWord::View(ViewUpdate::Unknown) => {}
-            EngineWord::View(ViewUpdate::Figures(mut figures)) => {
+            EngineViewState::Silent => self.forget(engine),
+            EngineViewState::Unknown | EngineViewState::View(ViewUpdate::Unknown) => {}
+            EngineViewState::View(ViewUpdate::Figures(mut figures)) => {
                 figures.age_ms = age_ms;
                 if let Some(view) = self.views.get(&engine) {
                     self.control.on_figures(engine, &view.backend, figures);
                 }
             }
-            EngineWord::View(update) => {
+            EngineViewState::View(update) => {
                 let view = self.views.entry(engine).or_default();
                 view.apply(update);
                 view.figures.age_ms = age_ms;
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -1,7 +1,7 @@
 use {
     super::shared::Shared,
     chalkcart_coordination::membership::{KeeperChoice, KeptMatter},
-    chalkcart_protocol::peer::{path, UsageAnswer},
+    chalkcart_protocol::peer::{path, UsageResponse},
     chalkcart_transport::{client::PeerClient, clock},
     std::{net::SocketAddr, sync::Arc, time::Duration},
     tokio::time::sleep,
@@ -54,7 +54,7 @@
         *present = Some(engine);
     }
     let keeper = SocketAddr::new(engine.ip(), sidecar_port);
-    let answer = peers.call::<_, UsageAnswer>(keeper, path::USAGE, &report, ANSWER_LIMIT);
+    let answer = peers.call::<_, UsageResponse>(keeper, path::USAGE, &report, ANSWER_LIMIT);
     match answer.await {
         Ok(answer) => {
             choice.on_heard(engine);
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -6,7 +6,7 @@
         relay::{OwnCalls, RelayPacing},
     },
     chalkcart_protocol::{
-        peer::{path, PublishedAnswer, PublishedAsk},
+        peer::{path, PublishedRequest, PublishedResponse},
         wire::WireVersion,
     },
     chalkcart_state::published::Topic,
@@ -140,7 +140,7 @@
         }
         // one of an older build is not waited for: its word is not used
         let wait = wait.min(if passes_on { wait } else { Duration::ZERO });
-        let ask = PublishedAsk {
+        let ask = PublishedRequest {
             topic,
             after,
             wait_ms: wait.as_millis() as u64,
@@ -158,7 +158,7 @@
             _ => {}
         }
         let (cause, word) = match answer {
-            Ok(PublishedAnswer::Records {
+            Ok(PublishedResponse::Records {
                 snapshot,
                 current_ms,
             }) => {
@@ -171,11 +171,11 @@
                 });
                 ("heard".to_string(), heard.unwrap_or(RelayWord::Stale))
             }
-            Ok(PublishedAnswer::HistoryLost) => {
+            Ok(PublishedResponse::HistoryLost) => {
                 let lost = RelayWord::Heard(Watched::HistoryLost);
                 ("history lost".to_string(), lost)
             }
-            Ok(PublishedAnswer::Stale) => ("stale".to_string(), RelayWord::Stale),
+            Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayWord::Stale),
             Err(e) => {
                 self.relays.on_failed(relay, clock::now());
                 (e.to_string(), RelayWord::NoAnswer)
--- a/entry/src/rpc/force.rs
+++ b/entry/src/rpc/force.rs
@@ -1,6 +1,6 @@
 use {
     crate::app::Shared,
-    chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk, TargetReport},
+    chalkcart_protocol::peer::{path, SyncRequest, SyncResponse, TargetReport},
     chalkcart_state::{
         fleet::{FleetBox, Role},
         ids::{BoxName, Generation},
@@ -57,13 +57,13 @@
         let report: Option<TargetReport> = call.await.ok();
         return report.map(|r| r.generation);
     }
-    let ask = SyncAsk {
+    let ask = SyncRequest {
         from: shared.settings.name.clone(),
         generation: Generation::MAX,
         list_version: u64::MAX,
         from_sidecar: true,
     };
     let call = peers.call(listed.addr, path::SYNC, &ask, ASK_TIMEOUT);
-    let answer: Option<SyncAnswer> = call.await.ok();
+    let answer: Option<SyncResponse> = call.await.ok();
     answer.map(|a| a.generation)
 }
--- a/entry/src/server/handlers.rs
+++ b/entry/src/server/handlers.rs
@@ -1,7 +1,9 @@
 use {
     super::router::GrpcServices,
     crate::app::Shared,
-    chalkcart_protocol::peer::{PermitAsk, ShardAnswer, ShardAsk, SyncAnswer, SyncAsk},
+    chalkcart_protocol::peer::{
+        PermitRequest, ShardRequest, ShardResponse, SyncRequest, SyncResponse,
+    },
     chalkcart_state::{
         config::Root,
         fleet::{FleetList, Role},
@@ -18,7 +20,7 @@
 
 pub async fn sync(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let reply = match read_message::<SyncAsk>(&mut state).await {
+    let reply = match read_message::<SyncRequest>(&mut state).await {
         Ok(ask) => message_reply(&answer_sync(&shared, &ask)),
         Err(e) => bad_message(&e),
     };
@@ -27,7 +29,7 @@
 
 pub async fn shard(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let reply = match read_message::<ShardAsk>(&mut state).await {
+    let reply = match read_message::<ShardRequest>(&mut state).await {
         Ok(ask) => message_reply(&answer_shard(&shared, &ask)),
         Err(e) => bad_message(&e),
     };
@@ -36,7 +38,7 @@
 
 pub async fn permit(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let reply = match read_message::<PermitAsk>(&mut state).await {
+    let reply = match read_message::<PermitRequest>(&mut state).await {
         Ok(ask) => message_reply(&shared.control.permit(ask).await),
         Err(e) => bad_message(&e),
     };
@@ -47,7 +49,7 @@
     SharedData::of(state)
 }
 
-fn answer_sync(shared: &Shared, ask: &SyncAsk) -> SyncAnswer {
+fn answer_sync(shared: &Shared, ask: &SyncRequest) -> SyncResponse {
     let configuration = shared.keeper.configuration();
     let newer = configuration.filter(|c| c.generation() > ask.generation);
     let list = shared.keeper.list();
@@ -55,7 +57,7 @@
         true => entries_of(&list),
         false => FleetList::clone(&list),
     });
-    SyncAnswer {
+    SyncResponse {
         generation: shared.keeper.generation(),
         root: newer.map(|c| root_for(ask, c.root())),
         list: newer_list,
@@ -63,7 +65,7 @@
 }
 
 /// sidecars don't look adapters up, and most of a root is digests of shards
-fn root_for(ask: &SyncAsk, root: &Root) -> Root {
+fn root_for(ask: &SyncRequest, root: &Root) -> Root {
     let shards = match ask.from_sidecar {
         true => Vec::new(),
         false => root.shards.clone(),
@@ -87,10 +89,10 @@
     }
 }
 
-fn answer_shard(shared: &Shared, ask: &ShardAsk) -> ShardAnswer {
+fn answer_shard(shared: &Shared, ask: &ShardRequest) -> ShardResponse {
     let configuration = shared.keeper.configuration();
     let found = configuration.filter(|c| c.root().shards.get(ask.index) == Some(&ask.digest));
-    ShardAnswer {
+    ShardResponse {
         shard: found.map(|c| c.shards()[ask.index].to_shard()),
     }
 }
--- a/protocol/examples/forms_cost.rs
+++ b/protocol/examples/forms_cost.rs
@@ -7,7 +7,7 @@
 use {
     chalkcart_protocol::{
         decode, encode_frame,
-        peer::{EngineFigures, ViewUpdate},
+        peer::{EngineStats, ViewUpdate},
     },
     prost::Message,
     samples::FRAME_HEAD,
@@ -49,7 +49,7 @@
     is_leaving: bool,
 }
 
-fn figures_message(f: &EngineFigures) -> FiguresMessage {
+fn figures_message(f: &EngineStats) -> FiguresMessage {
     FiguresMessage {
         fence: f.fence,
         next_load_ms: f.next_load_ms,
--- a/protocol/src/peer/intake.rs
+++ b/protocol/src/peer/admission.rs
@@ -6,12 +6,12 @@
 /// What an entry has heard of the requests that an engine takes, and how many it would send
 /// there now. Since 5: a sidecar that lacks the path deals out nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct IntakeReport {
+pub struct AdmissionReport {
     pub entry: BoxName,
     /// the life of the engine that it speaks of
     pub backend: BackendId,
     /// the limit that an answer to this entry named last
-    pub named: Option<HeardLimit>,
+    pub named: Option<ObservedLimit>,
     /// time since an answer that named none any more, in ms
     pub freed_ago_ms: Option<u32>,
     /// requests that wait for this engine
@@ -24,7 +24,7 @@
 
 /// a limit that an answer named
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardLimit {
+pub struct ObservedLimit {
     /// thousandths of requests a second
     pub milli_per_s: u32,
     /// time since the answer came, in ms
@@ -33,7 +33,7 @@
 
 /// the sidecar's answer
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct IntakeAnswer {
+pub struct AdmissionResponse {
     /// the life of the engine that it speaks of; what it says holds for no other
     pub backend: BackendId,
     /// the limit in force, in thousandths of requests a second; none if there is none
--- a/protocol/src/peer/mod.rs
+++ b/protocol/src/peer/mod.rs
@@ -1,9 +1,9 @@
 //! messages between chalkcart's own processes
 
+mod admission;
 mod cancel;
 mod crashes;
 mod frame;
-mod intake;
 mod permit;
 mod placement;
 mod published;
@@ -36,21 +36,21 @@
 }
 
 pub use {
+    admission::{AdmissionReport, AdmissionResponse, ObservedLimit},
     cancel::{CancelAnswer, CancelOrder},
-    crashes::{CrashAnswer, CrashAsk, CrashEvent, CrashMark, CrashWord},
+    crashes::{CrashCursor, CrashEvent, CrashReport, CrashRequest, CrashResponse},
     frame::{Frame, FrameBody},
-    intake::{HeardLimit, IntakeAnswer, IntakeReport},
-    permit::{PermitAnswer, PermitAsk, PermitPurpose},
+    permit::{PermitPurpose, PermitRequest, PermitResponse},
     placement::{
-        AdapterDemand, AdapterUse, EngineFigures, EngineRoom, EngineView, ModelSize, ViewChange,
+        AdapterDemand, AdapterUse, EngineCapacity, EngineStats, EngineView, ModelSize, ViewChange,
         ViewUpdate, WantedAdapter,
     },
-    published::{PublishedAnswer, PublishedAsk},
+    published::{PublishedRequest, PublishedResponse},
     refusal::{Outcome, Reason, Refusal, Step},
-    relay::{EngineDemand, EngineNews, EngineWord, RelayAsk, RelayDemands, RelayUpdate},
+    relay::{EngineDemand, EngineUpdate, EngineViewState, RelayDemands, RelayRequest, RelayUpdate},
     report::{LoadedAdapter, TargetReport},
     reserve::{ReserveAnswer, ReserveOrder},
-    sync::{ShardAnswer, ShardAsk, SyncAnswer, SyncAsk},
-    usage::{AccountLevel, AccountUsage, UsageAnswer, UsageReport},
+    sync::{ShardRequest, ShardResponse, SyncRequest, SyncResponse},
+    usage::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     work::{CallWork, GenerateWork, ResumeOrder, Work, WorkOrder},
 };
--- a/protocol/src/peer/permit.rs
+++ b/protocol/src/peer/permit.rs
@@ -13,7 +13,7 @@
 
 /// asks for the permit to load one adapter from the weight store
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     pub purpose: PermitPurpose,
     pub target: BoxName,
     pub adapter: AdapterName,
@@ -25,7 +25,7 @@
 
 /// a permit with a lease, or when to ask again
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PermitAnswer {
+pub enum PermitResponse {
     Granted { lease: Duration },
     Wait { retry_after: Duration },
 }
--- a/protocol/src/peer/placement.rs
+++ b/protocol/src/peer/placement.rs
@@ -32,7 +32,7 @@
 
 /// what an engine may hold, by the configuration
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineRoom {
+pub struct EngineCapacity {
     pub adapter_slots: u32,
     /// room for base models and adapters together
     pub weights_mb: f64,
@@ -65,7 +65,7 @@
     pub fence_seen: u64,
     /// at which the engine tells its identity
     pub health_path: String,
-    pub room: EngineRoom,
+    pub room: EngineCapacity,
     pub wanted: Vec<WantedAdapter>,
     /// adapters in use, and those used since the last message (with 0)
     pub used: Vec<AdapterUse>,
@@ -102,7 +102,7 @@
     /// hashes of adapters that it has held and can bring back at once; only a
     /// whole message brings them, later ones are those that leave
     pub lately: Vec<u64>,
-    pub figures: EngineFigures,
+    pub figures: EngineStats,
 }
 
 impl EngineView {
@@ -136,7 +136,7 @@
 /// the figures of a view, which change more often than the rest
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "WrittenFigures", into = "WrittenFigures")]
-pub struct EngineFigures {
+pub struct EngineStats {
     /// of the orders that the sidecar gives
     pub fence: u64,
     /// time until an adapter that is wanted now would be there, in ms
@@ -173,7 +173,7 @@
     pub cold_left_ms: u16,
 }
 
-impl EngineFigures {
+impl EngineStats {
     /// whether the engine's end, or how much it takes, is news since these figures
     pub fn binds_otherwise_than(&self, before: &Self) -> bool {
         self.is_down != before.is_down
@@ -216,7 +216,7 @@
     cold_left_ms: u16,
 }
 
-impl From<WrittenFigures> for EngineFigures {
+impl From<WrittenFigures> for EngineStats {
     fn from(w: WrittenFigures) -> Self {
         Self {
             fence: w.fence,
@@ -239,8 +239,8 @@
     }
 }
 
-impl From<EngineFigures> for WrittenFigures {
-    fn from(f: EngineFigures) -> Self {
+impl From<EngineStats> for WrittenFigures {
+    fn from(f: EngineStats) -> Self {
         Self {
             fence: f.fence,
             next_load_ms: f.next_load_ms,
@@ -271,7 +271,7 @@
     pub came: Vec<HeldAdapter>,
     pub left: Vec<AdapterRef>,
     pub loading: Vec<AdapterRef>,
-    pub figures: EngineFigures,
+    pub figures: EngineStats,
 }
 
 /// One message of a stream of views.
@@ -284,7 +284,7 @@
     /// the same incarnation with the same base models holds other adapters
     Changed(ViewChange),
     /// nothing but the figures has changed
-    Figures(EngineFigures),
+    Figures(EngineStats),
     /// of a later build, passed over
     #[serde(skip)]
     Unknown,
--- a/protocol/src/peer/published.rs
+++ b/protocol/src/peer/published.rs
@@ -5,7 +5,7 @@
 
 /// an entry asks its relay what the platform's store publishes
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PublishedAsk {
+pub struct PublishedRequest {
     pub topic: Topic,
     /// revision up to which the entry knows the topic; none to hear all of it
     pub after: Option<u64>,
@@ -15,7 +15,7 @@
 
 /// the relay's answer; revisions are those of the store
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum PublishedAnswer {
+pub enum PublishedResponse {
     /// what is newer, or all of it if all was asked for
     Records {
         snapshot: Snapshot,
--- a/protocol/src/peer/relay.rs
+++ b/protocol/src/peer/relay.rs
@@ -10,7 +10,7 @@
 
 /// an entry asks a relay for the views of the engines that it follows
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayAsk {
+pub struct RelayRequest {
     pub entry: BoxName,
 }
 
@@ -35,22 +35,22 @@
 /// one message of a relay's stream; without news it is a sign of life
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayUpdate {
-    pub news: Vec<EngineNews>,
+    pub news: Vec<EngineUpdate>,
 }
 
 /// what a relay has heard of one engine
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     pub engine: SocketAddr,
     /// time since the relay heard it, in ms
     pub age_ms: u32,
-    pub word: EngineWord,
+    pub word: EngineViewState,
 }
 
 /// The word of an engine's sidecar, or that it is silent; for variants that come later
 /// holds what [`ViewUpdate`] says.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub enum EngineWord {
+pub enum EngineViewState {
     View(ViewUpdate),
     Silent,
     /// of a later build, passed over
@@ -60,36 +60,36 @@
 
 #[derive(Deserialize)]
 #[serde(field_identifier)]
-enum EngineWordName {
+enum EngineViewStateName {
     View,
     Silent,
     #[serde(other)]
     Unknown,
 }
 
-impl<'de> Deserialize<'de> for EngineWord {
+impl<'de> Deserialize<'de> for EngineViewState {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         const NAMES: &[&str] = &["View", "Silent"];
-        deserializer.deserialize_enum("EngineWord", NAMES, EngineWordVisitor)
+        deserializer.deserialize_enum("EngineWord", NAMES, EngineViewStateVisitor)
     }
 }
 
-struct EngineWordVisitor;
+struct EngineViewStateVisitor;
 
-impl<'de> Visitor<'de> for EngineWordVisitor {
-    type Value = EngineWord;
+impl<'de> Visitor<'de> for EngineViewStateVisitor {
+    type Value = EngineViewState;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("the word of an engine's sidecar")
     }
-    fn visit_enum<A: EnumAccess<'de>>(self, data: A) -> Result<EngineWord, A::Error> {
-        let (name, content) = data.variant::<EngineWordName>()?;
+    fn visit_enum<A: EnumAccess<'de>>(self, data: A) -> Result<EngineViewState, A::Error> {
+        let (name, content) = data.variant::<EngineViewStateName>()?;
         match name {
-            EngineWordName::View => content.newtype_variant().map(EngineWord::View),
-            EngineWordName::Silent => content.unit_variant().map(|()| EngineWord::Silent),
-            EngineWordName::Unknown => {
+            EngineViewStateName::View => content.newtype_variant().map(EngineViewState::View),
+            EngineViewStateName::Silent => content.unit_variant().map(|()| EngineViewState::Silent),
+            EngineViewStateName::Unknown => {
                 content.newtype_variant::<IgnoredAny>()?;
-                Ok(EngineWord::Unknown)
+                Ok(EngineViewState::Unknown)
             }
         }
     }
--- a/protocol/src/peer/sync.rs
+++ b/protocol/src/peer/sync.rs
@@ -9,7 +9,7 @@
 
 /// asks a peer for what it knows and the asker does not
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SyncAsk {
+pub struct SyncRequest {
     pub from: BoxName,
     pub generation: Generation,
     pub list_version: u64,
@@ -20,7 +20,7 @@
 
 /// newer knowledge of a peer
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SyncAnswer {
+pub struct SyncResponse {
     pub generation: Generation,
     pub root: Option<Root>,
     pub list: Option<FleetList>,
@@ -28,13 +28,13 @@
 
 /// asks a peer for a shard of one generation
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardAsk {
+pub struct ShardRequest {
     pub index: usize,
     pub digest: String,
 }
 
 /// the shard, if the peer has that content
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardAnswer {
+pub struct ShardResponse {
     pub shard: Option<Shard>,
 }
--- a/protocol/src/peer/usage.rs
+++ b/protocol/src/peer/usage.rs
@@ -40,7 +40,7 @@
 /// the keeper's answer, for the accounts of the report and for all of which little
 /// is left; of each other one at least half is left
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct UsageAnswer {
+pub struct UsageResponse {
     /// of the keeper's process
     pub incarnation: Incarnation,
     /// entries that report to it
--- a/protocol/tests/recorded.rs
+++ b/protocol/tests/recorded.rs
@@ -12,7 +12,7 @@
     chalkcart_protocol::{
         decode, encode,
         peer::{
-            AdapterDemand, EngineFigures, EngineWord, RelayUpdate as PeerRelayUpdate, ViewUpdate,
+            AdapterDemand, EngineStats, EngineViewState, RelayUpdate as PeerRelayUpdate, ViewUpdate,
         },
         wire::WireForm,
     },
@@ -144,7 +144,7 @@
         assert_eq!(read, unknown);
     }
     // the third build reads a yes or no alone
-    let bytes = encode(&EngineFigures::default()).expect("encodes");
+    let bytes = encode(&EngineStats::default()).expect("encodes");
     let then: Figures13 = decode(&bytes).expect("reads");
     assert!(!then.is_down);
 }
@@ -194,7 +194,7 @@
         later: 3,
     };
     let read: PeerRelayUpdate = decode(&encode(&update).expect("encodes")).expect("reads");
-    assert_eq!(read.news[0].word, EngineWord::Unknown);
+    assert_eq!(read.news[0].word, EngineViewState::Unknown);
 }
 
 /// A message whose shape changes needs a new wire version: raise `WireVersion::CURRENT`,
--- a/protocol/tests/samples/mod.rs
+++ b/protocol/tests/samples/mod.rs
@@ -95,8 +95,8 @@
 }
 
 /// `is_down` is what the builds that are compared say of it
-pub fn figures(is_down: Option<bool>) -> EngineFigures {
-    EngineFigures {
+pub fn figures(is_down: Option<bool>) -> EngineStats {
+    EngineStats {
         fence: 1_700_000_000_123,
         next_load_ms: 250,
         next_return_ms: 25,
@@ -117,8 +117,8 @@
 }
 
 /// of an engine that names a limit and is cold
-fn figures_bound() -> EngineFigures {
-    EngineFigures {
+fn figures_bound() -> EngineStats {
+    EngineStats {
         limit_milli_per_s: Some(2_100),
         cold_left_ms: 900,
         ..figures(Some(false))
@@ -153,7 +153,7 @@
         list_version: 46,
         fence_seen: 9,
         health_path: "/health".to_string(),
-        room: EngineRoom {
+        room: EngineCapacity {
             adapter_slots: 21,
             weights_mb: 1000.5,
             models: vec![ModelSize {
@@ -195,12 +195,12 @@
 
 pub fn relay_update(is_down: Option<bool>) -> RelayUpdate {
     let words = [
-        EngineWord::View(ViewUpdate::Whole(view(is_down))),
-        EngineWord::View(changed(is_down)),
-        EngineWord::View(ViewUpdate::Figures(figures(is_down))),
-        EngineWord::Silent,
+        EngineViewState::View(ViewUpdate::Whole(view(is_down))),
+        EngineViewState::View(changed(is_down)),
+        EngineViewState::View(ViewUpdate::Figures(figures(is_down))),
+        EngineViewState::Silent,
     ];
-    let news = words.into_iter().map(|word| EngineNews {
+    let news = words.into_iter().map(|word| EngineUpdate {
         engine: engine(),
         age_ms: 12,
         word,
@@ -210,7 +210,7 @@
     }
 }
 
-fn published() -> PublishedAnswer {
+fn published() -> PublishedResponse {
     let backend = Backend {
         id: "e-1".into(),
         service: "s".to_string(),
@@ -243,14 +243,14 @@
         },
         unreadable,
     ];
-    PublishedAnswer::Records {
+    PublishedResponse::Records {
         snapshot: Snapshot { at: 46, records },
         current_ms: -5,
     }
 }
 
 /// a configuration with a route and an account that are bound to regions
-fn published_regions() -> PublishedAnswer {
+fn published_regions() -> PublishedResponse {
     let regions = |name: &str| AllowedRegions::only([name.to_string()]);
     let route = Route {
         name: "r".to_string(),
@@ -275,7 +275,7 @@
     table.accounts = Some(accounts);
     table.add_route("host", route);
     let records = vec![Record::Table(Box::new(table))];
-    PublishedAnswer::Records {
+    PublishedResponse::Records {
         snapshot: Snapshot { at: 47, records },
         current_ms: 0,
     }
@@ -284,7 +284,7 @@
 /// of streams of views, and of demands
 pub fn of_engines(is_down: Option<bool>) -> Vec<Sample> {
     use Kind::{Frame, Message};
-    let ask = RelayAsk {
+    let ask = RelayRequest {
         entry: "entry-1".to_string(),
     };
     let figures = ViewUpdate::Figures(figures(is_down));
@@ -307,18 +307,18 @@
 /// of what the platform's store publishes
 pub fn of_the_store() -> Vec<Sample> {
     use Kind::Message;
-    let ask = PublishedAsk {
+    let ask = PublishedRequest {
         topic: Topic::Backends,
         after: Some(45),
         wait_ms: 1000,
     };
-    let lost = PublishedAnswer::HistoryLost;
+    let lost = PublishedResponse::HistoryLost;
     vec![
         sample(Message, "published_ask", ask),
         sample(Message, "published_records", published()),
         sample(Message, "published_regions", published_regions()),
         sample(Message, "published_history_lost", lost),
-        sample(Message, "published_stale", PublishedAnswer::Stale),
+        sample(Message, "published_stale", PublishedResponse::Stale),
     ]
 }
 
@@ -348,7 +348,7 @@
         level: 2.5,
         asked_per_s: 30.0,
     };
-    let answer = UsageAnswer {
+    let answer = UsageResponse {
         incarnation: 78,
         entries: 3,
         accounts: vec![level],
@@ -363,16 +363,16 @@
 pub fn of_crashes() -> Vec<Sample> {
     use Kind::Message;
     let digest = RequestDigest::of("POST", "/", "", b"body");
-    let word = |event, age_ms| CrashWord {
+    let word = |event, age_ms| CrashReport {
         digest,
         event,
         age_ms,
     };
-    let mark = |revision| CrashMark {
+    let mark = |revision| CrashCursor {
         keeper: 5,
         revision,
     };
-    let ask = CrashAsk {
+    let ask = CrashRequest {
         entry: "entry-1".to_string(),
         heard: Some(mark(6)),
         wait_ms: 1500,
@@ -381,7 +381,7 @@
             word(CrashEvent::Served, 30),
         ],
     };
-    let answer = CrashAnswer {
+    let answer = CrashResponse {
         mark: mark(7),
         words: Vec::new(),
     };
@@ -394,10 +394,10 @@
 /// of dealers of permits
 pub fn of_dealers() -> Vec<Sample> {
     use Kind::Message;
-    let report = IntakeReport {
+    let report = AdmissionReport {
         entry: "entry-1".to_string(),
         backend: "e-1".into(),
-        named: Some(HeardLimit {
+        named: Some(ObservedLimit {
             milli_per_s: 2_100,
             ago_ms: 40,
         }),
@@ -406,7 +406,7 @@
         priority: 1,
         unused: 1,
     };
-    let answer = IntakeAnswer {
+    let answer = AdmissionResponse {
         backend: "e-1".into(),
         limit_milli_per_s: Some(2_100),
         freed_ago_ms: None,
@@ -422,14 +422,14 @@
 /// of requests that pass through sidecars
 pub fn of_work() -> Vec<Sample> {
     use Kind::{Frame as OfStream, Message};
-    let permit = PermitAsk {
+    let permit = PermitRequest {
         purpose: PermitPurpose::Ask,
         target: "box".to_string(),
         adapter: "a".to_string(),
         priority: 1,
         waited: Duration::from_millis(1500),
     };
-    let granted = PermitAnswer::Granted {
+    let granted = PermitResponse::Granted {
         lease: Duration::from_secs(2),
     };
     let cancel = CancelOrder {
@@ -459,18 +459,18 @@
         permit_giver: Some(engine()),
         work: Work::Call(call),
     };
-    let sync = SyncAsk {
+    let sync = SyncRequest {
         from: "box".to_string(),
         generation: 3,
         list_version: 4,
         from_sidecar: true,
     };
-    let synced = SyncAnswer {
+    let synced = SyncResponse {
         generation: 3,
         root: None,
         list: None,
     };
-    let shard = ShardAsk {
+    let shard = ShardRequest {
         index: 1,
         digest: "d".to_string(),
     };
@@ -510,7 +510,7 @@
         sample(Message, "sync_ask", sync),
         sample(Message, "sync_answer", synced),
         sample(Message, "shard_ask", shard),
-        sample(Message, "shard_answer", ShardAnswer { shard: None }),
+        sample(Message, "shard_answer", ShardResponse { shard: None }),
         sample(OfStream, "frame_report", Frame::Report(report)),
         sample(OfStream, "frame_token", token),
         sample(OfStream, "frame_finished", numbered(8, finished)),
--- a/protocol/tests/views.rs
+++ b/protocol/tests/views.rs
@@ -3,7 +3,7 @@
 use {
     chalkcart_protocol::{
         decode, encode,
-        peer::{EngineFigures, EngineView, ViewUpdate},
+        peer::{EngineStats, EngineView, ViewUpdate},
     },
     chalkcart_state::backends::{AdapterRef, HeldAdapter},
     quickcheck::{Gen, QuickCheck},
@@ -38,9 +38,9 @@
         held,
         loading: loading.iter().take(2).map(|n| adapter(*n)).collect(),
         lately: Vec::new(),
-        figures: EngineFigures {
+        figures: EngineStats {
             queued: u32::from(queued),
-            ..EngineFigures::default()
+            ..EngineStats::default()
         },
     }
 }
--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -4,7 +4,7 @@
         config::{judge_root, Verdict},
         sidecar::SidecarEvent,
     },
-    chalkcart_protocol::peer::{path, SyncAnswer, SyncAsk},
+    chalkcart_protocol::peer::{path, SyncRequest, SyncResponse},
     chalkcart_state::config::Root,
     chalkcart_transport::client::PeerClient,
     rand::seq::IndexedRandom,
@@ -50,20 +50,21 @@
         let Some(entry) = all.choose(&mut rand::rng()).copied() else {
             return;
         };
-        let ask = SyncAsk {
+        let ask = SyncRequest {
             from: self.shared.settings.name.clone(),
             generation: self.root.as_ref().map_or(0, |r| r.generation),
             list_version: self.list_version,
             from_sidecar: true,
         };
-        let answer: Result<SyncAnswer, _> = self.peers.call(entry, path::SYNC, &ask, TIMEOUT).await;
+        let answer: Result<SyncResponse, _> =
+            self.peers.call(entry, path::SYNC, &ask, TIMEOUT).await;
         match answer {
             Ok(answer) => self.take(answer),
             Err(e) => log::debug!("config: no answer: {e}"),
         }
     }
 
-    fn take(&mut self, answer: SyncAnswer) {
+    fn take(&mut self, answer: SyncResponse) {
         if let Some(list) = answer.list {
             self.list_version = list.version;
             self.entries = list.live_entries().map(|b| b.addr).collect();
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -9,7 +9,7 @@
         slots::AdapterKey,
     },
     chalkcart_protocol::peer::{
-        path, FrameBody, Outcome, PermitAnswer, PermitAsk, Reason, Refusal, Work, WorkOrder,
+        path, FrameBody, Outcome, PermitRequest, PermitResponse, Reason, Refusal, Work, WorkOrder,
     },
     chalkcart_state::ids::RequestId,
     chalkcart_transport::{
@@ -205,7 +205,7 @@
         }
     }
 
-    fn ask_permit(&self, giver: SocketAddr, ask: PermitAsk, adapter: AdapterKey) {
+    fn ask_permit(&self, giver: SocketAddr, ask: PermitRequest, adapter: AdapterKey) {
         let shared = self.shared.clone();
         let peers = self.peers.clone();
         self.runtime.spawn(async move {
@@ -218,11 +218,11 @@
         });
     }
 
-    fn return_permit(&self, giver: SocketAddr, ask: PermitAsk) {
+    fn return_permit(&self, giver: SocketAddr, ask: PermitRequest) {
         let peers = self.peers.clone();
         self.runtime.spawn(async move {
             // a lost return costs the rest of the lease only
-            let _: Result<PermitAnswer, _> =
+            let _: Result<PermitResponse, _> =
                 peers.call(giver, path::PERMIT, &ask, PERMIT_TIMEOUT).await;
         });
     }
--- a/sidecar/src/crashes/handlers.rs
+++ b/sidecar/src/crashes/handlers.rs
@@ -1,6 +1,6 @@
 use {
     super::CrashKeeper,
-    chalkcart_protocol::peer::CrashAsk,
+    chalkcart_protocol::peer::CrashRequest,
     chalkcart_transport::server::{message_reply, pages, read_message, SharedData},
     gotham::{handler::HandlerResult, state::State},
 };
@@ -8,7 +8,7 @@
 /// an entry tells what it knows, and asks for what others have told
 pub async fn crash_words(mut state: State) -> HandlerResult {
     let keeper = SharedData::<CrashKeeper>::of(&state);
-    let reply = match read_message::<CrashAsk>(&mut state).await {
+    let reply = match read_message::<CrashRequest>(&mut state).await {
         Ok(ask) => message_reply(&keeper.answer(ask).await),
         Err(e) => pages::bad_message(&e),
     };
--- a/sidecar/src/crashes/keeper.rs
+++ b/sidecar/src/crashes/keeper.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::crashes::CrashBook,
-    chalkcart_protocol::peer::{CrashAnswer, CrashAsk, CrashMark},
+    chalkcart_protocol::peer::{CrashCursor, CrashRequest, CrashResponse},
     chalkcart_state::ids::Incarnation,
     chalkcart_transport::clock,
     std::{
@@ -33,7 +33,7 @@
 
     /// take in what an entry knows, and tell it what it does not know, as soon as there is
     /// any of it
-    pub async fn answer(&self, ask: CrashAsk) -> CrashAnswer {
+    pub async fn answer(&self, ask: CrashRequest) -> CrashResponse {
         let heard = ask.heard.filter(|heard| heard.keeper == self.incarnation);
         let after = self.take_in(&ask, heard.map_or(0, |heard| heard.revision));
         if heard.is_some() {
@@ -43,8 +43,8 @@
             let _ = timeout(wait, changed.wait_for(|revision| *revision > after)).await;
         }
         let (words, revision) = self.book().words_after(after, clock::now());
-        CrashAnswer {
-            mark: CrashMark {
+        CrashResponse {
+            mark: CrashCursor {
                 keeper: self.incarnation,
                 revision,
             },
@@ -53,7 +53,7 @@
     }
 
     /// gives the revision from which on the entry is to hear: its own words are no news to it
-    fn take_in(&self, ask: &CrashAsk, after: u64) -> u64 {
+    fn take_in(&self, ask: &CrashRequest, after: u64) -> u64 {
         let mut book = self.book();
         let known = book.revision();
         if book.merge(&ask.words, clock::now()) {
--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -5,7 +5,7 @@
         relay::{relay_demands, relay_published, relay_views, RelayHub},
     },
     chalkcart_coordination::{limits::UsageKeeper, placement::PlacementEvent},
-    chalkcart_protocol::peer::{path, AdapterDemand, IntakeReport, UsageReport},
+    chalkcart_protocol::peer::{path, AdapterDemand, AdmissionReport, UsageReport},
     chalkcart_transport::{
         clock,
         server::{
@@ -76,7 +76,7 @@
 
 async fn intake_report(mut state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
-    let reply = match read_message::<IntakeReport>(&mut state).await {
+    let reply = match read_message::<AdmissionReport>(&mut state).await {
         Ok(report) => message_reply(&shared.control().deal(&report, clock::now())),
         Err(e) => pages::bad_message(&e),
     };
--- a/sidecar/src/relay/handlers.rs
+++ b/sidecar/src/relay/handlers.rs
@@ -1,6 +1,6 @@
 use {
     super::RelayHub,
-    chalkcart_protocol::peer::{PublishedAnswer, PublishedAsk, RelayAsk, RelayDemands},
+    chalkcart_protocol::peer::{PublishedRequest, PublishedResponse, RelayDemands, RelayRequest},
     chalkcart_transport::clock,
     chalkcart_transport::server::{
         asker_form, asker_version, encoded_frames_reply, message_reply, pages, read_message,
@@ -26,7 +26,7 @@
 pub async fn relay_views(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
     let form = asker_form(&state);
-    let reply = match read_message::<RelayAsk>(&mut state).await {
+    let reply = match read_message::<RelayRequest>(&mut state).await {
         Ok(ask) => {
             log::info!(entry = ask.entry.as_str(); "relay: entry follows");
             encoded_frames_reply(hub.follow(clock::now(), form))
@@ -41,8 +41,8 @@
 pub async fn relay_published(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
     let is_older = asker_version(&state).is_none();
-    let reply = match read_message::<PublishedAsk>(&mut state).await {
-        Ok(_) if is_older => message_reply(&PublishedAnswer::Stale),
+    let reply = match read_message::<PublishedRequest>(&mut state).await {
+        Ok(_) if is_older => message_reply(&PublishedResponse::Stale),
         Ok(ask) => {
             hub.published.on_asked(clock::now());
             hub.changed.notify_one();
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -4,7 +4,7 @@
     chalkcart_coordination::relay::RelayBook,
     chalkcart_protocol::{
         encode_frame,
-        peer::{EngineFigures, EngineView, RelayDemands, RelayUpdate},
+        peer::{EngineStats, EngineView, RelayDemands, RelayUpdate},
         wire::WireForm,
     },
     chalkcart_state::{backends::BackendId, ids::BoxName},
@@ -132,7 +132,7 @@
         let is_urgent = self.book().on_view(engine, view, clock::now());
         self.wake(is_urgent);
     }
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
+    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
         let now = clock::now();
         let is_urgent = self.book().on_figures(engine, backend, figures, now);
         self.wake(is_urgent);
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_coordination::relay::{PublishedBook, RelayPacing},
-    chalkcart_protocol::peer::{PublishedAnswer, PublishedAsk},
+    chalkcart_protocol::peer::{PublishedRequest, PublishedResponse},
     chalkcart_state::published::Topic,
     chalkcart_transport::{
         clock,
@@ -95,7 +95,7 @@
     }
 
     /// answer an entry as soon as there is something newer than it knows
-    pub async fn answer(&self, ask: &PublishedAsk) -> PublishedAnswer {
+    pub async fn answer(&self, ask: &PublishedRequest) -> PublishedResponse {
         let asked = clock::now();
         let heard = self.heard(ask.topic);
         let mut changes = heard.changed.subscribe();
--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -11,7 +11,7 @@
         permits::{PermitGiver, PermitSettings},
         routing::{Need, PolicyName, RouteAsk},
     },
-    chalkcart_protocol::peer::{PermitAsk, PermitPurpose},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest},
     chalkcart_state::{
         config::{Change, Configuration, Root},
         ids::WeightsDigest,
@@ -105,7 +105,7 @@
     let mut giver = PermitGiver::new(PermitSettings::default(), now);
     let started = Instant::now();
     for number in 0..askers {
-        let ask = PermitAsk {
+        let ask = PermitRequest {
             purpose: PermitPurpose::Ask,
             target: format!("engine-{number}"),
             adapter: "a".to_string(),
--- a/testkit/examples/capacity/dispatch.rs
+++ b/testkit/examples/capacity/dispatch.rs
@@ -3,7 +3,7 @@
 use {
     crate::fit::Slope,
     chalkcart_coordination::dispatch::{Ask, DispatchEvent, DispatchSettings, Dispatcher},
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, HeldAdapter},
         ingress::{BaseModel, EngineSpec, IngressLimits, RequestDigest, RouteTable, Service},
@@ -58,11 +58,11 @@
         held: held.collect(),
         loading: Vec::new(),
         lately: Vec::new(),
-        figures: EngineFigures {
+        figures: EngineStats {
             entries: 32,
             spare_slots: 3,
             running,
-            ..EngineFigures::default()
+            ..EngineStats::default()
         },
     }
 }
--- a/testkit/examples/capacity/wire.rs
+++ b/testkit/examples/capacity/wire.rs
@@ -8,7 +8,7 @@
     anyhow::Result,
     chalkcart_protocol::{
         encode, encode_frame,
-        peer::{path, Frame, FrameBody, ShardAnswer, SyncAnswer, SyncAsk},
+        peer::{path, Frame, FrameBody, ShardResponse, SyncRequest, SyncResponse},
         wire::WireForm,
     },
     chalkcart_state::{config::Root, fleet::FleetList},
@@ -29,7 +29,7 @@
 
 pub fn measure() -> Result<Vec<Slope>> {
     let ask_bytes = ask_bytes()?;
-    let quiet = SyncAnswer {
+    let quiet = SyncResponse {
         generation: 1,
         root: None,
         list: None,
@@ -42,7 +42,7 @@
     }
     let mut lists = Vec::new();
     for targets in TARGETS {
-        let answer = SyncAnswer {
+        let answer = SyncResponse {
             generation: 1,
             root: None,
             list: Some(list(targets)),
@@ -91,7 +91,7 @@
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let ask = SyncAsk {
+        let ask = SyncRequest {
             from: "engine-00001".to_string(),
             generation: 1_000_000,
             list_version: 1_000_000,
@@ -99,7 +99,7 @@
         };
         let asked = tokio::spawn(async move {
             let limit = Duration::from_secs(2);
-            let _: Result<SyncAnswer, _> =
+            let _: Result<SyncResponse, _> =
                 PeerClient::new().call(addr, path::SYNC, &ask, limit).await;
         });
         let (mut socket, _) = listener.accept().await?;
@@ -120,10 +120,10 @@
 
 fn change_bytes(adapters: usize) -> Result<f64> {
     let documents = documents(adapters);
-    let shard = ShardAnswer {
+    let shard = ShardResponse {
         shard: Some(documents.shards[0].as_ref().clone()),
     };
-    let root = SyncAnswer {
+    let root = SyncResponse {
         generation: 1,
         root: Some(documents.root),
         list: None::<FleetList>,
@@ -137,7 +137,7 @@
     for group in 0..groups {
         documents = documents.with_group(&format!("group-{group}"), 1);
     }
-    let answer = SyncAnswer {
+    let answer = SyncResponse {
         generation: 1,
         root: Some(Root {
             shards: Vec::new(),
--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -11,7 +11,7 @@
         },
         slots::AdapterKey,
     },
-    chalkcart_protocol::peer::{GenerateWork, Outcome, PermitAnswer, Reason, Work, WorkOrder},
+    chalkcart_protocol::peer::{GenerateWork, Outcome, PermitResponse, Reason, Work, WorkOrder},
     chalkcart_state::ids::WeightsDigest,
     chalkcart_testkit::engine::{EngineSettings, EngineState},
     chalkcart_transport::engine::{AdapterBody, EventBody, FenceBody, GenerateBody},
@@ -249,7 +249,7 @@
             }
             SidecarAction::AskPermit { adapter, .. } => Some(SidecarEvent::PermitAnswered {
                 adapter: adapter.clone(),
-                answer: Some(PermitAnswer::Granted { lease: LEASE }),
+                answer: Some(PermitResponse::Granted { lease: LEASE }),
             }),
             _ => None,
         };
--- a/testkit/tests/ingress_engines.rs
+++ b/testkit/tests/ingress_engines.rs
@@ -2,7 +2,7 @@
 
 use {
     anyhow::Result,
-    chalkcart_protocol::peer::{path, AdapterDemand, EngineRoom},
+    chalkcart_protocol::peer::{path, AdapterDemand, EngineCapacity},
     chalkcart_testkit::{
         users_platform::{
             engine_runs, open_stream, prompt, request, serve_prompt, BackendFault, ClientRequest,
@@ -221,7 +221,7 @@
         list_version: 0,
         fence_seen: 0,
         health_path: "/health".to_string(),
-        room: EngineRoom::default(),
+        room: EngineCapacity::default(),
         wanted: Vec::new(),
         used: Vec::new(),
         outdated: Vec::new(),
--- a/transport/src/links/view_sink.rs
+++ b/transport/src/links/view_sink.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::backends::BackendId,
     std::net::SocketAddr,
 };
@@ -8,7 +8,7 @@
 pub trait ViewSink: Send + Sync {
     fn on_view(&self, engine: SocketAddr, view: EngineView);
     /// nothing but these figures has changed
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineFigures);
+    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats);
     /// the sidecar is silent; `backend` is what it spoke of
     fn on_silent(&self, engine: SocketAddr, backend: &BackendId);
     /// whether the sidecar has taken the newest demand: each time that it has not, and when
