--- a/protocol/src/wire/codec.rs
+++ b/protocol/src/wire/codec.rs
@@ -1,5 +1,5 @@
 use {
-    super::{oldest::with_lives_by_text, WireForm},
+    super::{text_ids::rewrite_with_text_ids, WireEncoding},
     bytes::{BufMut, Bytes, BytesMut},
     serde::{de::DeserializeOwned, Serialize},
     thiserror::Error,
@@ -27,16 +27,16 @@
 
 /// write a message, with the names of its fields
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, CodecError> {
-    encode_as(message, WireForm::Named)
+    encode_as(message, WireEncoding::Named)
 }
 
 /// write a message for a peer; messages have names whatever the peer is, since the other
 /// end is known only by its answer
-pub fn encode_as<T: Serialize>(message: &T, form: WireForm) -> Result<Bytes, CodecError> {
+pub fn encode_as<T: Serialize>(message: &T, form: WireEncoding) -> Result<Bytes, CodecError> {
     let named = rmp_serde::to_vec_named(message)?;
     match form {
-        WireForm::Positional | WireForm::Named => Ok(Bytes::from(named)),
-        WireForm::NamedByText => with_lives_by_text(&named).map(Bytes::from),
+        WireEncoding::Positional | WireEncoding::Named => Ok(Bytes::from(named)),
+        WireEncoding::NamedTextIds => rewrite_with_text_ids(&named).map(Bytes::from),
     }
 }
 
@@ -48,10 +48,10 @@
 }
 
 /// write a frame of a stream, its length first
-pub fn encode_frame<T: Serialize>(frame: &T, form: WireForm) -> Result<Bytes, CodecError> {
+pub fn encode_frame<T: Serialize>(frame: &T, form: WireEncoding) -> Result<Bytes, CodecError> {
     let body = match form {
-        WireForm::Positional => Bytes::from(rmp_serde::to_vec(frame)?),
-        WireForm::Named | WireForm::NamedByText => encode_as(frame, form)?,
+        WireEncoding::Positional => Bytes::from(rmp_serde::to_vec(frame)?),
+        WireEncoding::Named | WireEncoding::NamedTextIds => encode_as(frame, form)?,
     };
     let mut buf = BytesMut::with_capacity(body.len() + size_of::<u32>());
     buf.put_u32(body.len() as u32);
--- a/protocol/src/wire/mod.rs
+++ b/protocol/src/wire/mod.rs
@@ -2,13 +2,13 @@
 //! ages read each other; docs/design/upgrades.md has the rules
 
 mod codec;
-mod form;
-mod oldest;
+mod encoding;
+mod text_ids;
 mod version;
 
 pub use {
     codec::{decode, encode, encode_as, encode_frame, frame_codec, CodecError, MAX_MESSAGE_BYTES},
-    form::WireForm,
-    oldest::names_lives_by_text,
+    encoding::WireEncoding,
+    text_ids::has_text_ids,
     version::{WireVersion, PEER_VERSION},
 };
--- a/protocol/src/wire/oldest.rs
+++ b/protocol/src/wire/text_ids.rs
@@ -7,7 +7,7 @@
 const NAME: &str = "name";
 
 /// rewrite a message with names so that lives are texts
-pub fn with_lives_by_text(named: &[u8]) -> Result<Vec<u8>, CodecError> {
+pub fn rewrite_with_text_ids(named: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut message = read(named)?;
     rewrite(&mut message);
     let mut buf = Vec::with_capacity(named.len());
@@ -17,7 +17,7 @@
 }
 
 /// whether a message that was received names lives by texts; none if it names no life
-pub fn names_lives_by_text(named: &[u8]) -> Option<bool> {
+pub fn has_text_ids(named: &[u8]) -> Option<bool> {
     find(&read(named).ok()?)
 }
 
--- a/protocol/tests/arbitrary_bytes.rs
+++ b/protocol/tests/arbitrary_bytes.rs
@@ -7,7 +7,7 @@
     bytes::BytesMut,
     chalkcart_protocol::{
         frame_codec,
-        wire::{WireForm, MAX_MESSAGE_BYTES},
+        wire::{WireEncoding, MAX_MESSAGE_BYTES},
     },
     quickcheck::{Arbitrary, Gen, QuickCheck},
     samples::{all, Kind, Sample, FRAME_HEAD},
@@ -21,7 +21,11 @@
 const CASES: u64 = 500;
 /// the stack of a thread of the runtime
 const STACK: usize = 2 * 1024 * 1024;
-const FORMS: [WireForm; 3] = [WireForm::Positional, WireForm::Named, WireForm::NamedByText];
+const FORMS: [WireEncoding; 3] = [
+    WireEncoding::Positional,
+    WireEncoding::Named,
+    WireEncoding::NamedTextIds,
+];
 
 /// one change of a message that was written properly
 #[derive(Debug, Clone)]
@@ -90,7 +94,7 @@
     }
 }
 
-fn body_of(sample: &Sample, form: WireForm) -> Vec<u8> {
+fn body_of(sample: &Sample, form: WireEncoding) -> Vec<u8> {
     let bytes = (sample.write)(form);
     match sample.kind {
         Kind::Message => bytes,
@@ -152,7 +156,7 @@
 #[test]
 fn unknown_fields_of_any_depth_are_passed_over_or_an_error() {
     for sample in all(None) {
-        let named = body_of(&sample, WireForm::Named);
+        let named = body_of(&sample, WireEncoding::Named);
         // a map of up to 15 fields gets one more; with one alone it is a variant by its name
         let Some(first @ 0x82..=0x8e) = named.first().copied() else {
             continue;
--- a/protocol/tests/messages.rs
+++ b/protocol/tests/messages.rs
@@ -5,7 +5,7 @@
         decode, encode, encode_frame, frame_codec,
         peer::{Frame, FrameBody, Outcome, Reason, Refusal, Step},
         status::{outcome_of, reason_of, retry_after_of, to_status},
-        wire::WireForm,
+        wire::WireEncoding,
     },
     std::time::Duration,
     tokio_util::{bytes::BytesMut, codec::Decoder},
@@ -32,7 +32,7 @@
     ];
     let mut written = BytesMut::new();
     for frame in &frames {
-        written.extend_from_slice(&encode_frame(frame, WireForm::Positional).expect("encodes"));
+        written.extend_from_slice(&encode_frame(frame, WireEncoding::Positional).expect("encodes"));
     }
     let mut codec = frame_codec();
     let mut received = BytesMut::new();
--- a/protocol/tests/recorded.rs
+++ b/protocol/tests/recorded.rs
@@ -14,7 +14,7 @@
         peer::{
             AdapterDemand, EngineStats, EngineViewState, RelayUpdate as PeerRelayUpdate, ViewUpdate,
         },
-        wire::WireForm,
+        wire::WireEncoding,
     },
     landed::{Demand, Figures12, Figures13, Life, RelayDemands, RelayUpdate, Update},
     samples::{all, from_hex, of_engines, record, Sample, FRAME_HEAD},
@@ -80,7 +80,7 @@
         for sample in all(None).iter().filter(same) {
             if let Some(bytes) = bytes.get(sample.name) {
                 assert_eq!(
-                    &(sample.write)(WireForm::Positional),
+                    &(sample.write)(WireEncoding::Positional),
                     bytes,
                     "{}",
                     sample.name
@@ -90,7 +90,7 @@
     }
 }
 
-fn written(name: &str, form: WireForm) -> Vec<u8> {
+fn written(name: &str, form: WireEncoding) -> Vec<u8> {
     let samples = of_engines(Some(true));
     let sample = samples.iter().find(|s| s.name == name).expect("a sample");
     let bytes = (sample.write)(form);
@@ -101,7 +101,7 @@
 }
 
 /// read what today's code writes, and what the build of then wrote, by the forms of then
-fn both<T: DeserializeOwned>(name: &str, form: WireForm, recorded: &str) -> (T, T) {
+fn both<T: DeserializeOwned>(name: &str, form: WireEncoding, recorded: &str) -> (T, T) {
     let then = &bytes_of(recorded)[name];
     let frame = !matches!(name, "demand" | "relay_demands");
     let then = if frame { &then[FRAME_HEAD..] } else { then };
@@ -110,7 +110,7 @@
     (today, decode(then).expect("reads its own"))
 }
 
-fn same_as_then<L, F>(form: WireForm, recorded: &str)
+fn same_as_then<L, F>(form: WireEncoding, recorded: &str)
 where
     L: DeserializeOwned + PartialEq + std::fmt::Debug,
     F: DeserializeOwned + PartialEq + std::fmt::Debug,
@@ -129,16 +129,16 @@
 
 #[test]
 fn what_is_written_for_landed_builds_is_read_by_their_forms() {
-    same_as_then::<String, Figures12>(WireForm::NamedByText, OLDEST);
-    same_as_then::<Life, Figures12>(WireForm::Named, SECOND);
-    same_as_then::<Life, Figures13>(WireForm::Named, THIRD);
+    same_as_then::<String, Figures12>(WireEncoding::NamedTextIds, OLDEST);
+    same_as_then::<Life, Figures12>(WireEncoding::Named, SECOND);
+    same_as_then::<Life, Figures13>(WireEncoding::Named, THIRD);
 }
 
 /// a relay passes on the words of a sidecar that does not say whether its engine is down
 #[test]
 fn what_a_sidecar_does_not_say_is_not_made_up_on_the_way() {
     let unknown = ViewUpdate::Figures(samples::figures(None));
-    for form in [WireForm::Positional, WireForm::Named] {
+    for form in [WireEncoding::Positional, WireEncoding::Named] {
         let frame = chalkcart_protocol::encode_frame(&unknown, form).expect("encodes");
         let read: ViewUpdate = decode(&frame[FRAME_HEAD..]).expect("reads");
         assert_eq!(read, unknown);
--- a/protocol/tests/samples/mod.rs
+++ b/protocol/tests/samples/mod.rs
@@ -7,7 +7,7 @@
     chalkcart_protocol::{
         decode,
         peer::*,
-        wire::{encode_as, encode_frame, CodecError, WireForm},
+        wire::{encode_as, encode_frame, CodecError, WireEncoding},
     },
     chalkcart_state::{
         accounts::{AccountTable, ClientAccount},
@@ -41,7 +41,7 @@
     }
 }
 
-type Write = Box<dyn Fn(WireForm) -> Vec<u8>>;
+type Write = Box<dyn Fn(WireEncoding) -> Vec<u8>>;
 type Read = Box<dyn Fn(&[u8]) -> Result<String, CodecError>>;
 
 /// a message that can be written in each form, and read from bytes
@@ -534,10 +534,10 @@
 }
 
 /// words of the forms in records
-pub const FORMS: [(WireForm, &str); 3] = [
-    (WireForm::Positional, "positional"),
-    (WireForm::Named, "named"),
-    (WireForm::NamedByText, "named_by_text"),
+pub const FORMS: [(WireEncoding, &str); 3] = [
+    (WireEncoding::Positional, "positional"),
+    (WireEncoding::Named, "named"),
+    (WireEncoding::NamedTextIds, "named_by_text"),
 ];
 
 /// The bytes of all messages in all forms, a line each: kind, form, name, hex. Messages are
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -5,7 +5,7 @@
     chalkcart_protocol::{
         encode_frame,
         peer::{EngineStats, EngineView, RelayDemands, RelayUpdate},
-        wire::WireForm,
+        wire::WireEncoding,
     },
     chalkcart_state::{backends::BackendId, ids::BoxName},
     chalkcart_transport::{clock, links::ViewSink},
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct News {
     update: RelayUpdate,
-    frames: [OnceLock<Option<Bytes>>; WireForm::ALL.len()],
+    frames: [OnceLock<Option<Bytes>>; WireEncoding::ALL.len()],
 }
 
 impl News {
@@ -40,7 +40,7 @@
             frames: Default::default(),
         }
     }
-    fn frame(&self, form: WireForm) -> Option<Bytes> {
+    fn frame(&self, form: WireEncoding) -> Option<Bytes> {
         let frame = &self.frames[form.index()];
         frame.get_or_init(|| encoded(&self.update, form)).clone()
     }
@@ -106,7 +106,7 @@
     }
 
     /// all that is known, then the news; ends for a reader that is too slow
-    pub fn follow(&self, now: Instant, form: WireForm) -> impl Stream<Item = Bytes> + Send {
+    pub fn follow(&self, now: Instant, form: WireEncoding) -> impl Stream<Item = Bytes> + Send {
         let book = self.book();
         let whole = encoded(&book.whole(now), form);
         let news = BroadcastStream::new(self.news.subscribe());
@@ -145,7 +145,7 @@
     fn on_demanded(&self, _engine: SocketAddr, _is_taken: bool) {}
 }
 
-fn encoded(update: &RelayUpdate, form: WireForm) -> Option<Bytes> {
+fn encoded(update: &RelayUpdate, form: WireEncoding) -> Option<Bytes> {
     match encode_frame(update, form) {
         Ok(frame) => Some(frame),
         Err(e) => {
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -6,7 +6,7 @@
             CancelAnswer, CancelOrder, Frame, FrameBody, Outcome, Reason, Refusal, ReserveAnswer,
             ReserveOrder, ResumeOrder, Step, TargetReport, WorkOrder,
         },
-        wire::WireForm,
+        wire::WireEncoding,
     },
     chalkcart_transport::{
         metrics::GroupClass,
@@ -70,7 +70,7 @@
     SharedData::of(state)
 }
 
-fn run_work(shared: &Arc<Shared>, work: WorkOrder, form: WireForm) -> Reply {
+fn run_work(shared: &Arc<Shared>, work: WorkOrder, form: WireEncoding) -> Reply {
     let (stream, is_new) = shared.hub.open(&work.request, work.reserved);
     if is_new {
         let of = GroupClass {
@@ -83,7 +83,7 @@
     frames_reply(follow(stream, shared.report.clone(), 0), form)
 }
 
-fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, form: WireForm) -> Reply {
+fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, form: WireEncoding) -> Reply {
     match shared.hub.get(&order.request) {
         Some(stream) => frames_reply(follow(stream, shared.report.clone(), order.from), form),
         None => {
--- a/testkit/examples/capacity/wire.rs
+++ b/testkit/examples/capacity/wire.rs
@@ -9,7 +9,7 @@
     chalkcart_protocol::{
         encode, encode_frame,
         peer::{path, Frame, FrameBody, ShardResponse, SyncRequest, SyncResponse},
-        wire::WireForm,
+        wire::WireEncoding,
     },
     chalkcart_state::{config::Root, fleet::FleetList},
     chalkcart_testkit::configs::Documents,
@@ -57,8 +57,11 @@
     for groups in GROUPS {
         sidecar_roots.push((groups as f64, sidecar_root_bytes(groups)?));
     }
-    let report =
-        encode_frame(&Frame::Report(report("engine-00001")), WireForm::Positional)?.len() as f64;
+    let report = encode_frame(
+        &Frame::Report(report("engine-00001")),
+        WireEncoding::Positional,
+    )?
+    .len() as f64;
     Ok(vec![
         Slope::new(
             "an idle exchange of `sync`",
@@ -149,14 +152,17 @@
 }
 
 fn stream_bytes(tokens: usize) -> Result<f64> {
-    let mut bytes =
-        encode_frame(&Frame::Report(report("engine-00001")), WireForm::Positional)?.len();
+    let mut bytes = encode_frame(
+        &Frame::Report(report("engine-00001")),
+        WireEncoding::Positional,
+    )?
+    .len();
     for number in 0..tokens {
         let frame = Frame::Numbered {
             sequence: number as u64,
             body: FrameBody::Token("token".to_string()),
         };
-        bytes += encode_frame(&frame, WireForm::Positional)?.len();
+        bytes += encode_frame(&frame, WireEncoding::Positional)?.len();
     }
     Ok(bytes as f64)
 }
--- a/transport/src/client/peer_forms.rs
+++ b/transport/src/client/peer_forms.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::wire::{WireForm, WireVersion},
+    chalkcart_protocol::wire::{WireEncoding, WireVersion},
     std::{
         collections::HashMap,
         net::SocketAddr,
@@ -21,11 +21,11 @@
 
 impl PeerForms {
     /// the form of messages to a peer
-    pub fn of(&self, peer: SocketAddr) -> WireForm {
+    pub fn of(&self, peer: SocketAddr) -> WireEncoding {
         let known = self.peers().get(&peer).copied().unwrap_or_default();
         match (known.version, known.by_text) {
-            (None, true) => WireForm::NamedByText,
-            (version, _) => WireForm::for_peer(version),
+            (None, true) => WireEncoding::NamedTextIds,
+            (version, _) => WireEncoding::for_peer(version),
         }
     }
     pub fn version(&self, peer: SocketAddr) -> Option<WireVersion> {
--- a/transport/src/server/askers.rs
+++ b/transport/src/server/askers.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::wire::WireForm,
+    chalkcart_protocol::wire::WireEncoding,
     std::{
         collections::HashMap,
         net::IpAddr,
@@ -37,11 +37,11 @@
         self.askers().get(&asker).map_or(0, |asker| asker.unread)
     }
     /// the form for an asker that says no version
-    pub fn form_of(&self, asker: IpAddr) -> WireForm {
+    pub fn form_of(&self, asker: IpAddr) -> WireEncoding {
         let by_text = self.askers().get(&asker).is_some_and(|a| a.by_text);
         match by_text {
-            true => WireForm::NamedByText,
-            false => WireForm::Named,
+            true => WireEncoding::NamedTextIds,
+            false => WireEncoding::Named,
         }
     }
 
--- a/transport/src/server/replies.rs
+++ b/transport/src/server/replies.rs
@@ -2,7 +2,7 @@
     bytes::Bytes,
     chalkcart_protocol::{
         encode, encode_frame,
-        wire::{WireForm, WireVersion, PEER_VERSION},
+        wire::{WireEncoding, WireVersion, PEER_VERSION},
     },
     futures::{Stream, StreamExt},
     gotham::helpers::http::Body,
@@ -53,7 +53,7 @@
 /// a stream of messages, in the form in which who asks reads them
 pub fn frames_reply<T: Serialize + Send + 'static>(
     frames: impl Stream<Item = T> + Send + 'static,
-    form: WireForm,
+    form: WireEncoding,
 ) -> Reply {
     let encoded = frames.filter_map(move |frame| async move {
         let encoded = encode_frame(&frame, form);
--- a/transport/src/server/requests.rs
+++ b/transport/src/server/requests.rs
@@ -4,7 +4,7 @@
     bytes::Bytes,
     chalkcart_protocol::{
         decode,
-        wire::{names_lives_by_text, WireForm, WireVersion},
+        wire::{has_text_ids, WireEncoding, WireVersion},
         CodecError, MAX_MESSAGE_BYTES,
     },
     gotham::{
@@ -79,12 +79,12 @@
 }
 
 /// the form in which who asks reads frames
-pub fn asker_form(state: &State) -> WireForm {
+pub fn asker_form(state: &State) -> WireEncoding {
     let version = asker_version(state);
     let askers = SharedData::<Askers>::try_of(state);
     match (version, askers, client_addr(state)) {
         (None, Some(askers), Some(asker)) => askers.form_of(asker.ip()),
-        (version, ..) => WireForm::for_peer(version),
+        (version, ..) => WireEncoding::for_peer(version),
     }
 }
 
@@ -93,7 +93,7 @@
     let (Some(askers), Some(asker)) = (askers, client_addr(state)) else {
         return;
     };
-    if let Some(by_text) = names_lives_by_text(body) {
+    if let Some(by_text) = has_text_ids(body) {
         askers.on_message(asker.ip(), by_text);
     }
 }
