--- a/coordination/src/dispatch/account_turns.rs
+++ b/coordination/src/dispatch/account_turns.rs
@@ -1,4 +1,4 @@
-use {chalkcart_state::accounts::AccountMark, std::collections::HashMap};
+use {chalkcart_state::accounts::AccountFingerprint, std::collections::HashMap};
 
 /// accounts remembered before those without a request that waits are forgotten
 const MOST_ACCOUNTS: usize = 1_000;
@@ -13,13 +13,13 @@
     /// beginning of the request that was served last
     now: u64,
     /// where the last request of each account ends
-    ends: HashMap<AccountMark, u64>,
+    ends: HashMap<AccountFingerprint, u64>,
 }
 
 impl AccountTurns {
     /// the beginning of a request of this size; one without an account comes as it
     /// arrives
-    pub fn next(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
+    pub fn next(&mut self, account: Option<AccountFingerprint>, size: u32) -> u64 {
         let Some(account) = account else {
             return self.now;
         };
@@ -34,7 +34,7 @@
     }
 
     /// a request left without having been served: it takes no turn of its account
-    pub fn on_left(&mut self, account: Option<AccountMark>, size: u32) {
+    pub fn on_left(&mut self, account: Option<AccountFingerprint>, size: u32) {
         let end = account.and_then(|account| self.ends.get_mut(&account));
         if let Some(end) = end {
             *end = end.saturating_sub(u64::from(size.max(1))).max(self.now);
--- a/coordination/src/dispatch/ask.rs
+++ b/coordination/src/dispatch/ask.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         backends::{AdapterRef, BackendId},
         ids::{BaseModelName, ServiceName},
         ingress::RequestDigest,
@@ -24,7 +24,7 @@
     pub adapter: Option<AdapterRef>,
     pub prompt_tokens: u32,
     /// the client account that asks, none on a route without keys
-    pub account: Option<AccountMark>,
+    pub account: Option<AccountFingerprint>,
     /// where it may be served
     pub allowed_regions: AllowedRegions,
     /// of the client account, goes before that of the route; 0 is the most urgent
--- a/coordination/src/limits/limit_book.rs
+++ b/coordination/src/limits/limit_book.rs
@@ -7,7 +7,7 @@
     crate::membership::{rendezvous_weight, stable_hash},
     chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
-        accounts::{AccountMark, ClientAccount, ClientAccountName, RateLimit},
+        accounts::{AccountFingerprint, ClientAccount, ClientAccountName, RateLimit},
         ids::{BoxName, Incarnation},
     },
     std::{
@@ -78,7 +78,7 @@
     keeper: Option<Incarnation>,
     /// answers of this keeper
     words: u32,
-    accounts: HashMap<AccountMark, SharedBucket>,
+    accounts: HashMap<AccountFingerprint, SharedBucket>,
 }
 
 impl LimitBook {
@@ -112,20 +112,20 @@
             let Some(limit) = &account.limit else {
                 continue;
             };
-            if !limited.insert(account.mark) {
+            if !limited.insert(account.fingerprint) {
                 // an account stands once for each of its keys
                 continue;
             }
             let (bounds, entries) = (self.settings.bounds(limit), self.entries());
-            let known = self.accounts.get(&account.mark);
+            let known = self.accounts.get(&account.fingerprint);
             if known.is_none_or(|bucket| bucket.bounds() != bounds) {
                 changed.push(LimitChange {
                     account: account.name.clone(),
                     bounds,
                 });
             }
-            let phase = phase_of(&self.entry, account.mark);
-            let bucket = self.accounts.entry(account.mark);
+            let phase = phase_of(&self.entry, account.fingerprint);
+            let bucket = self.accounts.entry(account.fingerprint);
             let bucket = bucket.or_insert_with(|| SharedBucket::new(bounds, entries, phase, now));
             bucket.set_bounds(bounds, entries, now);
         }
@@ -150,7 +150,13 @@
     }
 
     /// a request came; it counts as asked for, whatever becomes of it
-    pub fn ask(&mut self, account: AccountMark, limit: &RateLimit, charge: u64, now: Instant) {
+    pub fn ask(
+        &mut self,
+        account: AccountFingerprint,
+        limit: &RateLimit,
+        charge: u64,
+        now: Instant,
+    ) {
         self.bucket(account, limit, now).ask(charge, now);
     }
 
@@ -160,7 +166,7 @@
     /// the account has nothing left: the request must not run
     pub fn charge(
         &mut self,
-        account: AccountMark,
+        account: AccountFingerprint,
         limit: &RateLimit,
         charge: u64,
         now: Instant,
@@ -193,7 +199,7 @@
 
     fn bucket(
         &mut self,
-        account: AccountMark,
+        account: AccountFingerprint,
         limit: &RateLimit,
         now: Instant,
     ) -> &mut SharedBucket {
@@ -204,7 +210,7 @@
     }
 
     /// a request that was charged did not run
-    pub fn give_back(&mut self, account: AccountMark, charge: u64, now: Instant) {
+    pub fn give_back(&mut self, account: AccountFingerprint, charge: u64, now: Instant) {
         if let Some(bucket) = self.accounts.get_mut(&account) {
             bucket.give_back(charge, now);
         }
@@ -246,9 +252,9 @@
         self.words += 1;
         let part = f64::from(answer.entries) / f64::from(report.entries.max(answer.entries));
         let usages = report.accounts.iter().map(|usage| (usage.account, usage));
-        let usages: HashMap<AccountMark, &AccountUsage> = usages.collect();
+        let usages: HashMap<AccountFingerprint, &AccountUsage> = usages.collect();
         let levels = answer.accounts.iter().map(|level| (level.account, level));
-        let levels: HashMap<AccountMark, &AccountLevel> = levels.collect();
+        let levels: HashMap<AccountFingerprint, &AccountLevel> = levels.collect();
         for (mark, bucket) in &mut self.accounts {
             let usage = usages.get(mark).copied();
             match levels.get(mark) {
@@ -259,11 +265,11 @@
     }
 
     /// age of the keeper's word on an account, none if none holds
-    pub fn word_age(&self, account: AccountMark, now: Instant) -> Option<Duration> {
+    pub fn word_age(&self, account: AccountFingerprint, now: Instant) -> Option<Duration> {
         self.accounts.get(&account)?.word_age(now)
     }
     /// whether a keeper has said what clients ask for of an account, at all entries
-    pub fn knows_asked(&self, account: AccountMark, now: Instant) -> bool {
+    pub fn knows_asked(&self, account: AccountFingerprint, now: Instant) -> bool {
         let bucket = self.accounts.get(&account);
         let is_asked = bucket.is_some_and(|bucket| bucket.asked_per_s(now).is_some());
         is_asked && self.youth(now) != Youth::Ignorant
@@ -280,7 +286,7 @@
 }
 
 /// of an entry for an account, evenly between 0 and 1 over entries
-fn phase_of(entry: &BoxName, account: AccountMark) -> f64 {
+fn phase_of(entry: &BoxName, account: AccountFingerprint) -> f64 {
     rendezvous_weight(account, stable_hash(entry)) as f64 / u64::MAX as f64
 }
 
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -1,7 +1,7 @@
 use {
     super::{usage_keeper::AMPLE_PART, LimitBounds, TokenBucket},
     chalkcart_protocol::peer::{AccountLevel, AccountUsage},
-    chalkcart_state::{accounts::AccountMark, ids::Incarnation},
+    chalkcart_state::{accounts::AccountFingerprint, ids::Incarnation},
     std::time::{Duration, Instant},
 };
 
@@ -186,7 +186,7 @@
         }
     }
 
-    pub fn usage(&self, account: AccountMark, entries: u32, now: Instant) -> AccountUsage {
+    pub fn usage(&self, account: AccountFingerprint, entries: u32, now: Instant) -> AccountUsage {
         let own = || self.own_part.level(now) * f64::from(entries.max(1));
         AccountUsage {
             account,
--- a/coordination/src/limits/usage_keeper.rs
+++ b/coordination/src/limits/usage_keeper.rs
@@ -2,7 +2,7 @@
     super::{TokenBucket, WindowSum},
     chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         ids::{BoxName, Incarnation},
     },
     std::{
@@ -30,7 +30,7 @@
 pub struct UsageKeeper {
     incarnation: Incarnation,
     entries: HashMap<BoxName, EntryRow>,
-    accounts: HashMap<AccountMark, AccountRow>,
+    accounts: HashMap<AccountFingerprint, AccountRow>,
 }
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     incarnation: Incarnation,
     heard: Instant,
     /// of each account, the units taken and those asked for, as it last told
-    told: HashMap<AccountMark, (i64, i64)>,
+    told: HashMap<AccountFingerprint, (i64, i64)>,
 }
 
 #[derive(Debug)]
@@ -94,7 +94,7 @@
             account.level(usage.account, now)
         });
         let mut accounts: Vec<AccountLevel> = rows.collect();
-        let told: HashSet<AccountMark> = accounts.iter().map(|a| a.account).collect();
+        let told: HashSet<AccountFingerprint> = accounts.iter().map(|a| a.account).collect();
         for (mark, row) in &self.accounts {
             if !told.contains(mark) && row.is_short(now) {
                 accounts.push(row.level(*mark, now));
@@ -165,7 +165,7 @@
         self.left(now) < self.bucket.most() * AMPLE_PART
     }
 
-    fn level(&self, account: AccountMark, now: Instant) -> AccountLevel {
+    fn level(&self, account: AccountFingerprint, now: Instant) -> AccountLevel {
         AccountLevel {
             account,
             level: self.left(now),
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -9,7 +9,7 @@
         membership::{rendezvous_weight, KeeperChoice, KeptMatter},
     },
     chalkcart_protocol::peer::{UsageReport, UsageResponse},
-    chalkcart_state::accounts::{AccountMark, ClientAccount, LimitUnit, RateLimit},
+    chalkcart_state::accounts::{AccountFingerprint, ClientAccount, LimitUnit, RateLimit},
     std::{
         collections::{BTreeMap, HashMap, VecDeque},
         net::SocketAddr,
@@ -70,11 +70,11 @@
 }
 
 /// mark and limit of an account
-fn limit_of(number: usize) -> (AccountMark, RateLimit) {
-    static LIMITS: OnceLock<Vec<(AccountMark, RateLimit)>> = OnceLock::new();
+fn limit_of(number: usize) -> (AccountFingerprint, RateLimit) {
+    static LIMITS: OnceLock<Vec<(AccountFingerprint, RateLimit)>> = OnceLock::new();
     let limits = LIMITS.get_or_init(|| {
         let accounts = (0..ACCOUNTS.len()).map(account);
-        let limits = accounts.map(|a| (a.mark, a.limit.expect("a limit")));
+        let limits = accounts.map(|a| (a.fingerprint, a.limit.expect("a limit")));
         limits.collect()
     });
     limits[number]
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -42,8 +42,8 @@
 }
 
 fn charge(book: &mut LimitBook, units: u64, now: Instant) -> Result<(), OverLimit> {
-    book.ask(account().mark, &limit(), units, now);
-    book.charge(account().mark, &limit(), units, now)
+    book.ask(account().fingerprint, &limit(), units, now);
+    book.charge(account().fingerprint, &limit(), units, now)
 }
 
 fn report(book: &mut LimitBook, keeper: &mut UsageKeeper, now: Instant) {
@@ -130,7 +130,7 @@
     report(&mut books[3], &mut keeper, now);
     let rest = run_out(&mut books[3], now);
     assert!(units + rest >= 1_000, "the burst: {units} and {rest}");
-    books[3].give_back(account().mark, 0, now);
+    books[3].give_back(account().fingerprint, 0, now);
     report(&mut books[3], &mut keeper, now);
     report(&mut books[5], &mut keeper, now);
     let over = charge(&mut books[5], 100, now).expect_err("over limit");
@@ -151,7 +151,7 @@
         one.report(now).expect("a report").accounts[0].taken,
         units as i64
     );
-    one.give_back(account().mark, units, now);
+    one.give_back(account().fingerprint, units, now);
     report(&mut one, &mut keeper, now);
     let told = one.report(now).expect("a report");
     assert_eq!(
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -4,7 +4,7 @@
         limits::{LimitBook, LimitSettings, OverLimit},
     },
     chalkcart_state::{
-        accounts::{AccountMark, ApiKeyDigest, ApiKeyError, ClientAccount, RateLimit},
+        accounts::{AccountFingerprint, ApiKeyDigest, ApiKeyError, ClientAccount, RateLimit},
         ids::BoxName,
         ingress::{Route, RouteTable},
         regions::AllowedRegions,
@@ -80,7 +80,7 @@
     }
 
     /// ages of the configuration and of the keeper's word on an account's limit
-    pub fn ages(&self, account: AccountMark) -> (Option<Duration>, Option<Duration>) {
+    pub fn ages(&self, account: AccountFingerprint) -> (Option<Duration>, Option<Duration>) {
         let now = clock::now();
         let configuration = self.lease().age(now);
         (configuration, self.limits().word_age(account, now))
@@ -146,7 +146,7 @@
     /// a request came that is to be charged to its account's limit
     pub fn ask(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
-        self.limits().ask(account.mark, limit, units, now);
+        self.limits().ask(account.fingerprint, limit, units, now);
     }
 
     /// charge a request that came to its account's limit
@@ -160,10 +160,11 @@
         units: u64,
     ) -> Result<Charge, OverLimit> {
         let now = clock::now();
-        self.limits().charge(account.mark, limit, units, now)?;
+        self.limits()
+            .charge(account.fingerprint, limit, units, now)?;
         Ok(Charge {
             admission: self.clone(),
-            account: account.mark,
+            account: account.fingerprint,
             units,
             may_have_run: false,
         })
@@ -173,7 +174,7 @@
 /// what a request was charged; given back when it ends without having run
 pub struct Charge {
     admission: Arc<Admission>,
-    account: AccountMark,
+    account: AccountFingerprint,
     units: u64,
     may_have_run: bool,
 }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -82,7 +82,7 @@
             model: accepted.head.model.clone(),
             adapter: accepted.head.adapter.clone(),
             prompt_tokens: accepted.head.prompt_tokens,
-            account: accepted.caller.as_ref().map(|c| c.account.mark),
+            account: accepted.caller.as_ref().map(|c| c.account.fingerprint),
             allowed_regions: AllowedRegions::default(),
             account_priority: accepted.caller.as_ref().map_or(0, |c| c.account.priority),
             priority: route.priority,
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -116,7 +116,7 @@
         if let Some(limit) = &account.limit {
             let units = limit.charge(head.prompt_tokens, head.output_tokens);
             self.shared.admission.ask(account, limit, units);
-            self.shared.wait_for_keeper(account.mark).await;
+            self.shared.wait_for_keeper(account.fingerprint).await;
         }
     }
 
@@ -132,7 +132,7 @@
         let Some(limit) = &account.limit else {
             return Ok(None);
         };
-        let judged = self.shared.admission.ages(account.mark);
+        let judged = self.shared.admission.ages(account.fingerprint);
         self.shared.metrics.on_judged(judged.0, judged.1);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -7,7 +7,7 @@
     arc_swap::ArcSwapOption,
     chalkcart_coordination::{dispatch::Ticket, retry::ListPacing},
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         ingress::{Route, RouteTable},
     },
     chalkcart_transport::{
@@ -98,7 +98,7 @@
     /// are asked for. A short wait for the keeper's word beats refusing what may run:
     /// after all machines lost power 200 to 500 requests below their limits were refused
     /// without it.
-    pub async fn wait_for_keeper(&self, account: AccountMark) {
+    pub async fn wait_for_keeper(&self, account: AccountFingerprint) {
         while self.settings.mechanisms.shared_limits
             && clock::elapsed(self.started) < FIRST_WORD
             && !self.knows_asked(account)
@@ -106,7 +106,7 @@
             sleep(LOOK_FOR_KEEPER).await;
         }
     }
-    fn knows_asked(&self, account: AccountMark) -> bool {
+    fn knows_asked(&self, account: AccountFingerprint) -> bool {
         let limits = self.admission.limits();
         limits.knows_asked(account, clock::now())
     }
--- a/protocol/src/peer/usage.rs
+++ b/protocol/src/peer/usage.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         ids::{BoxName, Incarnation},
     },
     serde::{Deserialize, Serialize},
@@ -21,7 +21,7 @@
 /// what an entry has let one account run, in units of its limit
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    pub account: AccountMark,
+    pub account: AccountFingerprint,
     /// since the entry's start, less what did not run
     pub taken: i64,
     /// what clients asked for here since its start, also what was refused
@@ -51,7 +51,7 @@
 /// what the fleet may run for an account
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountLevel {
-    pub account: AccountMark,
+    pub account: AccountFingerprint,
     /// at once; below 0 more was run than was due
     pub level: f64,
     /// units a second that clients ask for, at all entries
--- a/state/src/accounts/account_table.rs
+++ b/state/src/accounts/account_table.rs
@@ -19,7 +19,7 @@
 /// accounts that can't be told apart
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("client accounts {0:?} and {1:?} claim one key: it is refused")]
-pub struct ContestedKey(pub ClientAccountName, pub ClientAccountName);
+pub struct DuplicateKey(pub ClientAccountName, pub ClientAccountName);
 
 impl AccountTable {
     /// add an account; gives its keys that another one claims as well
@@ -27,7 +27,7 @@
         &mut self,
         account: ClientAccount,
         keys: impl IntoIterator<Item = ApiKeyDigest>,
-    ) -> Vec<ContestedKey> {
+    ) -> Vec<DuplicateKey> {
         let account = Arc::new(account);
         let mut contested = Vec::new();
         for key in keys {
@@ -38,7 +38,7 @@
             if let Some(other) = before.filter(|other| other.name != account.name) {
                 self.by_key.remove(&key);
                 self.contested.insert(key);
-                contested.push(ContestedKey(other.name.clone(), account.name.clone()));
+                contested.push(DuplicateKey(other.name.clone(), account.name.clone()));
             }
         }
         contested
--- a/state/src/accounts/client_account.rs
+++ b/state/src/accounts/client_account.rs
@@ -8,13 +8,14 @@
 /// name of a client account
 pub type ClientAccountName = String;
 /// a hash of its name that every process computes alike
-pub type AccountMark = u64;
+pub type AccountFingerprint = u64;
 
 /// whom a key belongs to
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
     pub name: ClientAccountName,
-    pub mark: AccountMark,
+    #[serde(rename = "mark")]
+    pub fingerprint: AccountFingerprint,
     /// goes before that of the route; 0 is the most urgent
     pub priority: u8,
     /// none if the account is not limited
@@ -31,7 +32,7 @@
         head.copy_from_slice(&digest[..8]);
         Self {
             name: name.to_string(),
-            mark: u64::from_be_bytes(head),
+            fingerprint: u64::from_be_bytes(head),
             priority,
             limit,
             allowed_regions: AllowedRegions::default(),
--- a/state/src/accounts/mod.rs
+++ b/state/src/accounts/mod.rs
@@ -6,8 +6,8 @@
 mod rate_limit;
 
 pub use {
-    account_table::{AccountTable, ContestedKey},
+    account_table::{AccountTable, DuplicateKey},
     api_key::{ApiKeyDigest, ApiKeyError, MAX_KEY_BYTES},
-    client_account::{AccountMark, ClientAccount, ClientAccountName},
+    client_account::{AccountFingerprint, ClientAccount, ClientAccountName},
     rate_limit::{LimitUnit, RateLimit},
 };
