--- a/coordination/src/dispatch/listing.rs
+++ b/coordination/src/dispatch/listing.rs
@@ -39,7 +39,8 @@
         for (id, state) in &mut self.backends {
             let by_name = listed.get(&id.name);
             let is_listed = by_name.is_some_and(|listed| *listed == id);
-            let is_followed = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
+            let is_followed =
+                by_name.is_some_and(|b| b.is_later_incarnation_of(id) && !ended.contains(*b));
             state.is_ahead &= !is_listed && !is_followed;
             let was_gone = state.is_gone;
             state.is_gone = !(is_listed || state.is_ahead && state.view.is_some());
@@ -177,7 +178,7 @@
             living.view.is_some()
                 && living.listed.service == listed.service
                 && *id != listed.id
-                && !listed.id.follows(id)
+                && !listed.id.is_later_incarnation_of(id)
         })
     }
 
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -333,14 +333,14 @@
     /// are read one after the other, so that any other `born` is a later life, also one
     /// that is smaller because the engine's clock stepped back.
     fn on_born(&mut self, born: u64) {
-        self.backend.born = born;
+        self.backend.start_time_ms = born;
         self.is_identified = false;
         self.asked_identity = None;
         self.forget_life();
     }
 
     fn on_report(&mut self, report: EngineReport, now: Instant) {
-        if report.born != self.backend.born {
+        if report.born != self.backend.start_time_ms {
             self.on_born(report.born);
         }
         let mut places = HashMap::with_capacity(report.held.len());
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -287,7 +287,7 @@
     keeper.identify();
     keeper.report(holding(SECOND, &["m"], &[]));
     let order = keeper.order();
-    assert_eq!(order.map(|o| o.backend.born), Some(SECOND));
+    assert_eq!(order.map(|o| o.backend.start_time_ms), Some(SECOND));
 }
 
 /// Seen: an engine with two places got an order for a third adapter, which makes it end. How
--- a/entry/src/ingress/crashes.rs
+++ b/entry/src/ingress/crashes.rs
@@ -102,7 +102,7 @@
     let first = crash.runs.iter().map(|run| run.at).min().unwrap_or(now);
     log::warn!(
         backend = crash.life.as_str(),
-        born = crash.life.born,
+        born = crash.life.start_time_ms,
         runs = crash.runs.len(),
         digests = digests.join(",").as_str(),
         age_ms = now.saturating_duration_since(first).as_millis() as u64;
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -411,7 +411,7 @@
         log::info!(
             request = self.accepted.head.id.as_str(),
             backend = backend.as_str(),
-            born = backend.born,
+            born = backend.start_time_ms,
             leaving = word.is_leaving,
             rest_ms = word.rest.map_or(0, |rest| rest.as_millis() as u64),
             limit_per_s = word.limit.named().map_or(-1.0, RequestRate::per_s),
@@ -438,7 +438,7 @@
             if is_named && self.shared.unknown_headers.is_news(backend, name.as_str()) {
                 log::warn!(
                     backend = backend.as_str(),
-                    born = backend.born,
+                    born = backend.start_time_ms,
                     header = name.as_str();
                     "backend: says what is not known here"
                 );
--- a/entry/src/ingress/observers.rs
+++ b/entry/src/ingress/observers.rs
@@ -98,7 +98,7 @@
             digest = self.digest.to_string().as_str(),
             route = self.route.name.as_str(),
             backend = self.backend.as_str(),
-            born = self.backend.born,
+            born = self.backend.start_time_ms,
             outcome = word,
             objective_ms = self.route.target_latency.as_millis() as u64,
             first_part_ms = self.first_part.map_or(-1, |t| t.as_millis() as i64),
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -159,7 +159,7 @@
             level,
             order = order.kind.to_string().as_str(),
             backend = order.backend.as_str(),
-            born = order.backend.born,
+            born = order.backend.start_time_ms,
             fence = order.fence,
             answer = format!("{answer:?}").as_str();
             "engine: ordered"
--- a/state/src/backends/backend_id.rs
+++ b/state/src/backends/backend_id.rs
@@ -3,43 +3,43 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// name under which a back end is listed; a later life may bear it again
+/// Name under which a back end is listed; a later incarnation may have the same name.
 pub type BackendName = String;
 
-/// Identity of one life of a back end: its name, and when it was born.
+/// Identity of one incarnation of a back end: its name and its start time.
 ///
-/// All that is believed of a back end hangs on this value, so that nothing of it outlives
-/// the life of which it was learnt. A greater `born` is a later life. A smaller one need not
-/// be an earlier life, since clocks step back: who sees the back end itself decides then.
+/// State learnt about a back end is keyed by this value, so that none of it is applied to
+/// another incarnation. A greater start time is a later incarnation. A smaller one may be
+/// later too, since clocks can step back: the process that talks to the back end decides.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct BackendId {
     pub name: BackendName,
-    /// Unix ms of its start; 0 where the platform does not tell it
-    pub born: u64,
+    /// Unix time of its start in ms; 0 if the platform does not report it.
+    #[serde(rename = "born")]
+    pub start_time_ms: u64,
 }
 
 impl BackendId {
-    pub fn new(name: impl Into<BackendName>, born: u64) -> Self {
+    pub fn new(name: impl Into<BackendName>, start_time_ms: u64) -> Self {
         Self {
             name: name.into(),
-            born,
+            start_time_ms,
         }
     }
-    /// it is not known
+    /// Whether the back end is unknown.
     pub fn is_empty(&self) -> bool {
         self.name.is_empty()
     }
-    /// the name alone, as the platform and back ends write it
+    /// Returns the name without the start time, as the platform and back ends write it.
     pub fn as_str(&self) -> &str {
         &self.name
     }
-    /// whether it is surely a later life of the same back end
-    pub fn follows(&self, other: &Self) -> bool {
-        self.name == other.name && self.born > other.born
+    /// Whether this is certainly a later incarnation of the same back end.
+    pub fn is_later_incarnation_of(&self, other: &Self) -> bool {
+        self.name == other.name && self.start_time_ms > other.start_time_ms
     }
 }
 
-/// a back end whose platform does not tell when it was born
 impl From<&str> for BackendId {
     fn from(name: &str) -> Self {
         Self::new(name, 0)
@@ -54,42 +54,45 @@
 
 impl Display for BackendId {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        match self.born {
+        match self.start_time_ms {
             0 => f.write_str(&self.name),
             born => write!(f, "{}@{born}", self.name),
         }
     }
 }
 
-/// by the text of logs
+/// Compares with the text form that logs use.
 impl PartialEq<&str> for BackendId {
     fn eq(&self, text: &&str) -> bool {
         match text.split_once('@') {
-            Some((name, born)) => self.name == name && born.parse() == Ok(self.born),
-            None => self.name == *text && self.born == 0,
+            Some((name, start_time)) => {
+                self.name == name && start_time.parse() == Ok(self.start_time_ms)
+            }
+            None => self.name == *text && self.start_time_ms == 0,
         }
     }
 }
 
-/// a life as processes write it; the builds up to 2205e90 write its name alone
+/// The encoded forms of an id; the builds up to 2205e90 write the name alone.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum WrittenId {
+enum EncodedId {
     Name(BackendName),
-    Life(WrittenLife),
+    NameAndStart(EncodedNameAndStart),
 }
 
 #[derive(Deserialize)]
-struct WrittenLife {
+struct EncodedNameAndStart {
     name: BackendName,
-    born: u64,
+    #[serde(rename = "born")]
+    start_time_ms: u64,
 }
 
 impl<'de> Deserialize<'de> for BackendId {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Ok(match WrittenId::deserialize(deserializer)? {
-            WrittenId::Name(name) => Self::new(name, 0),
-            WrittenId::Life(life) => Self::new(life.name, life.born),
+        Ok(match EncodedId::deserialize(deserializer)? {
+            EncodedId::Name(name) => Self::new(name, 0),
+            EncodedId::NameAndStart(id) => Self::new(id.name, id.start_time_ms),
         })
     }
 }
