--- a/coordination/src/dispatch/choosing.rs
+++ b/coordination/src/dispatch/choosing.rs
@@ -138,7 +138,7 @@
             return (Choice::Wait(RefusalCause::Resting), Vec::new());
         }
         if candidates.is_empty() {
-            let cause = match ask.allowed_regions.allows_each() {
+            let cause = match ask.allowed_regions.is_unrestricted() {
                 true => RefusalCause::NoBackend,
                 false => RefusalCause::OutsideRegions,
             };
--- a/coordination/src/relay/relay_book.rs
+++ b/coordination/src/relay/relay_book.rs
@@ -100,7 +100,7 @@
             return false;
         };
         let before = known.view.as_ref();
-        let is_urgent = before.is_none_or(|before| view.is_urgent_by_relay_after(before));
+        let is_urgent = before.is_none_or(|before| view.is_urgent_for_relay_after(before));
         known.on_view(view, now);
         self.with_news.insert(engine);
         is_urgent
@@ -127,7 +127,7 @@
         view.figures = figures;
         known.heard = now;
         self.with_news.insert(engine);
-        had_spare != (figures.spare_slots > 0) || figures.binds_otherwise_than(&before)
+        had_spare != (figures.spare_slots > 0) || figures.differs_in_availability(&before)
     }
 
     /// the sidecar of an engine is silent
@@ -252,7 +252,7 @@
             (None, None) => return None,
             (Some(_), None) => EngineViewState::Silent,
             (None, Some(view)) => EngineViewState::View(ViewUpdate::Whole(self.with_lately(view))),
-            (Some(told), Some(view)) if !told.differs_in_holdings(view) => {
+            (Some(told), Some(view)) if !told.differs_beyond_stats(view) => {
                 told.figures = view.figures;
                 return Some(EngineViewState::View(ViewUpdate::Figures(view.figures)));
             }
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -13,7 +13,7 @@
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
 
 fn only(names: &[&str]) -> AllowedRegions {
-    AllowedRegions::only(names.iter().map(ToString::to_string))
+    AllowedRegions::restricted_to(names.iter().map(ToString::to_string))
 }
 
 /// a back end in the zone of a region; zone and region have the same name here
@@ -157,11 +157,11 @@
 fn both_a_route_and_an_account_bind() {
     let any = AllowedRegions::default();
     let (north, both) = (only(&["north"]), only(&["north", "south"]));
-    assert_eq!(any.and(&north), north);
-    assert_eq!(both.and(&any), both);
-    assert_eq!(both.and(&north), north);
-    let none = north.and(&only(&["south"]));
-    assert!(!none.allows_each());
+    assert_eq!(any.intersection(&north), north);
+    assert_eq!(both.intersection(&any), both);
+    assert_eq!(both.intersection(&north), north);
+    let none = north.intersection(&only(&["south"]));
+    assert!(!none.is_unrestricted());
     assert!(!REGIONS.iter().any(|r| none.allows(Some(&r.to_string()))));
     // an empty list binds to nothing, as an absent one
     assert_eq!(only(&[]), any);
@@ -194,7 +194,7 @@
             .map(|b| b.id.to_string()).collect();
         let mut fixture = fixture(list);
         let ask = Ask {
-            allowed_regions: only(&drawn(route % 8)).and(&only(&drawn(account % 8))),
+            allowed_regions: only(&drawn(route % 8)).intersection(&only(&drawn(account % 8))),
             ..fixture.new_ask(PLAIN, None)
         };
         let sent = sent_to(&fixture.ask(1, ask));
--- a/entry/src/cli/ingress.rs
+++ b/entry/src/cli/ingress.rs
@@ -3,8 +3,8 @@
     anyhow::Result,
     chalkcart_node::{
         cli::{ExitCode, Program},
-        settings::{self, SettingsError, SettingsFollower},
-        signals::hold_hangups,
+        settings::{self, SettingsError, SettingsReloader},
+        signals::block_sighup,
     },
     chalkcart_platform::{
         settings::{self as platform_settings, Program as PlatformProgram},
@@ -17,7 +17,7 @@
 
 /// serve clients on the platform
 pub fn run(program: &Program, matches: &Matches) -> Result<ExitCode> {
-    hold_hangups()?;
+    block_sighup()?;
     let file = match settings::file_or_environment(&matches.free) {
         Ok(file) => file,
         Err(e) => return Ok(chalkcart_node::cli::usage_error(program, e)),
@@ -34,7 +34,7 @@
         return Ok(ExitCode::Done);
     }
     let store = Arc::new(PlatformStore::new(settings.store));
-    let follower = SettingsFollower::translated(&file, translate);
+    let follower = SettingsReloader::with_translation(&file, translate);
     ingress::serve(settings, follower, store, Arc::new(PlatformDialect))?;
     Ok(ExitCode::Done)
 }
--- a/entry/src/conf/ingress_settings.rs
+++ b/entry/src/conf/ingress_settings.rs
@@ -3,7 +3,7 @@
         limits::LimitSettings, mechanisms::Mechanisms, relay::RELAYS_FROM_ENGINES,
     },
     chalkcart_node::settings::{
-        check_filled, check_log, check_positive, defaults, Checked, SettingsError,
+        check_log, check_not_empty, check_positive, defaults, Checked, SettingsError,
     },
     chalkcart_state::ids::{BoxName, RegionName, ZoneName},
     serde::Deserialize,
@@ -99,8 +99,8 @@
 
 impl Checked for IngressSettings {
     fn check(&self) -> Result<(), SettingsError> {
-        check_filled("name", &self.name, "the box's name")?;
-        check_filled("zone", &self.zone, "the availability zone")?;
+        check_not_empty("name", &self.name, "the box's name")?;
+        check_not_empty("zone", &self.zone, "the availability zone")?;
         check_positive("sidecar_port", u64::from(self.sidecar_port))?;
         check_positive("version_ms", self.version_ms)?;
         check_positive("drain_ms", self.drain_ms)?;
--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -140,7 +140,7 @@
         let known = accounts.and_then(|accounts| accounts.find(&caller.key));
         let known = known.filter(|known| known.name == caller.account.name);
         let account = known.unwrap_or(&caller.account);
-        route.allowed_regions.and(&account.allowed_regions)
+        route.allowed_regions.intersection(&account.allowed_regions)
     }
 
     /// a request came that is to be charged to its account's limit
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -54,7 +54,7 @@
                 let known = self
                     .backends
                     .insert(backend.id.name.clone(), backend.clone());
-                known.is_none_or(|known| known.differs_beyond_holdings(&backend))
+                known.is_none_or(|known| known.differs_beyond_weights(&backend))
             }
             Record::BackendGone(name) => self.backends.remove(&name).is_some(),
             other => {
--- a/entry/src/ingress/relay_outbox.rs
+++ b/entry/src/ingress/relay_outbox.rs
@@ -69,7 +69,7 @@
     pub fn put(&self, engine: SocketAddr, demand: AdapterDemand) {
         let mut content = self.content();
         let told = content.demands.get(&engine);
-        if told.is_some_and(|told| told.asks_as(&demand)) {
+        if told.is_some_and(|told| told.is_equivalent_to(&demand)) {
             return;
         }
         content.demands.insert(engine, demand);
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -22,7 +22,7 @@
         relay::RelayPacing,
     },
     chalkcart_node::{
-        runtime::run_on_one_thread, settings::SettingsFollower, signals::stop_signal,
+        runtime::run_on_one_thread, settings::SettingsReloader, signals::stop_signal,
     },
     chalkcart_protocol::wire::WireVersion,
     chalkcart_state::published::Topic,
@@ -41,7 +41,7 @@
 /// run the ingress until it is asked to stop
 pub fn serve(
     settings: IngressSettings,
-    follower: SettingsFollower,
+    follower: SettingsReloader,
     store: Arc<dyn MetadataSource>,
     dialect: Arc<dyn Dialect>,
 ) -> Result<()> {
@@ -51,7 +51,7 @@
 
 async fn run(
     settings: IngressSettings,
-    follower: SettingsFollower,
+    follower: SettingsReloader,
     store: Arc<dyn MetadataSource>,
     dialect: Arc<dyn Dialect>,
 ) -> Result<()> {
@@ -108,7 +108,7 @@
 
 /// put new settings in force; addresses of its own change at the next start
 async fn follow_settings(
-    follower: SettingsFollower,
+    follower: SettingsReloader,
     shared: Arc<Shared>,
     store: Arc<dyn MetadataSource>,
 ) {
--- a/node/src/settings/checks.rs
+++ b/node/src/settings/checks.rs
@@ -1,7 +1,7 @@
 use {super::SettingsError, crate::logging};
 
 /// refuse an empty text
-pub fn check_filled(
+pub fn check_not_empty(
     key: &'static str,
     value: &str,
     expected: &'static str,
--- a/node/src/settings/mod.rs
+++ b/node/src/settings/mod.rs
@@ -3,15 +3,15 @@
 mod checks;
 pub mod defaults;
 mod errors;
-mod follow;
 mod load;
+mod reload;
 
 pub use {
-    checks::{check_filled, check_log, check_positive},
+    checks::{check_log, check_not_empty, check_positive},
     errors::SettingsError,
-    follow::SettingsFollower,
     load::{
         file_or_environment, load, load_translated, parse, parse_translated, Checked, Translate,
         FILE_VARIABLE,
     },
+    reload::SettingsReloader,
 };
--- a/node/src/settings/follow.rs
+++ b/node/src/settings/reload.rs
@@ -1,6 +1,6 @@
 use {
     super::{parse_translated, Checked, SettingsError, Translate},
-    crate::signals::release_hangups,
+    crate::signals::unblock_sighup,
     anyhow::{Context, Result},
     serde::de::DeserializeOwned,
     std::{
@@ -17,19 +17,19 @@
 const LOOK_EVERY: Duration = Duration::from_secs(2);
 
 /// follows a settings file: read again at SIGHUP, and when its text changes
-pub struct SettingsFollower {
+pub struct SettingsReloader {
     file: PathBuf,
     text: String,
     translate: Translate,
 }
 
-impl SettingsFollower {
+impl SettingsReloader {
     /// `file` was read at the start
     pub fn new(file: &Path) -> Self {
-        Self::translated(file, Ok)
+        Self::with_translation(file, Ok)
     }
     /// the same for a file of another form
-    pub fn translated(file: &Path, translate: Translate) -> Self {
+    pub fn with_translation(file: &Path, translate: Translate) -> Self {
         Self {
             translate,
             file: file.to_path_buf(),
@@ -44,7 +44,7 @@
         apply: impl Fn(T) + Send,
     ) -> Result<()> {
         let mut hangup = signal(SignalKind::hangup()).context("watch SIGHUP")?;
-        release_hangups()?;
+        unblock_sighup()?;
         loop {
             let signalled = timeout(LOOK_EVERY, hangup.recv()).await.is_ok();
             match self.read_changed::<T>(signalled) {
--- a/node/src/signals/mod.rs
+++ b/node/src/signals/mod.rs
@@ -1,9 +1,9 @@
 //! signals that ask for a planned stop, or for settings to be read again
 
-mod hangups;
+mod sighup;
 mod stop_signal;
 
 pub use {
-    hangups::{hold_hangups, release_hangups},
+    sighup::{block_sighup, unblock_sighup},
     stop_signal::stop_signal,
 };
--- a/node/src/signals/hangups.rs
+++ b/node/src/signals/sighup.rs
@@ -5,13 +5,13 @@
     nix::sys::signal::{SigSet, Signal},
 };
 
-/// Keep SIGHUP until `release_hangups`: one that comes while the process still begins
+/// Keep SIGHUP until `unblock_sighup`: one that comes while the process still begins
 /// would end it, since it asks for settings to be read again only where that is followed.
 /// Threads that are started meanwhile keep it too.
 ///
 /// # Errors
 /// the system refused it
-pub fn hold_hangups() -> Result<()> {
+pub fn block_sighup() -> Result<()> {
     hangups().thread_block().context("hold SIGHUP")
 }
 
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// the system refused it
-pub fn release_hangups() -> Result<()> {
+pub fn unblock_sighup() -> Result<()> {
     hangups().thread_unblock().context("release SIGHUP")
 }
 
--- a/protocol/src/peer/placement.rs
+++ b/protocol/src/peer/placement.rs
@@ -76,7 +76,7 @@
 impl AdapterDemand {
     /// whether another message asks for the same of the same incarnation; a
     /// newer version of the list alone is no news
-    pub fn asks_as(&self, other: &Self) -> bool {
+    pub fn is_equivalent_to(&self, other: &Self) -> bool {
         self.backend == other.backend
             && self.entries == other.entries
             && self.fence_seen == other.fence_seen
@@ -107,7 +107,7 @@
 
 impl EngineView {
     /// whether another view differs in more than figures
-    pub fn differs_in_holdings(&self, other: &Self) -> bool {
+    pub fn differs_beyond_stats(&self, other: &Self) -> bool {
         self.backend != other.backend
             || self.models != other.models
             || self.held != other.held
@@ -118,18 +118,18 @@
     pub fn is_urgent_after(&self, before: &Self) -> bool {
         let had_spare = before.figures.spare_slots > 0;
         let has_spare = self.figures.spare_slots > 0;
-        self.differs_in_holdings(before)
+        self.differs_beyond_stats(before)
             || had_spare != has_spare
-            || self.figures.binds_otherwise_than(&before.figures)
+            || self.figures.differs_in_availability(&before.figures)
     }
 
     /// the same where a relay gathers views: adapters on their way and places can
     /// wait for its next message
-    pub fn is_urgent_by_relay_after(&self, before: &Self) -> bool {
+    pub fn is_urgent_for_relay_after(&self, before: &Self) -> bool {
         self.backend != before.backend
             || self.models != before.models
             || self.held != before.held
-            || self.figures.binds_otherwise_than(&before.figures)
+            || self.figures.differs_in_availability(&before.figures)
     }
 }
 
@@ -175,7 +175,7 @@
 
 impl EngineStats {
     /// whether the engine's end, or how much it takes, is news since these figures
-    pub fn binds_otherwise_than(&self, before: &Self) -> bool {
+    pub fn differs_in_availability(&self, before: &Self) -> bool {
         self.is_down != before.is_down
             || self.is_leaving != before.is_leaving
             || self.limit_milli_per_s != before.limit_milli_per_s
@@ -335,7 +335,7 @@
         if before.backend != after.backend || before.models != after.models {
             return Self::Whole(after.clone());
         }
-        if !before.differs_in_holdings(after) {
+        if !before.differs_beyond_stats(after) {
             return Self::Figures(after.figures);
         }
         let came = after.held.iter().filter(|h| !before.held.contains(h));
--- a/protocol/tests/samples/mod.rs
+++ b/protocol/tests/samples/mod.rs
@@ -251,7 +251,7 @@
 
 /// a configuration with a route and an account that are bound to regions
 fn published_regions() -> PublishedResponse {
-    let regions = |name: &str| AllowedRegions::only([name.to_string()]);
+    let regions = |name: &str| AllowedRegions::restricted_to([name.to_string()]);
     let route = Route {
         name: "r".to_string(),
         path_prefix: "/r/".to_string(),
--- a/sidecar/src/cli/run.rs
+++ b/sidecar/src/cli/run.rs
@@ -3,8 +3,8 @@
     anyhow::Result,
     chalkcart_node::{
         cli::{usage_error, ExitCode, Program},
-        settings::{self, Checked, SettingsError, SettingsFollower, Translate},
-        signals::hold_hangups,
+        settings::{self, Checked, SettingsError, SettingsReloader, Translate},
+        signals::block_sighup,
     },
     chalkcart_platform::{
         settings::{self as platform_settings, Program as PlatformProgram},
@@ -50,7 +50,7 @@
     let only_check = matches.opt_present("check");
     match matches.opt_present("place") {
         true => {
-            if let Err(e) = hold_hangups() {
+            if let Err(e) = block_sighup() {
                 eprintln!("{}: {e:#}", PROGRAM.name);
                 return ExitCode::Failed;
             }
@@ -62,7 +62,7 @@
 
 /// place the adapters of the engine on this box
 fn place(settings: PlacementSettings, file: &Path) -> Result<()> {
-    let follower = SettingsFollower::translated(file, translate);
+    let follower = SettingsReloader::with_translation(file, translate);
     let engine = PlatformEngine::new(settings.engine, &settings.name);
     let store = settings.store.map(PlatformStore::new);
     let store = store.map(|store| Arc::new(store) as Arc<dyn MetadataSource>);
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -1,7 +1,7 @@
 use {
     chalkcart_coordination::{mechanisms::Mechanisms, relay::RelayPacing},
     chalkcart_node::settings::{
-        check_filled, check_log, check_positive, defaults, Checked, SettingsError,
+        check_log, check_not_empty, check_positive, defaults, Checked, SettingsError,
     },
     chalkcart_state::ids::BoxName,
     serde::Deserialize,
@@ -54,7 +54,7 @@
 
 impl Checked for PlacementSettings {
     fn check(&self) -> Result<(), SettingsError> {
-        check_filled("name", &self.name, "the box's name")?;
+        check_not_empty("name", &self.name, "the box's name")?;
         check_positive("drain_ms", self.drain_ms)?;
         check_positive("config_apply_ms", self.config_apply_ms)?;
         check_log(&self.log)
--- a/sidecar/src/conf/settings.rs
+++ b/sidecar/src/conf/settings.rs
@@ -1,7 +1,7 @@
 use {
     chalkcart_coordination::sidecar::PermitMode,
     chalkcart_node::settings::{
-        check_filled, check_log, check_positive, defaults, Checked, SettingsError,
+        check_log, check_not_empty, check_positive, defaults, Checked, SettingsError,
     },
     chalkcart_state::ids::{BoxName, ServiceName, ZoneName},
     serde::Deserialize,
@@ -96,8 +96,8 @@
 
 impl Checked for Settings {
     fn check(&self) -> Result<(), SettingsError> {
-        check_filled("name", &self.name, "the box's name")?;
-        check_filled("zone", &self.zone, "the availability zone")?;
+        check_not_empty("name", &self.name, "the box's name")?;
+        check_not_empty("zone", &self.zone, "the availability zone")?;
         check_positive("threads", self.threads as u64)?;
         check_positive("lease_ms", self.lease_ms)?;
         check_positive("id_capacity", self.id_capacity as u64)?;
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -15,7 +15,7 @@
         placement::{self, PlacementControl},
     },
     chalkcart_node::{
-        runtime::run_on_one_thread, settings::SettingsFollower, signals::stop_signal,
+        runtime::run_on_one_thread, settings::SettingsReloader, signals::stop_signal,
     },
     chalkcart_protocol::wire::WireVersion,
     chalkcart_transport::{metadata::MetadataSource, orders::OrderedEngine, server},
@@ -29,7 +29,7 @@
 /// run the sidecar until it is asked to stop
 pub fn serve(
     settings: PlacementSettings,
-    follower: SettingsFollower,
+    follower: SettingsReloader,
     engine: Arc<dyn OrderedEngine>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
@@ -39,7 +39,7 @@
 
 async fn run(
     settings: PlacementSettings,
-    follower: SettingsFollower,
+    follower: SettingsReloader,
     engine: Arc<dyn OrderedEngine>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
@@ -85,7 +85,7 @@
 }
 
 /// check new settings; all of them take effect at the next start
-async fn follow_settings(follower: SettingsFollower) {
+async fn follow_settings(follower: SettingsReloader) {
     let apply = |settings: PlacementSettings| {
         log::info!(
             "settings: those of {} hold from the next start",
--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -26,7 +26,7 @@
 
 impl Backend {
     /// whether a later record of it says more than that it holds something else
-    pub fn differs_beyond_holdings(&self, later: &Self) -> bool {
+    pub fn differs_beyond_weights(&self, later: &Self) -> bool {
         self.id != later.id
             || self.service != later.service
             || self.addr != later.addr
--- a/state/src/regions/allowed_regions.rs
+++ b/state/src/regions/allowed_regions.rs
@@ -16,7 +16,7 @@
 
 impl AllowedRegions {
     /// these alone; a list without a name binds to none of them
-    pub fn only(names: impl IntoIterator<Item = RegionName>) -> Self {
+    pub fn restricted_to(names: impl IntoIterator<Item = RegionName>) -> Self {
         let names: BTreeSet<RegionName> = names.into_iter().collect();
         Self {
             only: (!names.is_empty()).then_some(names),
@@ -24,7 +24,7 @@
     }
 
     /// what both allow; where they have no region in common, none
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         let only = match (&self.only, &other.only) {
             (Some(own), Some(others)) => Some(own.intersection(others).cloned().collect()),
             (own, others) => own.clone().or_else(|| others.clone()),
@@ -40,7 +40,7 @@
         region.is_some_and(|region| only.contains(region))
     }
 
-    pub fn allows_each(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.only.is_none()
     }
 }
--- a/transport/src/links/sidecar_links.rs
+++ b/transport/src/links/sidecar_links.rs
@@ -86,7 +86,9 @@
             return;
         };
         let told = link.demand.borrow();
-        let is_known = told.as_ref().is_some_and(|told| told.asks_as(&demand));
+        let is_known = told
+            .as_ref()
+            .is_some_and(|told| told.is_equivalent_to(&demand));
         drop(told);
         if !is_known || link.is_due(now) {
             link.sent_at = Some(now);
