--- a/state/src/accounts/account_table.rs
+++ b/state/src/accounts/account_table.rs
@@ -8,48 +8,48 @@
     thiserror::Error,
 };
 
-/// client accounts by their keys
+/// Client accounts by API key.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountTable {
     by_key: HashMap<ApiKeyDigest, Arc<ClientAccount>>,
-    /// keys that more than one account claims; they belong to nobody
+    /// Keys that several accounts list; they identify none of them.
     contested: HashSet<ApiKeyDigest>,
 }
 
-/// accounts that can't be told apart
+/// Two accounts that list the same API key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("client accounts {0:?} and {1:?} claim one key: it is refused")]
+#[error("client accounts {0:?} and {1:?} list the same API key; the key is rejected")]
 pub struct DuplicateKey(pub ClientAccountName, pub ClientAccountName);
 
 impl AccountTable {
-    /// add an account; gives its keys that another one claims as well
+    /// Adds an account and returns its keys that another account lists as well.
     pub fn add(
         &mut self,
         account: ClientAccount,
         keys: impl IntoIterator<Item = ApiKeyDigest>,
     ) -> Vec<DuplicateKey> {
         let account = Arc::new(account);
-        let mut contested = Vec::new();
+        let mut duplicates = Vec::new();
         for key in keys {
             if self.contested.contains(&key) {
                 continue;
             }
-            let before = self.by_key.insert(key, account.clone());
-            if let Some(other) = before.filter(|other| other.name != account.name) {
+            let previous = self.by_key.insert(key, account.clone());
+            if let Some(other) = previous.filter(|other| other.name != account.name) {
                 self.by_key.remove(&key);
                 self.contested.insert(key);
-                contested.push(DuplicateKey(other.name.clone(), account.name.clone()));
+                duplicates.push(DuplicateKey(other.name.clone(), account.name.clone()));
             }
         }
-        contested
+        duplicates
     }
 
-    /// the account that has a key
+    /// Returns the account with this key.
     pub fn find(&self, key: &ApiKeyDigest) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 
-    /// all accounts, each once for each of its keys
+    /// Returns all accounts, each once per key.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<ClientAccount>> {
         self.by_key.values()
     }
--- a/state/src/accounts/api_key.rs
+++ b/state/src/accounts/api_key.rs
@@ -5,18 +5,17 @@
     thiserror::Error,
 };
 
-/// longest key that is looked at, in bytes
+/// Longest key accepted, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-const BYTES: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
-/// SHA-256 of an API key. It takes the key's place in memory and between
-/// processes: a table that is looked up by digests tells nothing about keys by the
-/// time that a look takes.
+/// SHA-256 of an API key, stored and sent in place of the key. The duration of a lookup by
+/// digest leaks nothing about the keys in a table.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ApiKeyDigest([u8; BYTES]);
+pub struct ApiKeyDigest([u8; DIGEST_BYTES]);
 
-/// a text that can't be an API key; the text is not repeated
+/// Why a text is not a valid API key. The text is left out, as it may be a mistyped key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApiKeyError {
     #[error("no key")]
@@ -32,8 +31,10 @@
 }
 
 impl ApiKeyDigest {
+    /// Hashes a key.
+    ///
     /// # Errors
-    /// the text is empty, over-long, or has other bytes than visible ASCII
+    /// The text is empty, too long, or contains bytes other than visible ASCII.
     pub fn of(key: &[u8]) -> Result<Self, ApiKeyError> {
         if key.is_empty() {
             return Err(ApiKeyError::Empty);
@@ -44,13 +45,13 @@
         if !key.iter().all(u8::is_ascii_graphic) {
             return Err(ApiKeyError::NotVisible);
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; DIGEST_BYTES];
         bytes.copy_from_slice(&Sha256::digest(key));
         Ok(Self(bytes))
     }
 }
 
-/// nothing of the digest is shown: short keys could be guessed from it
+/// Hides the digest, since a short key could be found from it by brute force.
 impl fmt::Debug for ApiKeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("ApiKeyDigest(..)")
--- a/state/src/accounts/client_account.rs
+++ b/state/src/accounts/client_account.rs
@@ -5,22 +5,22 @@
     sha2::{Digest, Sha256},
 };
 
-/// name of a client account
 pub type ClientAccountName = String;
-/// a hash of its name that every process computes alike
+/// First 64 bits of the SHA-256 of an account's name, the same in every process.
 pub type AccountFingerprint = u64;
 
-/// whom a key belongs to
+/// The client account that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
     pub name: ClientAccountName,
     #[serde(rename = "mark")]
     pub fingerprint: AccountFingerprint,
-    /// goes before that of the route; 0 is the most urgent
+    /// Takes precedence over the route's priority; 0 is the most urgent.
     pub priority: u8,
-    /// none if the account is not limited
+    /// `None` if the account has no rate limit.
     pub limit: Option<RateLimit>,
-    /// where its requests may be served; missing: a build before 5, which reads no such bound
+    /// Regions in which its requests may be served; missing in messages of builds before wire
+    /// version 5, which do not support the restriction.
     #[serde(default)]
     pub allowed_regions: AllowedRegions,
 }
--- a/state/src/accounts/mod.rs
+++ b/state/src/accounts/mod.rs
@@ -1,4 +1,4 @@
-//! client accounts as operators publish them: who may ask, and how much
+//! Client accounts as operators publish them: their keys, priorities and rate limits.
 
 mod account_table;
 mod api_key;
--- a/state/src/accounts/rate_limit.rs
+++ b/state/src/accounts/rate_limit.rs
@@ -1,28 +1,29 @@
 use serde::{Deserialize, Serialize};
 
-/// what a limit counts
+/// The unit that a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitUnit {
     Requests,
-    /// tokens in and out, as a request names them; one that names none is
-    /// charged `plain`
+    /// Prompt and output tokens that a request declares; a request that declares none is
+    /// charged `plain`.
     Tokens {
         plain: u32,
     },
 }
 
-/// what all entries together let a client account run
+/// Rate limit of a client account across all entries.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RateLimit {
     pub unit: LimitUnit,
-    /// units a second
+    /// Units per second.
     pub per_s: f64,
-    /// units beyond that at once
+    /// Units allowed in a burst above the rate.
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// units that a request is charged; a token count of 0 stands for none named
+    /// Returns the units that a request is charged; two token counts of 0 mean that the request
+    /// declares none.
     pub fn charge(&self, prompt_tokens: u32, output_tokens: u32) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
--- a/state/src/backends/adapter_ref.rs
+++ b/state/src/backends/adapter_ref.rs
@@ -4,7 +4,7 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// an adapter of a base model
+/// An adapter of a base model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AdapterRef {
     pub model: BaseModelName,
@@ -17,7 +17,7 @@
     }
 }
 
-/// an adapter in one version, as an engine holds it
+/// A version of an adapter that is loaded on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldAdapter {
     pub adapter: AdapterRef,
--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -5,27 +5,28 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// one back end, an engine or a copy of a plain service
+/// A back end: an engine, or an instance of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     pub id: BackendId,
     pub service: ServiceName,
     pub addr: SocketAddr,
     pub zone: ZoneName,
-    /// requests that it runs at once
+    /// Concurrent requests.
     pub slots: u32,
-    /// takes no new work
+    /// Whether it is draining and takes no new requests.
     pub leaving: bool,
-    /// how much longer it is cold, by its last word: it carries few requests then
+    /// Remaining duration of its slow start, as it last reported; it takes few requests until
+    /// then.
     pub cold_left: Duration,
-    /// base models that it held when the list was written
+    /// Base models loaded when the list was written.
     pub models: Vec<BaseModelName>,
-    /// adapters that it held when the list was written
+    /// Adapters loaded when the list was written.
     pub held: Vec<HeldAdapter>,
 }
 
 impl Backend {
-    /// whether a later record of it says more than that it holds something else
+    /// Whether a later record differs in anything but the loaded models and adapters.
     pub fn differs_beyond_weights(&self, later: &Self) -> bool {
         self.id != later.id
             || self.service != later.service
@@ -37,5 +38,5 @@
     }
 }
 
-/// the platform's list of back ends
+/// The back ends that the platform lists.
 pub type BackendList = Vec<Backend>;
--- a/state/src/backends/mod.rs
+++ b/state/src/backends/mod.rs
@@ -1,5 +1,5 @@
-//! the back ends behind the ingress, as the platform lists them, and the
-//! adapters that their engines hold
+//! The back ends behind the ingress, as the platform lists them, and the adapters loaded on
+//! their engines.
 
 mod adapter_ref;
 mod backend;
--- a/state/src/config/change.rs
+++ b/state/src/config/change.rs
@@ -7,7 +7,7 @@
     std::sync::Arc,
 };
 
-/// one change that an operator asks for
+/// A change requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     CreateGroup {
@@ -34,14 +34,14 @@
     },
 }
 
-/// a document for the operator to publish
+/// A document for the operator to publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
     pub key: String,
     pub content: String,
 }
 
-/// what to publish, shards before the root that names them
+/// The documents to publish, shards before the root that references them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedDocuments {
     pub generation: Generation,
@@ -49,7 +49,10 @@
 }
 
 impl Configuration {
-    /// the documents of the next generation; nothing is written anywhere
+    /// Returns the documents of the next generation without writing them anywhere.
+    ///
+    /// # Errors
+    /// `base` is not the current generation, or the change is invalid.
     pub fn plan_change(
         &self,
         base: Generation,
@@ -148,10 +151,10 @@
 }
 
 fn insert_adapter(shard: &mut Shard, adapter: Adapter) -> Result<(), ConfigError> {
-    let place = shard
+    let position = shard
         .adapters
         .binary_search_by(|a| a.name.cmp(&adapter.name));
-    match place {
+    match position {
         Ok(_) => Err(ConfigError::bad("adapter", adapter.name, "a new name")),
         Err(index) => {
             shard.adapters.insert(index, adapter);
--- a/state/src/config/class.rs
+++ b/state/src/config/class.rs
@@ -4,27 +4,26 @@
     std::time::Duration,
 };
 
-/// a class of service: how urgent its requests are
+/// A service class: the urgency and the deadline of its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: ClassName,
-    /// 0 is the most urgent
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// time within which a request is answered, unless the caller asks for less, in ms
+    /// Deadline of a request in ms, unless the caller sets a shorter one.
     pub timeout_ms: u64,
-    /// after waiting this long a request counts as one priority more urgent, in ms
+    /// Waiting time in ms after which a request is raised by one priority level.
     pub age_after_ms: u64,
-    /// how much a load stall costs in this class, against 1 for the least
+    /// Relative cost of a stall caused by a load; 1 is the lowest.
     pub stall_cost: u32,
 }
 
 impl Class {
-    /// the class's own deadline
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
-    /// the step of ageing
+    /// Returns the waiting time that raises a request by one priority level.
     pub fn age_after(&self) -> Duration {
         Duration::from_millis(self.age_after_ms)
     }
--- a/state/src/config/configuration.rs
+++ b/state/src/config/configuration.rs
@@ -7,7 +7,7 @@
     std::sync::Arc,
 };
 
-/// an adapter's version, found in the configuration
+/// A version of an adapter, resolved from the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolvedAdapter {
     pub name: AdapterName,
@@ -17,7 +17,7 @@
     pub digest: WeightsDigest,
 }
 
-/// a whole, checked configuration; shards are shared between generations
+/// A complete, validated configuration. Generations share the shards that did not change.
 #[derive(Debug, Clone)]
 pub struct Configuration {
     root: Arc<Root>,
@@ -25,7 +25,10 @@
 }
 
 impl Configuration {
-    /// check the documents against each other
+    /// Builds a configuration from its documents.
+    ///
+    /// # Errors
+    /// A document is invalid or does not match the others.
     pub fn new(root: Arc<Root>, shards: Vec<Shard>) -> Result<Self, ConfigError> {
         root.check()?;
         if shards.len() != root.shards.len() {
@@ -46,8 +49,8 @@
         })
     }
 
-    /// the next configuration, given only the shards that differ; the kept
-    /// ones were checked when they came in, unless the root's names changed
+    /// Builds the next configuration from the shards that differ. Unchanged shards are
+    /// validated again only if the root's groups or base models changed.
     pub fn advance(
         &self,
         root: Arc<Root>,
@@ -68,7 +71,7 @@
         Ok(Self { root, shards })
     }
 
-    /// indexes of the shards that `next` has and this configuration lacks
+    /// Returns the indexes of the shards whose content differs in `next`.
     pub fn missing_shards(&self, next: &Root) -> Vec<usize> {
         next.shards
             .iter()
@@ -99,7 +102,7 @@
     pub fn adapter(&self, name: &str) -> Option<AdapterRow<'_>> {
         self.shards[shard_index(name, self.shards.len())].find(name)
     }
-    /// the named version of an adapter
+    /// Looks up one version of an adapter.
     pub fn resolve(&self, name: &str, version: VersionNumber) -> Option<ResolvedAdapter> {
         let adapter = self.adapter(name)?;
         let found = adapter.versions.iter().find(|v| v.version == version)?;
--- a/state/src/config/digest.rs
+++ b/state/src/config/digest.rs
@@ -4,14 +4,14 @@
     sha2::{Digest as _, Sha256},
 };
 
-/// digest of a document's canonical form: its fields in the order of their
-/// declaration, without white space, so that layout does not matter
+/// Returns the digest of a document's canonical JSON: fields in declaration order, without
+/// white space.
 pub fn digest_of<T: Serialize>(document: &T) -> Digest {
     let canonical = serde_json::to_vec(document).unwrap_or_default();
     hex::encode(Sha256::digest(&canonical))
 }
 
-/// index of the shard that holds the adapter of that name
+/// Returns the index of the shard that an adapter's name hashes to.
 pub fn shard_index(adapter: &str, shard_count: usize) -> usize {
     let hash = Sha256::digest(adapter.as_bytes());
     let mut head = [0u8; 8];
--- a/state/src/config/errors.rs
+++ b/state/src/config/errors.rs
@@ -3,24 +3,23 @@
     thiserror::Error,
 };
 
-/// why a configuration, or a change of it, was refused
+/// Why a configuration, or a change to it, was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// a value that can't be served
     #[error("{key}: {value} is not allowed, expected {expected}")]
     BadValue {
         key: String,
         value: String,
         expected: String,
     },
-    /// a shard whose content is not the one that the root document names
+    /// The shard's content does not match the digest in the root document.
     #[error("shard {index} has digest {found}, expected {expected}")]
     WrongShard {
         index: usize,
         found: Digest,
         expected: Digest,
     },
-    /// an operator built on a configuration that is no longer the newest
+    /// The change is based on a generation that is no longer current.
     #[error("built on generation {base}, but generation {current} is in force")]
     StaleBase {
         base: Generation,
--- a/state/src/config/mod.rs
+++ b/state/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! the configuration that operators publish: documents, checks, the index
-//! built from them, and the next documents that a change leads to
+//! The configuration that operators publish: its documents and their validation, the index
+//! built from them, and the documents that a change produces.
 
 mod adapter;
 mod change;
--- a/state/src/config/policy.rs
+++ b/state/src/config/policy.rs
@@ -3,23 +3,23 @@
     std::time::Duration,
 };
 
-/// the settings of the whole fleet that operators tune
+/// Fleet-wide scheduling settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// how many tokens of requests whose adapter is loaded may overtake one
-    /// that waits for a load; 0 keeps the order, more fills batches better
+    /// Tokens of requests with a loaded adapter that may overtake a request waiting for a load.
+    /// 0 keeps the queue order; higher values fill batches better.
     pub batch_ahead_tokens: u64,
-    /// places of an engine's batch that a group may not fill beyond its fair
-    /// part while other groups are active, so that those start at once
+    /// Batch slots of an engine that a group may not take beyond its fair share while other
+    /// groups are active, so that their requests start without waiting.
     pub headroom_places: u32,
-    /// shortest time that a loaded adapter keeps its slot, in ms
+    /// Minimum time that a loaded adapter keeps its slot, in ms.
     pub min_residence_ms: u64,
-    /// queued tokens at which a target refuses more
+    /// Queued tokens at which a target rejects further requests.
     pub max_queued_tokens: u64,
-    /// loads that the weight store starts in a second
+    /// Loads per second that the weight store can start.
     pub store_loads_per_second: u32,
-    /// loads that the weight store serves at full speed at once
+    /// Concurrent loads that the weight store serves at full speed.
     pub store_loads_at_once: u32,
 }
 
@@ -37,7 +37,6 @@
 }
 
 impl Policy {
-    /// shortest time that a loaded adapter keeps its slot
     pub fn min_residence(&self) -> Duration {
         Duration::from_millis(self.min_residence_ms)
     }
--- a/state/src/config/root.rs
+++ b/state/src/config/root.rs
@@ -5,7 +5,7 @@
     std::collections::BTreeSet,
 };
 
-/// the small document that names everything else
+/// The root document of the configuration, which references the shards by digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Root {
@@ -17,12 +17,12 @@
     pub services: Vec<Service>,
     #[serde(default)]
     pub policy: Policy,
-    /// digest of each shard of adapters, by the shard's index
+    /// Digests of the adapter shards, by shard index.
     pub shards: Vec<Digest>,
 }
 
 impl Root {
-    /// refuse what can't be served
+    /// Validates the document on its own.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.generation == 0 {
             return Err(ConfigError::bad("generation", "0", "1 or more"));
--- a/state/src/config/service.rs
+++ b/state/src/config/service.rs
@@ -3,13 +3,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// a plain service beside the engines
+/// A plain service, which is not an inference engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     pub name: ServiceName,
-    /// calls that one target takes at once
+    /// Concurrent calls per target.
     pub max_running: u32,
-    /// whether a call without a reserved id may be run again
+    /// Whether a call without a reserved id may be retried.
     pub repeatable: bool,
 }
--- a/state/src/config/shard.rs
+++ b/state/src/config/shard.rs
@@ -4,24 +4,24 @@
     serde::{Deserialize, Serialize},
 };
 
-/// key of the root document at the platform's configuration service
+/// Key of the root document in the platform's configuration service.
 pub const ROOT_KEY: &str = "root";
 
-/// key of a shard's document at the platform's configuration service
+/// Returns the key of a shard's document in the platform's configuration service.
 pub fn shard_key(index: usize) -> String {
     format!("shard/{index}")
 }
 
-/// the adapters whose names hash to one index
+/// The adapters whose names hash to one shard index.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shard {
-    /// in rising order of their name
+    /// In ascending order of their name.
     pub adapters: Vec<Adapter>,
 }
 
 impl Shard {
-    /// refuse adapters that the root document has no place for
+    /// Validates the adapters against the root document.
     pub fn check(&self, index: usize, root: &Root) -> Result<(), ConfigError> {
         let mut previous = "";
         for adapter in &self.adapters {
@@ -63,11 +63,11 @@
             "a known base model",
         ));
     }
-    let rising = adapter
+    let is_ascending = adapter
         .versions
         .windows(2)
         .all(|pair| pair[0].version < pair[1].version);
-    if adapter.versions.is_empty() || !rising {
+    if adapter.versions.is_empty() || !is_ascending {
         return Err(ConfigError::bad(
             key,
             "its versions",
--- a/state/src/config/shard_table.rs
+++ b/state/src/config/shard_table.rs
@@ -3,36 +3,36 @@
     std::collections::BTreeSet,
 };
 
-/// where one adapter's parts end; they begin where the previous one's end
+/// End offsets of one adapter's name and versions; they begin where the previous row's end.
 #[derive(Debug)]
 struct Row {
     name_end: u32,
     versions_end: u32,
-    /// indexes into `words`
+    /// Indexes into `shared_names`.
     group: u16,
     base_model: u16,
 }
 
-/// one adapter of a table
+/// An adapter of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdapterRow<'t> {
     pub name: &'t str,
     pub group: &'t str,
     pub base_model: &'t str,
-    /// in rising order of their number
+    /// In ascending order of their number.
     pub versions: &'t [AdapterVersion],
 }
 
-/// a shard as an entry keeps it: few large blocks in place of many small
-/// strings, since 180,000 adapters must fit a small box
+/// Compact in-memory form of a shard: a few large allocations in place of many small
+/// strings, so that a small box can hold hundreds of thousands of adapters.
 #[derive(Debug, Default)]
 pub struct ShardTable {
-    /// names one behind the other, in rising order
+    /// Concatenated adapter names, in ascending order.
     names: Box<str>,
     rows: Box<[Row]>,
     versions: Box<[AdapterVersion]>,
-    /// names of groups and base models, each once, in rising order
-    words: Box<[Box<str>]>,
+    /// Distinct names of groups and base models, in ascending order.
+    shared_names: Box<[Box<str>]>,
 }
 
 impl ShardTable {
@@ -43,7 +43,7 @@
         self.rows.is_empty()
     }
 
-    /// the adapter of that name
+    /// Looks up an adapter by name.
     pub fn find(&self, name: &str) -> Option<AdapterRow<'_>> {
         let (mut low, mut high) = (0, self.rows.len());
         while low < high {
@@ -57,12 +57,12 @@
         (low < self.rows.len() && self.name(low) == name).then(|| self.row(low))
     }
 
-    /// all adapters, in rising order of their name
+    /// Returns all adapters in ascending order of their name.
     pub fn iter(&self) -> impl Iterator<Item = AdapterRow<'_>> {
         (0..self.rows.len()).map(|index| self.row(index))
     }
 
-    /// the document again, for peers
+    /// Rebuilds the document, to send it to peers.
     pub fn to_shard(&self) -> Shard {
         let adapters = self.iter().map(|row| Adapter {
             name: row.name.to_string(),
@@ -91,24 +91,24 @@
         };
         AdapterRow {
             name: self.name(index),
-            group: &self.words[usize::from(row.group)],
-            base_model: &self.words[usize::from(row.base_model)],
+            group: &self.shared_names[usize::from(row.group)],
+            base_model: &self.shared_names[usize::from(row.base_model)],
             versions: &self.versions[start..row.versions_end as usize],
         }
     }
 }
 
 impl From<&Shard> for ShardTable {
-    /// the shard was checked, so its names are in rising order
+    /// Expects a validated shard, whose names are in ascending order.
     fn from(shard: &Shard) -> Self {
-        let words: BTreeSet<&str> = shard
+        let shared_names: BTreeSet<&str> = shard
             .adapters
             .iter()
             .flat_map(|a| [a.group.as_str(), a.base_model.as_str()])
             .collect();
-        let words: Box<[Box<str>]> = words.into_iter().map(Box::from).collect();
-        let place = |word: &str| {
-            let found = words.binary_search_by(|w| w.as_ref().cmp(word));
+        let shared_names: Box<[Box<str>]> = shared_names.into_iter().map(Box::from).collect();
+        let name_index = |name: &str| {
+            let found = shared_names.binary_search_by(|o| o.as_ref().cmp(name));
             found.unwrap_or_default() as u16
         };
         let mut names = String::new();
@@ -120,15 +120,15 @@
             rows.push(Row {
                 name_end: names.len() as u32,
                 versions_end: versions.len() as u32,
-                group: place(&adapter.group),
-                base_model: place(&adapter.base_model),
+                group: name_index(&adapter.group),
+                base_model: name_index(&adapter.base_model),
             });
         }
         Self {
             names: names.into_boxed_str(),
             rows: rows.into_boxed_slice(),
             versions: versions.into_boxed_slice(),
-            words,
+            shared_names,
         }
     }
 }
--- a/state/src/fleet/fleet_box.rs
+++ b/state/src/fleet/fleet_box.rs
@@ -4,19 +4,19 @@
     std::net::SocketAddr,
 };
 
-/// what a box is for
+/// The role of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// runs `chalkcart`
+    /// Runs the `chalkcart` gateway.
     Entry,
-    /// an engine with a sidecar
+    /// An engine with a sidecar.
     Engine { base_model: BaseModelName },
-    /// a plain service with a sidecar
+    /// A plain service with a sidecar.
     Service { service: ServiceName },
 }
 
-/// what the platform believes of a box
+/// The state of a box as the platform reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxState {
@@ -24,12 +24,12 @@
     Leaving,
 }
 
-/// one row of the platform's list
+/// A box in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FleetBox {
     pub name: BoxName,
     pub zone: ZoneName,
-    /// where the box's chalkcart process listens for its peers
+    /// Address on which the box's chalkcart process accepts its peers.
     pub addr: SocketAddr,
     pub role: Role,
     pub state: BoxState,
--- a/state/src/fleet/mod.rs
+++ b/state/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! what the platform says about the boxes of the fleet
+//! The fleet's boxes as the platform lists them.
 
 mod fleet_box;
 mod fleet_list;
--- a/state/src/ids/aliases.rs
+++ b/state/src/ids/aliases.rs
@@ -1,32 +1,31 @@
-//! aliases for the identifiers that cross module borders
+//! Type aliases of identifiers that several crates use.
 
-/// name of a group (a team that shares the fleet)
+/// Name of a group, a tenant that shares the fleet.
 pub type GroupName = String;
-/// name of a service class, such as `counter` or `overnight`
+/// Name of a service class, such as `counter` or `overnight`.
 pub type ClassName = String;
-/// name of an adapter, unique over all groups
+/// Name of an adapter, unique across all groups.
 pub type AdapterName = String;
-/// number of an adapter's version, counted from 1
+/// Number of an adapter's version, starting at 1.
 pub type VersionNumber = u32;
-/// name of a base model
 pub type BaseModelName = String;
-/// name of a plain service
+/// Name of a plain service.
 pub type ServiceName = String;
-/// name of a box, as the platform lists it
+/// Name of a box, as the platform lists it.
 pub type BoxName = String;
-/// name of an availability zone
+/// Name of an availability zone.
 pub type ZoneName = String;
-/// name of a region, which holds availability zones
+/// Name of a region, which contains availability zones.
 pub type RegionName = String;
-/// number of a configuration; a higher one replaces a lower one
+/// Number of a configuration; a higher one replaces a lower one.
 pub type Generation = u64;
-/// drawn at random when a process starts; never used again
+/// Random identifier of one run of a process.
 pub type Incarnation = u64;
-/// number that an engine compares before it obeys an order
+/// Fencing token: an engine rejects orders with a lower one than it has seen.
 pub type Fence = u64;
-/// identity of one request, unique over the fleet
+/// Identifier of a request, unique across the fleet.
 pub type RequestId = String;
-/// position of a frame in a stream of frames, counted from 0
+/// Position of a frame in its stream, starting at 0.
 pub type Sequence = u64;
-/// lowercase hexadecimal SHA-256
+/// SHA-256 in lowercase hexadecimal.
 pub type Digest = String;
--- a/state/src/ids/mod.rs
+++ b/state/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! identifiers
+//! Identifiers.
 
 mod aliases;
 mod reserved_id;
--- a/state/src/ids/reserved_id.rs
+++ b/state/src/ids/reserved_id.rs
@@ -7,20 +7,20 @@
 const SEPARATOR: char = '.';
 const PARTS: usize = 4;
 
-/// the id of a request that must not be repeated.
+/// Identifier of a request that runs at most once.
 ///
-/// It is bound to one process at one target, so that no other process can
-/// run it, and carries a random part, so that nobody can guess it.
+/// It is bound to one process at one target, so that no other process can run the request,
+/// and contains a random part that cannot be guessed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ReservedId {
     pub target: BoxName,
     pub incarnation: Incarnation,
-    /// counted from 0 within the incarnation
+    /// Sequence number within the incarnation, starting at 0.
     pub number: u64,
     pub secret: u64,
 }
 
-/// a text that is no reserved id
+/// A text that is not a reserved id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is no reserved id, expected TARGET.INCARNATION.NUMBER.SECRET")]
 pub struct ReservedIdError {
@@ -44,7 +44,7 @@
         let err = || ReservedIdError {
             text: text.to_string(),
         };
-        // box names may hold separators themselves, so split from the right
+        // box names may contain the separator
         let parts: Vec<&str> = text.rsplitn(PARTS, SEPARATOR).collect();
         let [secret, number, incarnation, target] = parts[..] else {
             return Err(err());
--- a/state/src/ids/weights_digest.rs
+++ b/state/src/ids/weights_digest.rs
@@ -7,11 +7,11 @@
 
 const BYTES: usize = 32;
 
-/// SHA-256 of an adapter's weights; written as 64 hexadecimal digits
+/// SHA-256 of an adapter's weights, written as 64 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WeightsDigest([u8; BYTES]);
 
-/// a text that is no digest
+/// A text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is no digest, expected 64 hexadecimal digits")]
 pub struct WeightsDigestError {
@@ -19,7 +19,7 @@
 }
 
 impl WeightsDigest {
-    /// the digest of some content
+    /// Hashes the content of a weights file.
     pub fn of(content: &[u8]) -> Self {
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&Sha256::digest(content));
--- a/state/src/ingress/limits.rs
+++ b/state/src/ingress/limits.rs
@@ -3,14 +3,14 @@
     std::time::Duration,
 };
 
-/// bounds of what a client may send and how long it may take
+/// Limits on the size and duration of client requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IngressLimits {
     pub max_header_bytes: usize,
     pub max_body_bytes: usize,
-    /// time to receive a request's head
+    /// Time limit for receiving a request's head.
     pub header_timeout: Duration,
-    /// time that a kept connection may rest
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
--- a/state/src/ingress/mod.rs
+++ b/state/src/ingress/mod.rs
@@ -1,5 +1,4 @@
-//! what the platform's operators publish for the ingress: routes, services
-//! and the bounds of what a client may send
+//! The ingress configuration: routes, services and limits on client requests.
 
 mod limits;
 mod request_digest;
--- a/state/src/ingress/request_digest.rs
+++ b/state/src/ingress/request_digest.rs
@@ -4,28 +4,28 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// 128 bits: among a million requests two different ones meet with a probability of 1e-27
-const BYTES: usize = 16;
+/// 128 bits make a collision among a million requests negligible, at about 1e-27.
+const DIGEST_BYTES: usize = 16;
 
-/// What a request is, whoever tries it and wherever: the same caller that sends the same
-/// body to the same path has the same digest at each process, under any request id.
+/// Digest of a request's method, target, caller and body. Retries of a request have the same
+/// digest in every process, whatever their request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RequestDigest([u8; BYTES]);
+pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// `target` is the path with its query, `caller` the client account, empty where
-    /// requests carry no key
+    /// `target` is the path with its query, `caller` the client account, or empty if requests
+    /// carry no key.
     pub fn of(method: &str, target: &str, caller: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [method.as_bytes(), target.as_bytes(), caller.as_bytes()] {
-            // with its length, so that no part can pass for the end of another
+            // the length prefix keeps the boundaries of the parts unambiguous
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
         hasher.update(body);
-        let whole = hasher.finalize();
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&whole[..BYTES]);
+        let hash = hasher.finalize();
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&hash[..DIGEST_BYTES]);
         Self(bytes)
     }
 }
--- a/state/src/ingress/route.rs
+++ b/state/src/ingress/route.rs
@@ -4,20 +4,20 @@
     std::time::Duration,
 };
 
-/// what a route allows to be done with a request again
+/// Whether and when a route's requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// may run more than once
+    /// May run more than once.
     Safe,
-    /// runs at most once for each client attempt
+    /// Runs at most once per client attempt.
     Unsafe,
-    /// a series of events; at most once, unless it may be resumed
+    /// A stream of events; runs at most once unless it is resumable.
     Stream { resumable: bool },
 }
 
 impl RouteKind {
-    /// whether a request that may have run may be sent again from its start,
-    /// before any part of an answer was passed on
+    /// Whether a request that may have run can be retried from the start, provided that no part
+    /// of a response was forwarded.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Safe => true,
@@ -30,44 +30,45 @@
     }
 }
 
-/// a service that takes a part of a route's requests
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     pub service: ServiceName,
     pub weight: f64,
 }
 
-/// one route of the configuration
+/// A route of the ingress configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     pub name: String,
-    /// begins and ends with a slash
+    /// Starts and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// longest time that a request may be held
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// time within which an answer is worth the most
+    /// Latency objective of a response.
     pub target_latency: Duration,
-    /// 0 is the most urgent
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// engines that one request may run on
+    /// Maximum number of engines that a request is tried on.
     pub max_attempts: u32,
-    /// served without a key
+    /// Whether requests need no API key.
     pub is_public: bool,
     pub services: Vec<WeightedService>,
-    /// where its requests may be served; missing: a build before 5, which reads no such bound
+    /// Regions in which its requests may be served; missing in messages of builds before wire
+    /// version 5, which do not support the restriction.
     #[serde(default)]
     pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
-    /// the service for a request, by a number drawn from 0 to 1
+    /// Picks a service by weight, with `draw` uniform in [0, 1).
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: f64 = self.services.iter().map(|s| s.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for weighted in &self.services {
-            left -= weighted.weight;
-            if left < 0.0 {
+            remaining -= weighted.weight;
+            if remaining < 0.0 {
                 return Some(&weighted.service);
             }
         }
--- a/state/src/ingress/route_table.rs
+++ b/state/src/ingress/route_table.rs
@@ -8,15 +8,15 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// the configuration of the ingress in one version
+/// One generation of the ingress configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
     pub generation: Generation,
     pub limits: IngressLimits,
     pub services: HashMap<ServiceName, Service>,
-    /// none where requests carry no keys
+    /// `None` if requests carry no API keys.
     pub accounts: Option<AccountTable>,
-    /// routes by host, the longest prefix first
+    /// Routes by host, longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
 }
 
@@ -32,14 +32,14 @@
         }
     }
 
-    /// add a route of a host
+    /// Adds a route to a host.
     pub fn add_route(&mut self, host: &str, route: Route) {
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
-        let place = routes.partition_point(|r| r.path_prefix.len() >= route.path_prefix.len());
-        routes.insert(place, Arc::new(route));
+        let position = routes.partition_point(|r| r.path_prefix.len() >= route.path_prefix.len());
+        routes.insert(position, Arc::new(route));
     }
 
-    /// the route with the longest prefix of the path
+    /// Returns the route whose prefix is the longest match for the path.
     pub fn find(&self, host: &str, path: &str) -> Option<Arc<Route>> {
         let host = host_without_port(host).to_ascii_lowercase();
         let routes = self.routes.get(&host)?;
--- a/state/src/ingress/service.rs
+++ b/state/src/ingress/service.rs
@@ -4,40 +4,40 @@
     std::time::Duration,
 };
 
-/// a base model as the operators describe it
+/// A base model as operators describe it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BaseModel {
     pub name: BaseModelName,
     pub weights_mb: f64,
     pub adapter_mb: f64,
-    /// time to load it from the weight store
+    /// Time to load it from the weight store.
     pub load_time: Duration,
-    /// time to load it on an engine that has a copy on its own disk
+    /// Time to load it from the engine's local disk.
     pub reload_time: Duration,
 }
 
-/// what the engines of a service can hold
+/// Capacity of a service's engines.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// requests that run at once
+    /// Concurrent requests.
     pub slots: u32,
     pub adapter_slots: u32,
-    /// room for base models and adapters together
+    /// Memory for base models and adapters together, in MB.
     pub weights_mb: f64,
     pub kv_capacity: u64,
     pub models: Vec<BaseModel>,
 }
 
-/// a group of back ends that serve the same requests
+/// A group of back ends that serve the same requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     pub name: ServiceName,
-    /// at which a back end tells its identity
+    /// Path at which a back end reports its identity.
     pub health_path: String,
-    /// what its engines can hold; none for a plain service
+    /// `None` for a plain service.
     pub engine: Option<EngineSpec>,
-    /// how long a back end is cold after its start
+    /// Duration of a back end's slow start.
     pub cold_start: Duration,
-    /// requests a second that a cold one carries; 0 if it is bounded by nothing
+    /// Requests per second sent to a back end in slow start; 0 for no limit.
     pub cold_per_s: f64,
 }
--- a/state/src/lib.rs
+++ b/state/src/lib.rs
@@ -1,6 +1,6 @@
-//! plain data shared by every layer: ids, the configuration, the fleet.
+//! Data types shared by all crates: identifiers, the configuration and the fleet.
 //!
-//! Nothing here does I/O, reads a clock or takes a decision.
+//! This crate does no I/O, reads no clock and makes no decisions.
 
 pub mod accounts;
 pub mod backends;
--- a/state/src/published/mod.rs
+++ b/state/src/published/mod.rs
@@ -1,4 +1,4 @@
-//! what the platform's store publishes, in the product's own types
+//! Records published in the platform's store, converted to chalkcart's types.
 
 mod record;
 mod snapshot;
--- a/state/src/published/record.rs
+++ b/state/src/published/record.rs
@@ -7,7 +7,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// one thing that was published
+/// A record of the platform's store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     Table(Box<RouteTable>),
@@ -17,12 +17,12 @@
     },
     Backend(Backend),
     BackendGone(BackendName),
-    /// whether operators want the back ends of a zone to be sent nothing
+    /// Whether operators have evacuated a zone, whose back ends then receive no requests.
     Zone {
         zone: ZoneName,
         is_evacuated: bool,
     },
-    /// a record that can't be read, by its key; it may be another writer's
+    /// A record that cannot be parsed; it may belong to another writer.
     Unreadable {
         subject: RecordSubject,
         key: String,
@@ -31,28 +31,28 @@
     },
 }
 
-/// in whose place a record stands that can't be read
+/// The subject of an unreadable record, by its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordSubject {
     Table,
-    /// it names no back end to use, also where it named one before
+    /// The back end must not be used, even if an earlier record of it was readable.
     Backend(BackendName),
     Other,
 }
 
-/// why a record can't be read
+/// Why a record cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnreadableCause {
-    /// what the store says of it has no key, or other types
+    /// The store's item has no key, or fields of unexpected types.
     Item,
-    /// its value is not written as the store writes values
+    /// The value is not encoded as the store encodes values.
     Encoding,
-    /// fields are missing or of another type, or it is no document
+    /// The value is not a document, or fields are missing or of another type.
     Fields,
 }
 
 impl UnreadableCause {
-    /// the word in logs and metrics
+    /// Returns the value used in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::Item => "item",
--- a/state/src/published/snapshot.rs
+++ b/state/src/published/snapshot.rs
@@ -3,16 +3,16 @@
     serde::{Deserialize, Serialize},
 };
 
-/// a part of what is published
+/// A topic of published records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Topic {
-    /// the configuration of the ingress and the versions of adapters
+    /// The ingress configuration and the versions of adapters.
     Configuration,
     Backends,
 }
 
 impl Topic {
-    /// the word in logs and metrics
+    /// Returns the value used in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -21,9 +21,10 @@
     }
 }
 
-/// records of a topic, at a revision of the store
+/// Records of a topic at a revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub records: Vec<Record>,
+    /// Revision of the store.
     pub at: u64,
 }
--- a/state/src/regions/allowed_regions.rs
+++ b/state/src/regions/allowed_regions.rs
@@ -7,15 +7,15 @@
     },
 };
 
-/// The regions in which a request may be served, and what it brings kept.
+/// Regions in which a request may be served and its data stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowedRegions {
-    /// none if each is allowed
+    /// `None` if all regions are allowed.
     only: Option<BTreeSet<RegionName>>,
 }
 
 impl AllowedRegions {
-    /// these alone; a list without a name binds to none of them
+    /// Restricts to the named regions; an empty list means no restriction.
     pub fn restricted_to(names: impl IntoIterator<Item = RegionName>) -> Self {
         let names: BTreeSet<RegionName> = names.into_iter().collect();
         Self {
@@ -23,16 +23,16 @@
         }
     }
 
-    /// what both allow; where they have no region in common, none
+    /// Returns the regions that both allow, which may be none.
     pub fn intersection(&self, other: &Self) -> Self {
         let only = match (&self.only, &other.only) {
-            (Some(own), Some(others)) => Some(own.intersection(others).cloned().collect()),
-            (own, others) => own.clone().or_else(|| others.clone()),
+            (Some(left), Some(right)) => Some(left.intersection(right).cloned().collect()),
+            (left, right) => left.clone().or_else(|| right.clone()),
         };
         Self { only }
     }
 
-    /// whether a region is allowed; one that is not known is not, where not each is
+    /// Whether a region is allowed. An unknown region is allowed only without a restriction.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         let Some(only) = &self.only else {
             return true;
@@ -45,7 +45,7 @@
     }
 }
 
-/// for logs: `any`, `none`, or the names
+/// Writes `any`, `none`, or the names separated by commas, for logs.
 impl Display for AllowedRegions {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let Some(only) = &self.only else {
--- a/state/src/regions/mod.rs
+++ b/state/src/regions/mod.rs
@@ -1,4 +1,4 @@
-//! where requests may be served
+//! Regions in which requests may be served.
 
 mod allowed_regions;
 
--- a/state/tests/accounts.rs
+++ b/state/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! keys and client accounts
+//! API keys and client accounts.
 
 use chalkcart_state::accounts::{
     AccountTable, ApiKeyDigest, ApiKeyError, ClientAccount, LimitUnit, RateLimit, MAX_KEY_BYTES,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_can_be_no_key_is_refused_and_never_repeated() {
+fn invalid_keys_are_rejected_and_errors_do_not_contain_them() {
     let over_long = "k".repeat(MAX_KEY_BYTES + 1);
     let cases = [
         ("", ApiKeyError::Empty),
@@ -22,15 +22,15 @@
         (over_long.as_str(), ApiKeyError::TooLong),
     ];
     for (key, expected) in cases {
-        let refused = ApiKeyDigest::of(key.as_bytes());
-        assert_eq!(refused, Err(expected), "{key}");
+        let rejected = ApiKeyDigest::of(key.as_bytes());
+        assert_eq!(rejected, Err(expected), "{key}");
         assert!(key.is_empty() || !expected.to_string().contains(key));
     }
     assert!(ApiKeyDigest::of("k".repeat(MAX_KEY_BYTES).as_bytes()).is_ok());
 }
 
 #[test]
-fn nothing_that_is_printed_tells_a_key_or_its_digest() {
+fn debug_output_contains_neither_keys_nor_digests() {
     let mut table = AccountTable::default();
     table.add(account("acme"), [digest("secret")]);
     let text = format!("{table:?}");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_key_belongs_to_one_account_in_one_case() {
+fn keys_identify_their_account_and_are_case_sensitive() {
     let mut table = AccountTable::default();
     assert_eq!(table.add(account("acme"), [digest("k1"), digest("k2")]), []);
     for key in ["k1", "k2"] {
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn a_key_that_two_accounts_claim_belongs_to_nobody() {
+fn a_key_listed_by_two_accounts_identifies_neither() {
     let mut table = AccountTable::default();
     table.add(account("acme"), [digest("shared"), digest("own")]);
-    let contested = table.add(account("bolt"), [digest("shared")]);
-    assert_eq!(contested.len(), 1);
+    let duplicates = table.add(account("bolt"), [digest("shared")]);
+    assert_eq!(duplicates.len(), 1);
     table.add(account("core"), [digest("shared")]);
     assert_eq!(table.find(&digest("shared")), None);
     let own = table.find(&digest("own")).expect("an account");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_request_is_charged_by_the_unit_of_its_limit() {
+fn requests_are_charged_in_the_unit_of_their_limit() {
     let limit = |unit| RateLimit {
         unit,
         per_s: 10.0,
@@ -74,7 +74,7 @@
     let tokens = limit(LimitUnit::Tokens { plain: 200 });
     assert_eq!(tokens.charge(1_460, 80), 1_540);
     assert_eq!(tokens.charge(0, 0), 200);
-    let most = u64::from(u32::MAX);
-    assert_eq!(tokens.charge(u32::MAX, u32::MAX), 2 * most, "no overflow");
+    let max = u64::from(u32::MAX);
+    assert_eq!(tokens.charge(u32::MAX, u32::MAX), 2 * max, "no overflow");
     assert_eq!(limit(LimitUnit::Requests).charge(1_460, 80), 1);
 }
--- a/state/tests/configuration.rs
+++ b/state/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! the configuration's documents, their compact form, and their checks
+//! Configuration documents: validation, compact tables and planned changes.
 
 use {
     chalkcart_state::{
@@ -15,7 +15,7 @@
 const SEED: u64 = 3;
 const SHARDS: usize = 4;
 
-/// a shard with an adapter for each byte, of few groups
+/// Builds a shard with an adapter for each byte, spread over a few groups.
 fn shard_of(names: &[u8]) -> Shard {
     let adapters: BTreeMap<String, Adapter> = names
         .iter()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_compact_form_holds_the_same_and_finds_each_adapter() {
+fn shard_tables_round_trip_and_find_each_adapter() {
     fn holds(names: Vec<u8>) -> bool {
         let shard = shard_of(&names);
         let table = ShardTable::from(&shard);
@@ -57,7 +57,7 @@
         .quickcheck(holds as fn(Vec<u8>) -> bool);
 }
 
-fn good() -> (Root, Vec<Shard>) {
+fn valid_documents() -> (Root, Vec<Shard>) {
     let name = "loan-1".to_string();
     let mut shards = vec![Shard::default(); SHARDS];
     shards[shard_index(&name, SHARDS)].adapters.push(Adapter {
@@ -88,16 +88,16 @@
 }
 
 fn configuration() -> Configuration {
-    let (root, shards) = good();
-    Configuration::new(Arc::new(root), shards).expect("is good")
+    let (root, shards) = valid_documents();
+    Configuration::new(Arc::new(root), shards).expect("is valid")
 }
 
 #[test]
-fn bad_documents_are_refused() {
-    type Spoil = fn(&mut Root, &mut Vec<Shard>);
+fn invalid_documents_are_rejected() {
+    type Corrupt = fn(&mut Root, &mut Vec<Shard>);
     let index = shard_index("loan-1", SHARDS);
     assert!(index < SHARDS);
-    let cases: [(&str, Spoil); 8] = [
+    let cases: [(&str, Corrupt); 8] = [
         ("generation", |root, _| root.generation = 0),
         ("share", |root, _| root.groups[0].share = 0),
         ("group twice", |root, _| {
@@ -113,17 +113,17 @@
             shards.pop();
         }),
     ];
-    for (case, spoil) in cases {
-        let (mut root, mut shards) = good();
-        spoil(&mut root, &mut shards);
+    for (case, corrupt) in cases {
+        let (mut root, mut shards) = valid_documents();
+        corrupt(&mut root, &mut shards);
         let built = Configuration::new(Arc::new(root), shards);
         assert!(built.is_err(), "{case}");
     }
 }
 
 #[test]
-fn adapters_out_of_place_or_order_are_refused() {
-    let (mut root, mut shards) = good();
+fn adapters_in_the_wrong_shard_or_order_are_rejected() {
+    let (mut root, mut shards) = valid_documents();
     let index = shard_index("loan-1", SHARDS);
     let moved = shards[index].adapters.remove(0);
     shards[(index + 1) % SHARDS].adapters.push(moved);
@@ -132,17 +132,17 @@
         Configuration::new(Arc::new(root), shards).is_err(),
         "another shard's adapter"
     );
-    let (mut root, mut shards) = good();
+    let (mut root, mut shards) = valid_documents();
     shards[index].adapters[0].versions = vec![version(2), version(1)];
     root.shards = shards.iter().map(digest_of).collect();
     assert!(
         Configuration::new(Arc::new(root), shards).is_err(),
-        "falling versions"
+        "descending versions"
     );
 }
 
 #[test]
-fn a_change_builds_on_the_generation_in_force_only() {
+fn changes_must_be_based_on_the_current_generation() {
     let cfg = configuration();
     let change = Change::AddVersion {
         adapter: "loan-1".to_string(),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn each_change_leads_to_documents_that_stand_their_own_check() {
+fn documents_of_planned_changes_are_valid() {
     let (text, digest) = (|t: &str| t.to_string(), WeightsDigest::of(b"9"));
     let changes = [
         Change::CreateGroup {
@@ -202,7 +202,7 @@
             }
         }
         let root = Arc::new(root.expect("a root"));
-        cfg = cfg.advance(root, changed).expect("is good");
+        cfg = cfg.advance(root, changed).expect("is valid");
     }
     assert_eq!(cfg.generation(), 5);
     assert_eq!(cfg.group("branches").map(|g| g.share), Some(7));
