--- a/protocol/examples/forms_cost.rs
+++ b/protocol/examples/forms_cost.rs
@@ -1,5 +1,5 @@
-//! Bytes and processor time of one message of each kind in three ways of writing it:
-//! positional frames, names, and Protocol Buffers; see docs/design/upgrades.md.
+//! Compares the size and the encoding and decoding time of messages as positional frames, with
+//! field names, and in Protocol Buffers; see docs/design/upgrades.md.
 
 #[path = "../tests/samples/mod.rs"]
 mod samples;
@@ -16,9 +16,9 @@
 
 const ROUNDS: u32 = 200_000;
 
-/// the figures of a view as Protocol Buffers would write them
+/// Engine stats as a Protocol Buffers message.
 #[derive(Clone, PartialEq, Message)]
-struct FiguresMessage {
+struct StatsMessage {
     #[prost(uint64, tag = "1")]
     fence: u64,
     #[prost(uint32, tag = "2")]
@@ -49,60 +49,63 @@
     is_leaving: bool,
 }
 
-fn figures_message(f: &EngineStats) -> FiguresMessage {
-    FiguresMessage {
-        fence: f.fence,
-        next_load_ms: f.next_load_ms,
-        next_return_ms: f.next_return_ms,
-        spare_slots: f.spare_slots,
-        running: f.running,
-        queued: f.queued,
-        reading: f.reading,
-        kv_used: f.kv_used,
-        kv_total: f.kv_total,
-        entries: f.entries,
-        readers: f.readers,
-        age_ms: f.age_ms,
-        is_down: f.is_down,
-        is_leaving: f.is_leaving,
+fn stats_message(stats: &EngineStats) -> StatsMessage {
+    StatsMessage {
+        fence: stats.fence,
+        next_load_ms: stats.next_load_ms,
+        next_return_ms: stats.next_return_ms,
+        spare_slots: stats.spare_slots,
+        running: stats.running,
+        queued: stats.queued,
+        reading: stats.reading,
+        kv_used: stats.kv_used,
+        kv_total: stats.kv_total,
+        entries: stats.entries,
+        readers: stats.readers,
+        age_ms: stats.age_ms,
+        is_down: stats.is_down,
+        is_leaving: stats.is_leaving,
     }
 }
 
-/// ns that a call takes, in the mean
-fn time<T>(call: impl Fn() -> T) -> f64 {
-    let begun = Instant::now();
+/// Returns the mean duration of a call in ns.
+fn mean_ns<T>(call: impl Fn() -> T) -> f64 {
+    let start = Instant::now();
     for _ in 0..ROUNDS {
         black_box(call());
     }
-    begun.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
+    start.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
 }
 
 fn main() {
     println!("message  form  bytes  write_ns  read_ns");
-    let figures = samples::figures(Some(false));
+    let stats = samples::stats(Some(false));
     let updates = [
-        ("figures", ViewUpdate::Figures(figures)),
+        ("figures", ViewUpdate::Figures(stats)),
         ("changed", samples::changed(Some(false))),
         ("whole", ViewUpdate::Whole(samples::view(Some(false)))),
     ];
     for (name, update) in &updates {
-        for (form, word) in samples::FORMS {
-            let frame = encode_frame(update, form).expect("encodes");
+        for (encoding, encoding_name) in samples::ENCODINGS {
+            let frame = encode_frame(update, encoding).expect("encodes");
             let body = frame.slice(FRAME_HEAD..);
-            let write = time(|| encode_frame(update, form));
-            let read = time(|| decode::<ViewUpdate>(&body));
-            println!("{name}  {word}  {}  {write:.0}  {read:.0}", frame.len());
+            let write = mean_ns(|| encode_frame(update, encoding));
+            let read = mean_ns(|| decode::<ViewUpdate>(&body));
+            println!(
+                "{name}  {encoding_name}  {}  {write:.0}  {read:.0}",
+                frame.len()
+            );
         }
     }
-    let message = figures_message(&figures);
+    let message = stats_message(&stats);
     let bytes = message.encode_to_vec();
-    let write = time(|| figures_message(&figures).encode_to_vec());
-    let read = time(|| FiguresMessage::decode(bytes.as_slice()));
+    let write = mean_ns(|| stats_message(&stats).encode_to_vec());
+    let read = mean_ns(|| StatsMessage::decode(bytes.as_slice()));
     let length = bytes.len() + FRAME_HEAD;
     println!("figures  protocol_buffers  {length}  {write:.0}  {read:.0}");
     let demand = samples::demand();
     let bytes = chalkcart_protocol::encode(&demand).expect("encodes");
-    let write = time(|| chalkcart_protocol::encode(&demand));
-    let read = time(|| decode::<chalkcart_protocol::peer::AdapterDemand>(&bytes));
+    let write = mean_ns(|| chalkcart_protocol::encode(&demand));
+    let read = mean_ns(|| decode::<chalkcart_protocol::peer::AdapterDemand>(&bytes));
     println!("demand  named  {}  {write:.0}  {read:.0}", bytes.len());
 }
--- a/protocol/examples/generate.rs
+++ b/protocol/examples/generate.rs
@@ -1,5 +1,4 @@
-//! writes the code generated from the schema:
-//! `cargo run -p chalkcart-protocol --example generate`
+//! Generates the code of the schema: `cargo run -p chalkcart-protocol --example generate`
 
 use {
     anyhow::Result,
@@ -11,12 +10,12 @@
     generate(&generated_folder())
 }
 
-/// where the generated code is committed
+/// Returns the folder of the committed generated code.
 pub fn generated_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src/gen")
 }
 
-/// write the generated code into a folder
+/// Generates the code into a folder.
 pub fn generate(out: &Path) -> Result<()> {
     let proto = Path::new(env!("CARGO_MANIFEST_DIR")).join("proto");
     let schema = proto.join("chalkcart/v1/chalkcart.proto");
--- a/protocol/examples/record_messages.rs
+++ b/protocol/examples/record_messages.rs
@@ -1,5 +1,4 @@
-//! Writes the bytes of one message of each kind, as this build encodes it, to standard
-//! output; see docs/design/upgrades.md.
+//! Prints the encoded sample messages of this build; see docs/design/upgrades.md.
 
 #[path = "../tests/samples/mod.rs"]
 mod samples;
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,14 +1,14 @@
-//! what chalkcart's processes say: the RPCs of callers and operators,
-//! and the messages between entry boxes and sidecars.
+//! Protocols of chalkcart: the gRPC services for callers and operators, and the messages
+//! between entries and sidecars.
 //!
-//! `gen/` holds the code generated from `proto/`; `examples/generate.rs`
-//! writes it and a test compares it.
+//! `gen/` holds the code that `examples/generate.rs` generates from `proto/`; a test checks that
+//! it is current.
 
 pub mod peer;
 pub mod status;
 pub mod wire;
 
-/// code generated from the schema file
+/// Code generated from the schema.
 #[allow(clippy::all, missing_docs)]
 #[rustfmt::skip]
 pub mod v1 {
--- a/protocol/src/peer/admission.rs
+++ b/protocol/src/peer/admission.rs
@@ -3,45 +3,45 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What an entry has heard of the requests that an engine takes, and how many it would send
-/// there now. Since 5: a sidecar that lacks the path deals out nothing.
+/// An entry's report of an engine's advertised limit and of the requests that it has queued for
+/// that engine. Added in wire version 5; a sidecar of an older build issues no permits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionReport {
     pub entry: BoxName,
-    /// the life of the engine that it speaks of
+    /// The engine's incarnation.
     pub backend: BackendId,
-    /// the limit that an answer to this entry named last
+    /// The limit in the engine's latest response to this entry.
     pub named: Option<ObservedLimit>,
-    /// time since an answer that named none any more, in ms
+    /// Time since a response without a limit, in ms.
     pub freed_ago_ms: Option<u32>,
-    /// requests that wait for this engine
+    /// Requests that wait for this engine.
     pub wanted: u32,
-    /// of the most urgent of them; 0 is the most urgent
+    /// Priority of the most urgent of them; 0 is the most urgent.
     pub priority: u8,
-    /// permits that it was given before and will not use
+    /// Permits issued earlier that the entry will not use.
     pub unused: u32,
 }
 
-/// a limit that an answer named
+/// A rate limit that an engine advertised in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedLimit {
-    /// thousandths of requests a second
+    /// Thousandths of requests per second.
     pub milli_per_s: u32,
-    /// time since the answer came, in ms
+    /// Time since the response, in ms.
     pub ago_ms: u32,
 }
 
-/// the sidecar's answer
+/// The permits that a sidecar issues to an entry, and the limit in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionResponse {
-    /// the life of the engine that it speaks of; what it says holds for no other
+    /// The engine's incarnation; the response applies to no other.
     pub backend: BackendId,
-    /// the limit in force, in thousandths of requests a second; none if there is none
+    /// The limit in force, in thousandths of requests per second; `None` without a limit.
     pub limit_milli_per_s: Option<u32>,
-    /// time since the engine was last heard to name none any more, in ms
+    /// Time since the engine last responded without a limit, in ms.
     pub freed_ago_ms: Option<u32>,
-    /// requests that this entry may send there now
+    /// Requests that this entry may send now.
     pub granted: u32,
-    /// time until the next turn of this entry, in ms, as it stands now
+    /// Estimated time until this entry's next permit, in ms.
     pub next_ms: u32,
 }
--- a/protocol/src/peer/cancel.rs
+++ b/protocol/src/peer/cancel.rs
@@ -4,13 +4,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// stops a request
+/// Cancels a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelOrder {
     pub request: RequestId,
 }
 
-/// what is known of the stopped request
+/// Outcome of the cancelled request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelAnswer {
     pub outcome: Outcome,
--- a/protocol/src/peer/crashes.rs
+++ b/protocol/src/peer/crashes.rs
@@ -6,43 +6,43 @@
     serde::{Deserialize, Serialize},
 };
 
-/// what is known of a request that was under an engine's end
+/// Event of a request that was running when an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     pub digest: RequestDigest,
     pub event: CrashEvent,
-    /// time since it happened, in ms
+    /// Time since the event, in ms.
     pub age_ms: u64,
 }
 
-/// what happened to a request
+/// What happened to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashEvent {
-    /// an engine ended under it; a hash tells one life of an engine from another
+    /// An engine ended while it ran the request; `life` is a hash of the engine's incarnation.
     Ended { life: u64 },
-    /// an engine ran it to its end
+    /// An engine completed the request.
     Served,
 }
 
-/// an entry tells a keeper what it has learnt, and asks for what others have
+/// Sends an entry's reports to the aggregator and requests those of other entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRequest {
     pub entry: BoxName,
-    /// up to where the entry has heard the keeper; none before its first answer
+    /// Position up to which the entry has received reports; `None` before the first response.
     pub heard: Option<CrashCursor>,
     pub words: Vec<CrashReport>,
-    /// how long the keeper may wait for something newer, in ms
+    /// How long the aggregator may hold the request until it has newer reports, in ms.
     pub wait_ms: u64,
 }
 
-/// a place in what a keeper has to say, within one life of it
+/// Position in an aggregator's sequence of reports, valid for one incarnation of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashCursor {
     pub keeper: Incarnation,
     pub revision: u64,
 }
 
-/// what the keeper knows beyond the entry's mark
+/// The reports after the position that the entry gave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashResponse {
     pub mark: CrashCursor,
--- a/protocol/src/peer/frame.rs
+++ b/protocol/src/peer/frame.rs
@@ -4,27 +4,27 @@
     serde::{Deserialize, Serialize},
 };
 
-/// content of a numbered frame
+/// Content of a numbered frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FrameBody {
     Token(String),
-    /// the whole answer of a plain service
+    /// The complete response of a plain service.
     Body(Vec<u8>),
-    /// the end of a whole stream of tokens, with what the engine ran
+    /// End of a complete token stream, with the adapter version that generated it.
     Finished {
         adapter: AdapterName,
         version: VersionNumber,
     },
-    /// the end of a stream that is not whole
+    /// End of an incomplete stream.
     Refused(Refusal),
 }
 
 impl FrameBody {
-    /// nothing follows it
+    /// Whether this frame ends its stream.
     pub fn is_last(&self) -> bool {
         !matches!(self, Self::Token(_))
     }
-    /// memory that it holds, roughly
+    /// Returns the approximate size of the content in memory.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Token(text) => text.len(),
@@ -34,10 +34,10 @@
     }
 }
 
-/// what flows from a sidecar to an entry for one request
+/// A frame of the stream that a sidecar sends to an entry for one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// the target lives, and this is its state; not numbered
+    /// State of the target, also sent to keep the stream alive; not numbered.
     Report(TargetReport),
     Numbered {
         sequence: Sequence,
--- a/protocol/src/peer/mod.rs
+++ b/protocol/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! messages between chalkcart's own processes
+//! Messages between entries and sidecars.
 
 mod admission;
 mod cancel;
@@ -15,7 +15,7 @@
 mod usage;
 mod work;
 
-/// paths at which the messages are posted
+/// HTTP paths to which the messages are posted.
 pub mod path {
     pub const RUN: &str = "/peer/run";
     pub const RESUME: &str = "/peer/resume";
--- a/protocol/src/peer/permit.rs
+++ b/protocol/src/peer/permit.rs
@@ -4,26 +4,26 @@
     std::time::Duration,
 };
 
-/// whether a permit is wanted or given back
+/// Whether a permit is requested or returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitPurpose {
     Ask,
     Return,
 }
 
-/// asks for the permit to load one adapter from the weight store
+/// Requests the permit to load an adapter from the weight store, or returns it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     pub purpose: PermitPurpose,
     pub target: BoxName,
     pub adapter: AdapterName,
-    /// of the most urgent request that waits; 0 is the most urgent
+    /// Priority of the most urgent waiting request; 0 is the most urgent.
     pub priority: u8,
-    /// how long that request has waited
+    /// How long that request has waited.
     pub waited: Duration,
 }
 
-/// a permit with a lease, or when to ask again
+/// A leased permit, or the delay before the next attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitResponse {
     Granted { lease: Duration },
--- a/protocol/src/peer/placement.rs
+++ b/protocol/src/peer/placement.rs
@@ -10,72 +10,71 @@
     std::fmt,
 };
 
-/// an adapter that requests wait for at an entry
+/// An adapter that requests at an entry are waiting for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WantedAdapter {
     pub adapter: AdapterRef,
-    /// requests that wait
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// of the most urgent of them; 0 is the most urgent
+    /// Priority of the most urgent of them; 0 is the most urgent.
     pub priority: u8,
-    /// how long the first has waited
+    /// How long the oldest has waited, in ms.
     pub waited_ms: u32,
 }
 
-/// requests of an entry that run on an adapter
+/// Requests of an entry that run on an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterUse {
     pub adapter: AdapterRef,
-    /// requests sent and not ended
+    /// Requests sent and not completed.
     pub in_flight: u32,
 }
 
-/// what an engine may hold, by the configuration
+/// Configured capacity of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCapacity {
     pub adapter_slots: u32,
-    /// room for base models and adapters together
+    /// Memory for base models and adapters together, in MB.
     pub weights_mb: f64,
     pub models: Vec<ModelSize>,
 }
 
-/// sizes of a base model and of one of its adapters
+/// Sizes of a base model and of one of its adapters.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelSize {
     pub model: BaseModelName,
     pub weights_mb: f64,
     pub adapter_mb: f64,
-    /// time to bring the model back to an engine that held it, in ms
+    /// Time to reload the model on an engine that held it before, in ms.
     pub reload_ms: u32,
 }
 
-/// what an entry needs of one engine; replaces what it said before
+/// An entry's demand on one engine; replaces the previous one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AdapterDemand {
-    /// who says it: an entry, or a relay for several
+    /// The sender: an entry, or a relay for several entries.
     pub entry: BoxName,
-    /// entries for which it speaks
+    /// Number of entries that it represents.
     pub entries: u32,
-    /// the incarnation of the engine that the entry knows
+    /// The engine's incarnation as the entry knows it.
     pub backend: BackendId,
-    /// version of the list in which it stands
+    /// Version of the back end list that contains the engine.
     pub list_version: u64,
-    /// the highest fence that this entry has heard of at the engine's address;
-    /// it outlives the sidecar's process
+    /// Highest fence that the entry has seen at the engine's address. A restarted sidecar learns
+    /// it from here.
     pub fence_seen: u64,
-    /// at which the engine tells its identity
+    /// Path at which the engine reports its identity.
     pub health_path: String,
     pub room: EngineCapacity,
     pub wanted: Vec<WantedAdapter>,
-    /// adapters in use, and those used since the last message (with 0)
+    /// Adapters in use, and with 0 requests those used since the previous message.
     pub used: Vec<AdapterUse>,
-    /// adapters of the engine that have a newer version
+    /// Adapters loaded on the engine of which a newer version exists.
     pub outdated: Vec<HeldAdapter>,
 }
 
 impl AdapterDemand {
-    /// whether another message asks for the same of the same incarnation; a
-    /// newer version of the list alone is no news
+    /// Whether two demands differ in nothing but the version of the list and the sender.
     pub fn is_equivalent_to(&self, other: &Self) -> bool {
         self.backend == other.backend
             && self.entries == other.entries
@@ -88,25 +87,25 @@
     }
 }
 
-/// what a sidecar says of its engine
+/// A sidecar's view of its engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineView {
-    /// the incarnation it speaks of, empty while not known
+    /// The engine's incarnation; empty while unknown.
     pub backend: BackendId,
-    /// base models that are there
+    /// Loaded base models.
     pub models: Vec<BaseModelName>,
-    /// adapters that requests may be sent to
+    /// Loaded adapters, to which requests may be sent.
     pub held: Vec<HeldAdapter>,
-    /// adapters on their way
+    /// Adapters being loaded.
     pub loading: Vec<AdapterRef>,
-    /// hashes of adapters that it has held and can bring back at once; only a
-    /// whole message brings them, later ones are those that leave
+    /// Hashes of recently held adapters, which reload from the host cache. Only full views list
+    /// them; receivers add the adapters that later updates remove.
     pub lately: Vec<u64>,
     pub figures: EngineStats,
 }
 
 impl EngineView {
-    /// whether another view differs in more than figures
+    /// Whether another view differs in more than its stats.
     pub fn differs_beyond_stats(&self, other: &Self) -> bool {
         self.backend != other.backend
             || self.models != other.models
@@ -114,7 +113,8 @@
             || self.loading != other.loading
     }
 
-    /// whether entries should hear this view at once, when `before` was the last
+    /// Whether entries should receive this view immediately after `before`, rather than with
+    /// the next periodic update.
     pub fn is_urgent_after(&self, before: &Self) -> bool {
         let had_spare = before.figures.spare_slots > 0;
         let has_spare = self.figures.spare_slots > 0;
@@ -123,8 +123,8 @@
             || self.figures.differs_in_availability(&before.figures)
     }
 
-    /// the same where a relay gathers views: adapters on their way and places can
-    /// wait for its next message
+    /// Like [`Self::is_urgent_after`] for a view that a relay forwards: adapters being loaded
+    /// and spare slots can wait for the relay's next periodic update.
     pub fn is_urgent_for_relay_after(&self, before: &Self) -> bool {
         self.backend != before.backend
             || self.models != before.models
@@ -133,48 +133,47 @@
     }
 }
 
-/// the figures of a view, which change more often than the rest
+/// Stats of an engine, which change more often than the rest of its view.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "WrittenFigures", into = "WrittenFigures")]
 pub struct EngineStats {
-    /// of the orders that the sidecar gives
+    /// Fence of the sidecar's orders.
     pub fence: u64,
-    /// time until an adapter that is wanted now would be there, in ms
+    /// Expected time to load an adapter requested now, in ms.
     pub next_load_ms: u32,
-    /// the same for one that the engine has held lately, in ms
+    /// Expected time to reload a recently held adapter, in ms.
     pub next_return_ms: u32,
-    /// places that are empty or whose adapter nobody uses
+    /// Slots that are empty or hold an unused adapter.
     pub spare_slots: u32,
     pub running: u32,
     pub queued: u32,
-    /// of both, those whose prompts were not read to the end
+    /// Running and queued requests whose prefill is not complete.
     pub reading: u32,
     pub kv_used: u64,
     pub kv_total: u64,
-    /// entries that this sidecar hears, of itself or by relays
+    /// Entries that report to this sidecar, directly or through relays.
     pub entries: u32,
-    /// who reads views of this sidecar: relays, and entries without one
+    /// Direct readers of this sidecar's views: relays, and entries without a relay.
     pub readers: u32,
-    /// time since the sidecar said so, in ms, as counted by relays
+    /// Time since the sidecar reported these stats, in ms, as counted by relays.
     pub age_ms: u32,
-    /// nobody listens at the engine's address on its own machine: the life that the view
-    /// speaks of is over; none if the sidecar does not say, which proves neither
+    /// Whether connections to the engine are refused on its own machine, so that the view's
+    /// incarnation has ended; `None` if the sidecar does not report it.
     pub is_down: Option<bool>,
-    /// the engine has told its sidecar that it leaves; false if it has not, or if the
-    /// sidecar does not say: its record and its answers to entries tell it then
+    /// Whether the engine has told its sidecar that it is draining. Also false if the sidecar
+    /// does not report it; entries then learn it from the engine's record and responses.
     pub is_leaving: bool,
-    /// Thousandths of requests a second that the engine says it takes from all entries
-    /// together; none if it names no limit, or if the sidecar does not say: answers to
-    /// entries tell it then
+    /// Limit that the engine advertises for all entries together, in thousandths of requests
+    /// per second. `None` without a limit, or if the sidecar does not report it; entries then
+    /// learn it from the engine's responses.
     pub limit_milli_per_s: Option<u32>,
-    /// how much longer the engine is cold by its own word, in ms, or the longest time that
-    /// can be said (65 s); 0 if it has not said so,
-    /// or if the sidecar does not say: its record tells it then
+    /// Remaining duration of the engine's slow start, in ms, at most 65 s. 0 if the engine or
+    /// its sidecar does not report it; entries then learn it from the engine's record.
     pub cold_left_ms: u16,
 }
 
 impl EngineStats {
-    /// whether the engine's end, or how much it takes, is news since these figures
+    /// Whether the engine's liveness, draining, limit or slow start has changed.
     pub fn differs_in_availability(&self, before: &Self) -> bool {
         self.is_down != before.is_down
             || self.is_leaving != before.is_leaving
@@ -183,8 +182,8 @@
     }
 }
 
-/// The figures as they are written. What stands behind `age_ms` came later, and has a
-/// meaning where it is missing.
+/// Encoded form of [`EngineStats`]. The fields after `age_ms` were added in later wire versions
+/// and have a defined meaning when missing.
 #[derive(Serialize, Deserialize)]
 struct WrittenFigures {
     fence: u64,
@@ -199,93 +198,93 @@
     entries: u32,
     readers: u32,
     age_ms: u32,
-    /// since 3, where it is always written; missing: not known
+    /// Since wire version 3, which always writes it; missing if unknown.
     #[serde(default)]
     is_down: Option<bool>,
-    /// since 4; `is_down` was not said by the sidecar and proves nothing. Missing: it was
+    /// Since wire version 4: `is_down` is unknown and must be ignored. Missing if it is known.
     #[serde(default)]
     is_down_unknown: bool,
-    /// since 4; missing: not said
+    /// Since wire version 4; missing if not reported.
     #[serde(default)]
     is_leaving: bool,
-    /// since 5; missing: not said
+    /// Since wire version 5; missing if not reported.
     #[serde(default)]
     limit_milli_per_s: Option<u32>,
-    /// since 5; missing: not said
+    /// Since wire version 5; missing if not reported.
     #[serde(default)]
     cold_left_ms: u16,
 }
 
 impl From<WrittenFigures> for EngineStats {
-    fn from(w: WrittenFigures) -> Self {
+    fn from(written: WrittenFigures) -> Self {
         Self {
-            fence: w.fence,
-            next_load_ms: w.next_load_ms,
-            next_return_ms: w.next_return_ms,
-            spare_slots: w.spare_slots,
-            running: w.running,
-            queued: w.queued,
-            reading: w.reading,
-            kv_used: w.kv_used,
-            kv_total: w.kv_total,
-            entries: w.entries,
-            readers: w.readers,
-            age_ms: w.age_ms,
-            is_down: w.is_down.filter(|_| !w.is_down_unknown),
-            is_leaving: w.is_leaving,
-            limit_milli_per_s: w.limit_milli_per_s,
-            cold_left_ms: w.cold_left_ms,
+            fence: written.fence,
+            next_load_ms: written.next_load_ms,
+            next_return_ms: written.next_return_ms,
+            spare_slots: written.spare_slots,
+            running: written.running,
+            queued: written.queued,
+            reading: written.reading,
+            kv_used: written.kv_used,
+            kv_total: written.kv_total,
+            entries: written.entries,
+            readers: written.readers,
+            age_ms: written.age_ms,
+            is_down: written.is_down.filter(|_| !written.is_down_unknown),
+            is_leaving: written.is_leaving,
+            limit_milli_per_s: written.limit_milli_per_s,
+            cold_left_ms: written.cold_left_ms,
         }
     }
 }
 
 impl From<EngineStats> for WrittenFigures {
-    fn from(f: EngineStats) -> Self {
+    fn from(stats: EngineStats) -> Self {
         Self {
-            fence: f.fence,
-            next_load_ms: f.next_load_ms,
-            next_return_ms: f.next_return_ms,
-            spare_slots: f.spare_slots,
-            running: f.running,
-            queued: f.queued,
-            reading: f.reading,
-            kv_used: f.kv_used,
-            kv_total: f.kv_total,
-            entries: f.entries,
-            readers: f.readers,
-            age_ms: f.age_ms,
-            // 3 can read nothing but a yes or no here
-            is_down: Some(f.is_down.unwrap_or(false)),
-            is_down_unknown: f.is_down.is_none(),
-            is_leaving: f.is_leaving,
-            limit_milli_per_s: f.limit_milli_per_s,
-            cold_left_ms: f.cold_left_ms,
+            fence: stats.fence,
+            next_load_ms: stats.next_load_ms,
+            next_return_ms: stats.next_return_ms,
+            spare_slots: stats.spare_slots,
+            running: stats.running,
+            queued: stats.queued,
+            reading: stats.reading,
+            kv_used: stats.kv_used,
+            kv_total: stats.kv_total,
+            entries: stats.entries,
+            readers: stats.readers,
+            age_ms: stats.age_ms,
+            // wire version 3 requires a boolean
+            is_down: Some(stats.is_down.unwrap_or(false)),
+            is_down_unknown: stats.is_down.is_none(),
+            is_leaving: stats.is_leaving,
+            limit_milli_per_s: stats.limit_milli_per_s,
+            cold_left_ms: stats.cold_left_ms,
         }
     }
 }
 
-/// what has changed in a view since the message before
+/// Changes of a view since the previous message.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewChange {
-    /// adapters that came, or that are there in another version
+    /// Adapters loaded since, or replaced by another version.
     pub came: Vec<HeldAdapter>,
     pub left: Vec<AdapterRef>,
     pub loading: Vec<AdapterRef>,
     pub figures: EngineStats,
 }
 
-/// One message of a stream of views.
+/// A message of a view stream.
 ///
-/// A variant that comes later has a payload, and goes only to peers that know it: to others
-/// it is `Unknown`, which changes nothing.
+/// Variants added later must have a payload, and are sent only to peers whose wire version has
+/// them. Other builds decode them as `Unknown`, which changes nothing.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum ViewUpdate {
     Whole(EngineView),
-    /// the same incarnation with the same base models holds other adapters
+    /// The adapters changed, on the same incarnation with the same base models.
     Changed(ViewChange),
-    /// nothing but the figures has changed
+    /// Only the stats changed.
     Figures(EngineStats),
-    /// of a later build, passed over
+    /// Variant of a later build, which is ignored.
     #[serde(skip)]
     Unknown,
 }
@@ -313,7 +312,7 @@
     type Value = ViewUpdate;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a message of a stream of views")
+        f.write_str("a message of a view stream")
     }
     fn visit_enum<A: EnumAccess<'de>>(self, data: A) -> Result<ViewUpdate, A::Error> {
         let (name, content) = data.variant::<ViewUpdateName>()?;
@@ -330,7 +329,7 @@
 }
 
 impl ViewUpdate {
-    /// the smallest message that makes `after` of `before`
+    /// Returns the smallest message that turns `before` into `after`.
     pub fn between(before: &EngineView, after: &EngineView) -> Self {
         if before.backend != after.backend || before.models != after.models {
             return Self::Whole(after.clone());
@@ -351,18 +350,18 @@
 }
 
 impl EngineView {
-    /// take in the next message of the stream
+    /// Applies the next message of the stream.
     pub fn apply(&mut self, update: ViewUpdate) {
         match update {
             ViewUpdate::Whole(view) => *self = view,
             ViewUpdate::Figures(figures) => self.figures = figures,
             ViewUpdate::Unknown => {}
             ViewUpdate::Changed(change) => {
-                let is_known = |h: &HeldAdapter| {
+                let is_unchanged = |h: &HeldAdapter| {
                     !change.left.contains(&h.adapter)
                         && !change.came.iter().any(|c| c.adapter == h.adapter)
                 };
-                self.held.retain(is_known);
+                self.held.retain(is_unchanged);
                 self.held.extend(change.came);
                 self.held.sort_by(|a, b| a.adapter.cmp(&b.adapter));
                 self.loading = change.loading;
--- a/protocol/src/peer/published.rs
+++ b/protocol/src/peer/published.rs
@@ -3,28 +3,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// an entry asks its relay what the platform's store publishes
+/// Requests the records of the platform's store from a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedRequest {
     pub topic: Topic,
-    /// revision up to which the entry knows the topic; none to hear all of it
+    /// Store revision that the entry has; `None` to request all records.
     pub after: Option<u64>,
-    /// how long the relay may wait for something newer, in ms
+    /// How long the relay may hold the request until there is a newer revision, in ms.
     pub wait_ms: u64,
 }
 
-/// the relay's answer; revisions are those of the store
+/// A relay's response; revisions are those of the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PublishedResponse {
-    /// what is newer, or all of it if all was asked for
+    /// The newer records, or all records if all were requested.
     Records {
         snapshot: Snapshot,
-        /// when the store knew nothing newer, after the relay received the question,
-        /// or before it if negative, in ms
+        /// Time at which the store had nothing newer, in ms relative to the relay's receipt of
+        /// the request; negative if before it.
         current_ms: i64,
     },
-    /// the relay has forgotten what was changed since: all must be asked for
+    /// The relay no longer has the changes since; all records must be requested.
     HistoryLost,
-    /// the relay has not heard the store lately enough to speak for it
+    /// The relay's own copy is too old.
     Stale,
 }
--- a/protocol/src/peer/refusal.rs
+++ b/protocol/src/peer/refusal.rs
@@ -4,17 +4,17 @@
     thiserror::Error,
 };
 
-/// what is known of a request that gave no whole answer
+/// Whether a request without a complete response ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// it did not run, and no copy of it will
+    /// It did not run, and no copy of it will run.
     NotRun,
     MayHaveRun,
-    /// it ran to its end
+    /// It ran to completion.
     Ran,
 }
 
-/// where on its way a request failed
+/// The step at which a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
     Admission,
@@ -28,7 +28,7 @@
     Stream,
 }
 
-/// why a request failed
+/// Why a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
     BadRequest,
@@ -37,30 +37,30 @@
     Leaving,
     DeadlinePassed,
     Cancelled,
-    /// a reserved id that was never given, or not for this work
+    /// The reserved id was never issued, or not for this request.
     UnknownId,
-    /// a reserved id whose time is over
+    /// The reserved id has expired.
     ExpiredId,
-    /// a reserved id older than what the target still remembers
+    /// The reserved id is older than those that the target still tracks.
     ForgottenId,
-    /// a reserved id of an earlier process at this target
+    /// The reserved id was issued by an earlier process of this target.
     EarlierIncarnation,
-    /// a newer sidecar drives the target
+    /// A newer sidecar controls the target.
     Superseded,
-    /// the engine or service can't be reached
+    /// The engine or service is unreachable.
     Unreachable,
     LoadFailed,
-    /// the engine ran something else than what was asked
+    /// The engine ran a different adapter version than requested.
     WrongVersion,
     EngineFailed,
-    /// contact was lost while the request may have been running
+    /// The connection was lost while the request may have been running.
     Lost,
-    /// the answer was given once and is no longer held
+    /// The response was already delivered and is no longer stored.
     AnswerGone,
 }
 
 impl Reason {
-    /// upper-case name, as it stands in the details of a gRPC status
+    /// Returns the upper-case name used in the details of a gRPC status.
     pub fn code(self) -> &'static str {
         match self {
             Self::BadRequest => "BAD_REQUEST",
@@ -84,17 +84,17 @@
     }
 }
 
-/// the final word on a request that gave no whole answer
+/// Final result of a request without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[error("{outcome} at {step} by {peer}: {reason:?} {detail}")]
 pub struct Refusal {
     pub outcome: Outcome,
     pub step: Step,
-    /// the box at which it arose
+    /// The box on which it occurred.
     pub peer: String,
     pub reason: Reason,
     pub detail: String,
-    /// when to come back, where that helps
+    /// Delay before a retry, where one may succeed.
     pub retry_after: Option<Duration>,
 }
 
--- a/protocol/src/peer/relay.rs
+++ b/protocol/src/peer/relay.rs
@@ -8,52 +8,51 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// an entry asks a relay for the views of the engines that it follows
+/// Requests the views of the engines that an entry watches from a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayRequest {
     pub entry: BoxName,
 }
 
-/// what an entry needs of engines, told to a relay; engines that are not named
-/// are needed as before
+/// An entry's demands, sent to a relay; the demands on other engines are unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayDemands {
     pub entry: BoxName,
-    /// this replaces all that the entry said before
+    /// Whether this replaces all earlier demands of the entry.
     pub is_whole: bool,
     pub engines: Vec<EngineDemand>,
 }
 
-/// what an entry needs of one engine
+/// An entry's demand on one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineDemand {
     pub engine: SocketAddr,
-    /// none if the entry no longer follows the engine
+    /// `None` if the entry no longer watches the engine.
     pub demand: Option<AdapterDemand>,
 }
 
-/// one message of a relay's stream; without news it is a sign of life
+/// A message of a relay's stream; empty ones are keep-alives.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayUpdate {
     pub news: Vec<EngineUpdate>,
 }
 
-/// what a relay has heard of one engine
+/// A relay's update on one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineUpdate {
     pub engine: SocketAddr,
-    /// time since the relay heard it, in ms
+    /// Time since the relay received it, in ms.
     pub age_ms: u32,
     pub word: EngineViewState,
 }
 
-/// The word of an engine's sidecar, or that it is silent; for variants that come later
-/// holds what [`ViewUpdate`] says.
+/// A view update from an engine's sidecar, or that the sidecar is unresponsive. Later variants
+/// follow the rule of [`ViewUpdate`].
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum EngineViewState {
     View(ViewUpdate),
     Silent,
-    /// of a later build, passed over
+    /// Variant of a later build, which is ignored.
     #[serde(skip)]
     Unknown,
 }
@@ -80,7 +79,7 @@
     type Value = EngineViewState;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("the word of an engine's sidecar")
+        f.write_str("the view state of an engine")
     }
     fn visit_enum<A: EnumAccess<'de>>(self, data: A) -> Result<EngineViewState, A::Error> {
         let (name, content) = data.variant::<EngineViewStateName>()?;
--- a/protocol/src/peer/reserve.rs
+++ b/protocol/src/peer/reserve.rs
@@ -5,13 +5,13 @@
     std::time::Duration,
 };
 
-/// asks a target for ids
+/// Requests reserved ids from a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveOrder {
     pub count: u32,
 }
 
-/// the ids, or why there are none
+/// The reserved ids, or the reason for their refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveAnswer {
     Reserved {
--- a/protocol/src/peer/sync.rs
+++ b/protocol/src/peer/sync.rs
@@ -7,18 +7,18 @@
     serde::{Deserialize, Serialize},
 };
 
-/// asks a peer for what it knows and the asker does not
+/// Requests the root document and the fleet list from a peer if its versions are newer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     pub from: BoxName,
     pub generation: Generation,
     pub list_version: u64,
-    /// the asker is a sidecar: of the list it needs only the entry boxes, of
-    /// the root everything but the shards' digests
+    /// Whether the caller is a sidecar, which needs only the entry boxes of the list, and the
+    /// root without the shards' digests.
     pub from_sidecar: bool,
 }
 
-/// newer knowledge of a peer
+/// The newer documents of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncResponse {
     pub generation: Generation,
@@ -26,14 +26,14 @@
     pub list: Option<FleetList>,
 }
 
-/// asks a peer for a shard of one generation
+/// Requests a shard by its digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRequest {
     pub index: usize,
     pub digest: String,
 }
 
-/// the shard, if the peer has that content
+/// The shard, if the peer has one with that digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardResponse {
     pub shard: Option<Shard>,
--- a/protocol/src/peer/usage.rs
+++ b/protocol/src/peer/usage.rs
@@ -6,54 +6,57 @@
     serde::{Deserialize, Serialize},
 };
 
-/// what an entry has let client accounts run, told to the keeper of the fleet's sums
+/// Usage of client accounts at one entry, sent to the aggregator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
     pub entry: BoxName,
     pub incarnation: Incarnation,
-    /// entries of the fleet, as this one knows; 0 if it does not know yet
+    /// Number of entries that this entry knows of; 0 while unknown.
     pub entries: u32,
-    /// in which limits are counted, in ms
+    /// Length of the window in which limits are counted, in ms.
     pub window_ms: u32,
     pub accounts: Vec<AccountUsage>,
 }
 
-/// what an entry has let one account run, in units of its limit
+/// Usage of one account at one entry, in units of its limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
     pub account: AccountFingerprint,
-    /// since the entry's start, less what did not run
+    /// Units charged since the entry's start, minus refunds for requests that did not run.
     pub taken: i64,
-    /// what clients asked for here since its start, also what was refused
+    /// Units requested by clients since the entry's start, including rejected requests.
     pub asked: i64,
-    /// both when a keeper last answered
+    /// `taken` as of the aggregator's latest response.
     pub told_taken: i64,
+    /// `asked` as of the aggregator's latest response.
     pub told_asked: i64,
-    /// what the fleet may run at once, as the entry believes
+    /// The entry's estimate of the units that the fleet may use at once.
     pub level: f64,
-    /// units a second, at once, and in each window, for the whole fleet
+    /// Fleet-wide limit in units per second.
     pub per_s: f64,
+    /// Fleet-wide burst limit in units.
     pub most: f64,
+    /// Fleet-wide limit in units per window.
     pub in_window: f64,
 }
 
-/// the keeper's answer, for the accounts of the report and for all of which little
-/// is left; of each other one at least half is left
+/// Levels of the accounts in the report and of all accounts with little left. Every other
+/// account has at least half of its level left.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageResponse {
-    /// of the keeper's process
+    /// Incarnation of the aggregator's process.
     pub incarnation: Incarnation,
-    /// entries that report to it
+    /// Number of entries that report to it.
     pub entries: u32,
     pub accounts: Vec<AccountLevel>,
 }
 
-/// what the fleet may run for an account
+/// Fleet-wide state of an account's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountLevel {
     pub account: AccountFingerprint,
-    /// at once; below 0 more was run than was due
+    /// Units that the fleet may use at once; negative if the limit was exceeded.
     pub level: f64,
-    /// units a second that clients ask for, at all entries
+    /// Units per second that clients request at all entries together.
     pub asked_per_s: f64,
 }
--- a/protocol/src/status.rs
+++ b/protocol/src/status.rs
@@ -1,4 +1,4 @@
-//! refusals as gRPC statuses with `google.rpc` details, and back
+//! Conversion of refusals to and from gRPC statuses with `google.rpc` details.
 
 use {
     crate::peer::{Outcome, Reason, Refusal, Step},
@@ -7,21 +7,21 @@
     tonic_types::{ErrorDetails, StatusExt},
 };
 
-/// domain of the `ErrorInfo` detail
+/// Domain of the `ErrorInfo` detail.
 pub const ERROR_DOMAIN: &str = "chalkcart";
-/// key of the outcome in the `ErrorInfo` detail
+/// Key of the outcome in the `ErrorInfo` detail.
 pub const OUTCOME_KEY: &str = "outcome";
-/// key of the step in the `ErrorInfo` detail
+/// Key of the step in the `ErrorInfo` detail.
 pub const STEP_KEY: &str = "step";
-/// key of the peer in the `ErrorInfo` detail
+/// Key of the peer in the `ErrorInfo` detail.
 pub const PEER_KEY: &str = "peer";
 
-/// the status that a caller sees
+/// Converts a refusal to the status that the caller receives.
 pub fn to_status(refusal: &Refusal) -> Status {
     Status::with_error_details(code_of(refusal), refusal.to_string(), details_of(refusal))
 }
 
-/// a bad request, with the name of the field
+/// Returns the status of an invalid request, with the invalid field as a detail.
 pub fn bad_field(outcome: Outcome, peer: &str, field: &str, description: &str) -> Status {
     let refusal = Refusal::new(outcome, Step::Admission, peer, Reason::BadRequest)
         .with_detail(format!("{field}: {description}"));
@@ -30,7 +30,7 @@
     Status::with_error_details(Code::InvalidArgument, refusal.to_string(), details)
 }
 
-/// the outcome that a status carries; a status without one may have run
+/// Returns the outcome in a status; without one, the request may have run.
 pub fn outcome_of(status: &Status) -> Outcome {
     let info = status.get_details_error_info();
     let outcome = info.and_then(|i| i.metadata.get(OUTCOME_KEY).cloned());
@@ -41,12 +41,12 @@
     }
 }
 
-/// the reason code that a status carries
+/// Returns the reason code in a status.
 pub fn reason_of(status: &Status) -> Option<String> {
     status.get_details_error_info().map(|i| i.reason)
 }
 
-/// when to come back, if the status says so
+/// Returns the retry delay in a status.
 pub fn retry_after_of(status: &Status) -> Option<Duration> {
     status.get_details_retry_info()?.retry_delay
 }
--- a/protocol/src/wire/encoding.rs
+++ b/protocol/src/wire/encoding.rs
@@ -1,22 +1,22 @@
 use super::WireVersion;
 
-/// how frames and messages to one peer are written
+/// How frames and messages to a peer are encoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum WireEncoding {
-    /// Frames without the names of fields, for a peer of the same shapes: they go out many
-    /// times a second.
+    /// Frames without field names, for a peer of the same wire version. Frames are frequent, so
+    /// their size matters.
     Positional,
-    /// With names. Readers pass over fields that they don't know, and take the meaning that
-    /// is written at a field where it is missing.
+    /// With field names. Decoders ignore unknown fields and use the default of missing ones.
     Named,
-    /// the same for the builds up to 2205e90, which know a back end's life by a text
+    /// Like `Named`, with back end ids as plain text, for builds up to 2205e90.
     NamedTextIds,
 }
 
 impl WireEncoding {
     pub const ALL: [Self; 3] = [Self::Positional, Self::Named, Self::NamedTextIds];
 
-    /// for a peer that says this version of itself; a landed one says none, and reads names
+    /// Returns the encoding for a peer of this wire version; builds that send no version decode
+    /// field names.
     pub fn for_peer(version: Option<WireVersion>) -> Self {
         match version {
             Some(WireVersion::CURRENT) => Self::Positional,
--- a/protocol/src/wire/mod.rs
+++ b/protocol/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! how messages between chalkcart's own processes are written, so that builds of different
-//! ages read each other; docs/design/upgrades.md has the rules
+//! Encoding of messages between chalkcart's processes, compatible across builds; see
+//! docs/design/upgrades.md.
 
 mod codec;
 mod encoding;
--- a/protocol/src/wire/text_ids.rs
+++ b/protocol/src/wire/text_ids.rs
@@ -1,12 +1,12 @@
-//! the form of the builds up to 2205e90: a life of a back end is a text there, its name
+//! Encoding of builds up to 2205e90, in which a back end's id is its name alone.
 
 use {super::CodecError, rmpv::Value};
 
-/// the field that holds the life of a back end, in each message that has one
-const LIFE: &str = "backend";
-const NAME: &str = "name";
+/// Field that holds the id of a back end, in all messages that have one.
+const ID_FIELD: &str = "backend";
+const NAME_FIELD: &str = "name";
 
-/// rewrite a message with names so that lives are texts
+/// Replaces the ids in an encoded message with names by their text form.
 pub fn rewrite_with_text_ids(named: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut message = read(named)?;
     rewrite(&mut message);
@@ -16,7 +16,7 @@
     Ok(buf)
 }
 
-/// whether a message that was received names lives by texts; none if it names no life
+/// Whether the ids in an encoded message are text; `None` if it has no ids.
 pub fn has_text_ids(named: &[u8]) -> Option<bool> {
     find(&read(named).ok()?)
 }
@@ -32,7 +32,7 @@
         Value::Map(rows) => {
             for (key, value) in rows {
                 match (key.as_str(), name_in(value)) {
-                    (Some(LIFE), Some(name)) => *value = name,
+                    (Some(ID_FIELD), Some(name)) => *value = name,
                     _ => rewrite(value),
                 }
             }
@@ -41,10 +41,12 @@
     }
 }
 
-/// the name in a life that is written as a map
-fn name_in(life: &Value) -> Option<Value> {
-    let rows = life.as_map()?;
-    let name = rows.iter().find(|(key, _)| key.as_str() == Some(NAME));
+/// Returns the name of an id that is encoded as a map.
+fn name_in(id: &Value) -> Option<Value> {
+    let rows = id.as_map()?;
+    let name = rows
+        .iter()
+        .find(|(key, _)| key.as_str() == Some(NAME_FIELD));
     name.map(|(_, name)| name.clone())
 }
 
@@ -52,7 +54,7 @@
     match value {
         Value::Array(items) => items.iter().find_map(find),
         Value::Map(rows) => rows.iter().find_map(|(key, value)| match key.as_str() {
-            Some(LIFE) => Some(value.is_str()),
+            Some(ID_FIELD) => Some(value.is_str()),
             _ => find(value),
         }),
         _ => None,
--- a/protocol/src/wire/version.rs
+++ b/protocol/src/wire/version.rs
@@ -1,22 +1,22 @@
 use std::{fmt, str::FromStr};
 
-/// header by which each side of a call says its wire version; builds before 4 send none
+/// Header in which both sides of a call send their wire version; builds before 4 send none.
 pub const PEER_VERSION: &str = "peer-version";
 
-/// Number of the shapes of all messages between processes; a build has one.
+/// Version of the message formats between processes.
 ///
-/// It rises with each change of a message's shape, whose bytes are then recorded under
-/// `protocol/tests/recorded/`. 1 to 3 are the builds 2205e90, fc8906b and f7a7cb2, which
-/// do not say theirs.
+/// It increases with each change of a message's format, and the new bytes are recorded under
+/// `protocol/tests/recorded/`. Versions 1 to 3 are the builds 2205e90, fc8906b and f7a7cb2,
+/// which do not send a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WireVersion(pub u32);
 
 impl WireVersion {
-    /// of this build
+    /// Version of this build.
     pub const CURRENT: Self = Self(5);
 }
 
-/// a text that is no wire version
+/// A text that is not a wire version.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no wire version")]
 pub struct WireVersionError(String);
--- a/protocol/tests/arbitrary_bytes.rs
+++ b/protocol/tests/arbitrary_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes that no build writes, as a peer that is not one of ours or a broken box may send them:
-//! they are an error of their message, and end nothing else.
+//! Malformed messages from broken or foreign peers must fail to decode without a panic, a stack
+//! overflow or a large allocation.
 
 mod samples;
 
@@ -16,20 +16,20 @@
 };
 
 const SEED: u64 = 45;
-/// bytes of a generated message at most
-const SIZE: usize = 400;
+/// Maximum size of generated messages, in bytes.
+const MAX_SIZE: usize = 400;
 const CASES: u64 = 500;
-/// the stack of a thread of the runtime
-const STACK: usize = 2 * 1024 * 1024;
-const FORMS: [WireEncoding; 3] = [
+/// Stack size of a runtime thread.
+const STACK_BYTES: usize = 2 * 1024 * 1024;
+const ENCODINGS: [WireEncoding; 3] = [
     WireEncoding::Positional,
     WireEncoding::Named,
     WireEncoding::NamedTextIds,
 ];
 
-/// one change of a message that was written properly
+/// A corruption of a valid message.
 #[derive(Debug, Clone)]
-enum Damage {
+enum Corruption {
     Set {
         at: usize,
         to: u8,
@@ -41,16 +41,16 @@
     Cut {
         at: usize,
     },
-    /// a part stands twice
+    /// Appends a copy of a part.
     Repeat {
         from: usize,
         to: usize,
     },
 }
 
-impl Arbitrary for Damage {
+impl Arbitrary for Corruption {
     fn arbitrary(g: &mut Gen) -> Self {
-        // lengths and markers of MessagePack with the most to announce
+        // MessagePack markers with the largest announced lengths
         let bytes = [0x00, 0x91, 0xc1, 0xc6, 0xdb, 0xdc, 0xdd, 0xdf, 0xff];
         let byte = match bool::arbitrary(g) {
             true => *g.choose(&bytes).expect("some"),
@@ -66,8 +66,8 @@
     }
 }
 
-impl Damage {
-    fn strike(&self, buf: &mut Vec<u8>) {
+impl Corruption {
+    fn apply(&self, buf: &mut Vec<u8>) {
         let len = buf.len().max(1);
         match *self {
             Self::Set { at, to } => {
@@ -86,59 +86,59 @@
     }
 }
 
-/// the message with these bytes behind what its kind puts before them
-fn of_kind(sample: &Sample, body: &[u8]) -> Vec<u8> {
+/// Adds the length prefix that a sample's kind has.
+fn with_prefix(sample: &Sample, body: &[u8]) -> Vec<u8> {
     match sample.kind {
         Kind::Message => body.to_vec(),
         Kind::Frame => [&[0; FRAME_HEAD], body].concat(),
     }
 }
 
-fn body_of(sample: &Sample, form: WireEncoding) -> Vec<u8> {
-    let bytes = (sample.write)(form);
+fn body_of(sample: &Sample, encoding: WireEncoding) -> Vec<u8> {
+    let bytes = (sample.write)(encoding);
     match sample.kind {
         Kind::Message => bytes,
         Kind::Frame => bytes[FRAME_HEAD..].to_vec(),
     }
 }
 
-/// reading ends, with a message or an error
-fn is_taken(body: &[u8]) -> bool {
+/// Whether all decoders return a message or an error without a panic.
+fn decodes_without_panic(body: &[u8]) -> bool {
     all(None).iter().all(|sample| {
-        let bytes = of_kind(sample, body);
+        let bytes = with_prefix(sample, body);
         panic::catch_unwind(panic::AssertUnwindSafe(|| (sample.read)(&bytes))).is_ok()
     })
 }
 
 #[test]
-fn any_bytes_are_a_message_or_an_error() {
+fn arbitrary_bytes_decode_or_fail() {
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(SIZE, SEED))
+        .rng(Gen::from_size_and_seed(MAX_SIZE, SEED))
         .tests(CASES)
-        .quickcheck((|body| is_taken(&body)) as fn(Vec<u8>) -> bool);
+        .quickcheck((|body| decodes_without_panic(&body)) as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn damaged_messages_are_messages_or_errors() {
-    fn holds(which: usize, form: u8, damages: Vec<Damage>) -> bool {
+fn corrupted_messages_decode_or_fail() {
+    fn holds(index: usize, encoding: u8, corruptions: Vec<Corruption>) -> bool {
         let samples = all(Some(true));
-        let sample = &samples[which % samples.len()];
-        let form = FORMS[usize::from(form) % FORMS.len()];
-        let mut body = body_of(sample, form);
-        damages.iter().take(8).for_each(|d| d.strike(&mut body));
-        // by its own reader and by those of all others
-        is_taken(&body)
+        let sample = &samples[index % samples.len()];
+        let encoding = ENCODINGS[usize::from(encoding) % ENCODINGS.len()];
+        let mut body = body_of(sample, encoding);
+        corruptions.iter().take(8).for_each(|c| c.apply(&mut body));
+        // by its own decoder and those of all other messages
+        decodes_without_panic(&body)
     }
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(SIZE, SEED))
+        .rng(Gen::from_size_and_seed(MAX_SIZE, SEED))
         .tests(CASES)
-        .quickcheck(holds as fn(usize, u8, Vec<Damage>) -> bool);
+        .quickcheck(holds as fn(usize, u8, Vec<Corruption>) -> bool);
 }
 
-/// a message that announces more than it has takes no place for it; one that is as deep as it
-/// is long does not use up the stack
+/// Guards against allocating announced lengths up front, and against a stack overflow by deeply
+/// nested messages.
 #[test]
-fn lengths_and_depths_that_are_only_announced_cost_nothing() {
+fn announced_lengths_and_deep_nesting_do_not_exhaust_memory() {
     let announced = [
         vec![0xdd, 0xff, 0xff, 0xff, 0xff],
         vec![0xdf, 0xff, 0xff, 0xff, 0xff],
@@ -147,34 +147,33 @@
         vec![0x91; MAX_MESSAGE_BYTES],
         [0x81, 0xa1, b'x'].repeat(MAX_MESSAGE_BYTES / 3),
     ];
-    let read = move || announced.iter().all(|body| is_taken(body));
-    let thread = thread::Builder::new().stack_size(STACK).spawn(read);
+    let read = move || announced.iter().all(|body| decodes_without_panic(body));
+    let thread = thread::Builder::new().stack_size(STACK_BYTES).spawn(read);
     assert!(thread.expect("starts").join().expect("ends"));
 }
 
-/// a field that a later build adds, however deep, is passed over or an error
+/// Unknown fields of later builds are ignored, or rejected if nested too deeply.
 #[test]
-fn unknown_fields_of_any_depth_are_passed_over_or_an_error() {
+fn unknown_fields_are_ignored_or_rejected_at_any_depth() {
     for sample in all(None) {
         let named = body_of(&sample, WireEncoding::Named);
-        // a map of up to 15 fields gets one more; with one alone it is a variant by its name
+        // adds a field to a map of 2 to 14; a map with a single key is an enum variant
         let Some(first @ 0x82..=0x8e) = named.first().copied() else {
             continue;
         };
         for depth in [1, 40, 2_000, 100_000] {
             let unknown = [&[0xa1, b'?'][..], &vec![0x91; depth], &[0xc0]].concat();
             let body = [&[first + 1], &unknown[..], &named[1..]].concat();
-            let read = (sample.read)(&of_kind(&sample, &body));
+            let read = (sample.read)(&with_prefix(&sample, &body));
             let is_shallow = depth <= 40;
             assert!(read.is_ok() || !is_shallow, "{}: {read:?}", sample.name);
         }
     }
 }
 
-/// frames come out as they went in, however the bytes are parted; one that announces too much
-/// ends its stream
+/// The frame codec accepts any chunking, and rejects frames that announce too large a length.
 #[test]
-fn streams_are_split_at_any_byte() {
+fn frame_codec_bounds_its_buffer_for_any_chunks() {
     fn holds(chunks: Vec<Vec<u8>>) -> bool {
         let (mut codec, mut buf) = (frame_codec(), BytesMut::new());
         for chunk in chunks {
@@ -184,7 +183,7 @@
                     Ok(Some(frame)) if frame.len() > MAX_MESSAGE_BYTES => return false,
                     Ok(Some(_)) => {}
                     Ok(None) => break,
-                    // the link ends here
+                    // the connection would be closed here
                     Err(_) => return buf.capacity() <= MAX_MESSAGE_BYTES,
                 }
             }
@@ -192,7 +191,7 @@
         buf.capacity() <= 2 * MAX_MESSAGE_BYTES
     }
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(SIZE, SEED))
+        .rng(Gen::from_size_and_seed(MAX_SIZE, SEED))
         .tests(CASES)
         .quickcheck(holds as fn(Vec<Vec<u8>>) -> bool);
 }
--- a/protocol/tests/landed/mod.rs
+++ b/protocol/tests/landed/mod.rs
@@ -1,7 +1,7 @@
-//! Messages as builds that have landed declare them, where today's differ. They are copies
-//! that stay as they are: what those builds read can't be changed any more.
+//! Message types of earlier builds, where they differ from today's. They must not change, since
+//! the decoders of those builds are fixed.
 
-// each version reads a part of it
+// each version uses a part of it
 #![allow(dead_code)]
 
 use {
@@ -10,14 +10,14 @@
     std::net::SocketAddr,
 };
 
-/// a life since fc8906b
+/// Back end id since fc8906b.
 #[derive(Debug, PartialEq, Deserialize)]
 pub struct Life {
     pub name: String,
     pub born: u64,
 }
 
-/// of 2205e90 and fc8906b
+/// Of 2205e90 and fc8906b.
 #[derive(Debug, PartialEq, Deserialize)]
 pub struct Figures12 {
     pub fence: u64,
@@ -34,7 +34,7 @@
     pub age_ms: u32,
 }
 
-/// of f7a7cb2
+/// Of f7a7cb2.
 #[derive(Debug, PartialEq, Deserialize)]
 pub struct Figures13 {
     pub fence: u64,
--- a/protocol/tests/messages.rs
+++ b/protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! messages and statuses survive the way to the other side
+//! Frames, messages and statuses round-trip between processes.
 
 use {
     chalkcart_protocol::{
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_frame_is_read_as_it_was_written_also_in_pieces() {
+fn frames_round_trip_when_received_byte_by_byte() {
     let frames = [
         Frame::Numbered {
             sequence: 0,
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn a_broken_message_is_an_error() {
+fn truncated_and_foreign_messages_are_rejected() {
     let good = encode(&refusal(Outcome::NotRun)).expect("encodes");
     assert!(decode::<Refusal>(&good[..good.len() / 2]).is_err());
     assert!(decode::<Refusal>(b"no message").is_err());
 }
 
 #[test]
-fn a_status_carries_outcome_reason_and_the_time_to_come_back() {
+fn statuses_carry_outcome_reason_and_retry_delay() {
     for outcome in [Outcome::NotRun, Outcome::MayHaveRun, Outcome::Ran] {
         let status = to_status(&refusal(outcome));
         assert_eq!(outcome_of(&status), outcome);
@@ -64,6 +64,6 @@
 }
 
 #[test]
-fn a_status_without_details_may_have_run() {
+fn statuses_without_details_mean_may_have_run() {
     assert_eq!(outcome_of(&Status::unavailable("cut")), Outcome::MayHaveRun);
 }
--- a/protocol/tests/recorded.rs
+++ b/protocol/tests/recorded.rs
@@ -1,9 +1,6 @@
-//! Bytes of messages as builds that have landed write them, recorded by running those builds.
+//! Compatibility with messages recorded from earlier builds.
 //!
-//! Seen: with sidecars of one build and entries of the next, 70 in 100 requests failed, as
-//! each took the other's frames for unreadable and ended the link, again and again. Cause:
-//! frames are written without the names of their fields, so that no field can be added, and
-//! nobody says which shapes he knows. Proof: the bytes recorded here, read by the other build.
+//! Guards against entries and sidecars of different builds rejecting each other's frames.
 
 mod landed;
 mod samples;
@@ -17,7 +14,7 @@
         wire::WireEncoding,
     },
     landed::{Demand, Figures12, Figures13, Life, RelayDemands, RelayUpdate, Update},
-    samples::{all, from_hex, of_engines, record, Sample, FRAME_HEAD},
+    samples::{all, engine_samples, from_hex, record, Sample, FRAME_HEAD},
     serde::de::DeserializeOwned,
     std::collections::HashMap,
 };
@@ -28,10 +25,10 @@
 const FOURTH: &str = include_str!("recorded/4.txt");
 const FIFTH: &str = include_str!("recorded/5.txt");
 
-/// what entries do not ask of relays that say no version: they read the store themselves
-const NOT_ASKED: &str = "published_records";
+/// Not requested from relays that send no version: entries read the store themselves then.
+const NOT_REQUESTED: &str = "published_records";
 
-/// messages that builds before 5 do not write
+/// Messages added in wire version 5.
 const SINCE_5: [&str; 4] = [
     "published_regions",
     "view_figures_bound",
@@ -39,19 +36,22 @@
     "intake_answer",
 ];
 
-/// bytes by the name of the message, of a record with a line for each
-fn bytes_of(recorded: &str) -> HashMap<&str, Vec<u8>> {
+/// Parses a record into bytes by message name.
+fn parse_record(recorded: &str) -> HashMap<&str, Vec<u8>> {
     let rows = recorded.lines().map(|line| {
-        let words: Vec<&str> = line.split(' ').collect();
-        (words[words.len() - 2], from_hex(words[words.len() - 1]))
+        let columns: Vec<&str> = line.split(' ').collect();
+        (
+            columns[columns.len() - 2],
+            from_hex(columns[columns.len() - 1]),
+        )
     });
     rows.collect()
 }
 
-fn reads_all(recorded: &str, is_down: Option<bool>) {
-    let bytes = bytes_of(recorded);
+fn assert_decodes_all(recorded: &str, is_down: Option<bool>) {
+    let bytes = parse_record(recorded);
     let samples = all(is_down);
-    for sample in samples.iter().filter(|s| s.name != NOT_ASKED) {
+    for sample in samples.iter().filter(|s| s.name != NOT_REQUESTED) {
         let Some(bytes) = bytes.get(sample.name) else {
             let is_newer = sample.name.starts_with("crash_") || SINCE_5.contains(&sample.name);
             assert!(is_newer, "{}", sample.name);
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn what_landed_builds_write_is_read() {
-    reads_all(OLDEST, None);
-    reads_all(SECOND, None);
-    reads_all(THIRD, Some(true));
-    reads_all(FOURTH, Some(true));
+fn messages_of_earlier_builds_decode() {
+    assert_decodes_all(OLDEST, None);
+    assert_decodes_all(SECOND, None);
+    assert_decodes_all(THIRD, Some(true));
+    assert_decodes_all(FOURTH, Some(true));
 }
 
-/// what has the same shape as then has the same bytes
+/// Messages whose format has not changed are encoded to the same bytes.
 #[test]
-fn other_messages_are_written_as_landed_builds_write_them() {
+fn unchanged_messages_encode_as_in_earlier_builds() {
     for recorded in [OLDEST, SECOND, THIRD] {
-        let bytes = bytes_of(recorded);
-        let of_engines: Vec<&str> = of_engines(None).iter().map(|s| s.name).collect();
-        let same = |s: &&Sample| s.name != NOT_ASKED && !of_engines.contains(&s.name);
+        let bytes = parse_record(recorded);
+        let engine_names: Vec<&str> = engine_samples(None).iter().map(|s| s.name).collect();
+        let same = |s: &&Sample| s.name != NOT_REQUESTED && !engine_names.contains(&s.name);
         for sample in all(None).iter().filter(same) {
             if let Some(bytes) = bytes.get(sample.name) {
                 assert_eq!(
@@ -90,68 +90,68 @@
     }
 }
 
-fn written(name: &str, form: WireEncoding) -> Vec<u8> {
-    let samples = of_engines(Some(true));
+fn encoded(name: &str, encoding: WireEncoding) -> Vec<u8> {
+    let samples = engine_samples(Some(true));
     let sample = samples.iter().find(|s| s.name == name).expect("a sample");
-    let bytes = (sample.write)(form);
+    let bytes = (sample.write)(encoding);
     match sample.kind {
         samples::Kind::Message => bytes,
         samples::Kind::Frame => bytes[FRAME_HEAD..].to_vec(),
     }
 }
 
-/// read what today's code writes, and what the build of then wrote, by the forms of then
-fn both<T: DeserializeOwned>(name: &str, form: WireEncoding, recorded: &str) -> (T, T) {
-    let then = &bytes_of(recorded)[name];
+/// Decodes the current and the recorded bytes of a message with the types of the earlier build.
+fn decode_both<T: DeserializeOwned>(name: &str, encoding: WireEncoding, recorded: &str) -> (T, T) {
+    let then = &parse_record(recorded)[name];
     let frame = !matches!(name, "demand" | "relay_demands");
     let then = if frame { &then[FRAME_HEAD..] } else { then };
-    let today = decode(&written(name, form));
+    let today = decode(&encoded(name, encoding));
     let today = today.unwrap_or_else(|e| panic!("{name}: {e}"));
-    (today, decode(then).expect("reads its own"))
+    (today, decode(then).expect("decodes its own messages"))
 }
 
-fn same_as_then<L, F>(form: WireEncoding, recorded: &str)
+fn assert_same_as_recorded<L, F>(encoding: WireEncoding, recorded: &str)
 where
     L: DeserializeOwned + PartialEq + std::fmt::Debug,
     F: DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     for name in ["view_whole", "view_changed", "view_figures"] {
-        let (today, then) = both::<Update<L, F>>(name, form, recorded);
+        let (today, then) = decode_both::<Update<L, F>>(name, encoding, recorded);
         assert_eq!(today, then);
     }
-    let (today, then) = both::<RelayUpdate<L, F>>("relay_update", form, recorded);
+    let (today, then) = decode_both::<RelayUpdate<L, F>>("relay_update", encoding, recorded);
     assert_eq!(today, then);
-    let (today, then) = both::<Demand<L>>("demand", form, recorded);
+    let (today, then) = decode_both::<Demand<L>>("demand", encoding, recorded);
     assert_eq!(today, then);
-    let (today, then) = both::<RelayDemands<L>>("relay_demands", form, recorded);
+    let (today, then) = decode_both::<RelayDemands<L>>("relay_demands", encoding, recorded);
     assert_eq!(today, then);
 }
 
 #[test]
-fn what_is_written_for_landed_builds_is_read_by_their_forms() {
-    same_as_then::<String, Figures12>(WireEncoding::NamedTextIds, OLDEST);
-    same_as_then::<Life, Figures12>(WireEncoding::Named, SECOND);
-    same_as_then::<Life, Figures13>(WireEncoding::Named, THIRD);
+fn messages_for_earlier_builds_decode_with_their_types() {
+    assert_same_as_recorded::<String, Figures12>(WireEncoding::NamedTextIds, OLDEST);
+    assert_same_as_recorded::<Life, Figures12>(WireEncoding::Named, SECOND);
+    assert_same_as_recorded::<Life, Figures13>(WireEncoding::Named, THIRD);
 }
 
-/// a relay passes on the words of a sidecar that does not say whether its engine is down
+/// A relay must not turn an unknown `is_down` into a value when it forwards stats.
 #[test]
-fn what_a_sidecar_does_not_say_is_not_made_up_on_the_way() {
-    let unknown = ViewUpdate::Figures(samples::figures(None));
-    for form in [WireEncoding::Positional, WireEncoding::Named] {
-        let frame = chalkcart_protocol::encode_frame(&unknown, form).expect("encodes");
+fn unknown_liveness_stays_unknown_when_forwarded() {
+    let unknown = ViewUpdate::Figures(samples::stats(None));
+    for encoding in [WireEncoding::Positional, WireEncoding::Named] {
+        let frame = chalkcart_protocol::encode_frame(&unknown, encoding).expect("encodes");
         let read: ViewUpdate = decode(&frame[FRAME_HEAD..]).expect("reads");
         assert_eq!(read, unknown);
     }
-    // the third build reads a yes or no alone
+    // the third build requires a boolean
     let bytes = encode(&EngineStats::default()).expect("encodes");
     let then: Figures13 = decode(&bytes).expect("reads");
     assert!(!then.is_down);
 }
 
-/// of a later build: fields behind those that are known here, and kinds that are not
+/// Unknown fields and variants of later builds are ignored.
 #[test]
-fn what_a_later_build_adds_is_passed_over() {
+fn additions_of_later_builds_are_ignored() {
     #[derive(serde::Serialize)]
     struct LaterDemand {
         #[serde(flatten)]
@@ -159,19 +159,19 @@
         later: Vec<u32>,
     }
     #[derive(serde::Serialize)]
-    enum LaterWord {
+    enum LaterState {
         Later(u32, String),
     }
     #[derive(serde::Serialize)]
-    struct LaterNews {
+    struct LaterEngineUpdate {
         engine: std::net::SocketAddr,
         age_ms: u32,
-        word: LaterWord,
+        word: LaterState,
         later: Option<u8>,
     }
     #[derive(serde::Serialize)]
     struct LaterUpdate {
-        news: Vec<LaterNews>,
+        news: Vec<LaterEngineUpdate>,
         later: u8,
     }
     let later = LaterDemand {
@@ -180,13 +180,13 @@
     };
     let read: AdapterDemand = decode(&encode(&later).expect("encodes")).expect("reads");
     assert_eq!(read, samples::demand());
-    let word = || LaterWord::Later(1, "x".to_string());
-    let read: ViewUpdate = decode(&encode(&word()).expect("encodes")).expect("reads");
+    let state = || LaterState::Later(1, "x".to_string());
+    let read: ViewUpdate = decode(&encode(&state()).expect("encodes")).expect("reads");
     assert_eq!(read, ViewUpdate::Unknown);
-    let news = LaterNews {
+    let news = LaterEngineUpdate {
         engine: ([127, 0, 0, 1], 80).into(),
         age_ms: 1,
-        word: word(),
+        word: state(),
         later: None,
     };
     let update = LaterUpdate {
@@ -197,11 +197,11 @@
     assert_eq!(read.news[0].word, EngineViewState::Unknown);
 }
 
-/// A message whose shape changes needs a new wire version: raise `WireVersion::CURRENT`,
-/// write the new bytes with `cargo run -p chalkcart-protocol --example record_messages`
-/// into a file of their own, and keep the former one as a record that is read.
+/// A change of a message's format needs a new wire version: raise `WireVersion::CURRENT`, record
+/// the new bytes with `cargo run -p chalkcart-protocol --example record_messages` in a new file,
+/// and keep the previous record as one that must decode.
 #[test]
-fn the_shapes_of_messages_are_those_of_the_wire_version() {
+fn message_formats_match_the_recorded_wire_version() {
     let (now, then) = (record(), FIFTH);
     for (now, then) in now.lines().zip(then.lines()) {
         assert_eq!(now, then);
--- a/protocol/tests/samples/mod.rs
+++ b/protocol/tests/samples/mod.rs
@@ -1,6 +1,6 @@
-//! One message of each kind with fixed content, as it is recorded for each build.
+//! Sample messages with fixed content, recorded for each wire version.
 
-// each user takes a part of it
+// each test uses a part of it
 #![allow(dead_code)]
 
 use {
@@ -20,20 +20,20 @@
     std::{fmt::Debug, net::SocketAddr, time::Duration},
 };
 
-/// bytes of the length before a frame
+/// Size of a frame's length prefix, in bytes.
 pub const FRAME_HEAD: usize = 4;
 
-/// how a message goes over the wire
+/// How a message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// alone, in a call
+    /// As the body of a call.
     Message,
-    /// one of a stream, behind its length
+    /// In a stream, with a length prefix.
     Frame,
 }
 
 impl Kind {
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Message => "message",
             Self::Frame => "frame",
@@ -44,14 +44,14 @@
 type Write = Box<dyn Fn(WireEncoding) -> Vec<u8>>;
 type Read = Box<dyn Fn(&[u8]) -> Result<String, CodecError>>;
 
-/// a message that can be written in each form, and read from bytes
+/// A message with its encoder and decoder.
 pub struct Sample {
     pub kind: Kind,
     pub name: &'static str,
-    /// the message as text
+    /// Debug form of the message.
     pub text: String,
     pub write: Write,
-    /// gives the message as text
+    /// Returns the debug form of the decoded message.
     pub read: Read,
 }
 
@@ -60,9 +60,9 @@
     T: Serialize + DeserializeOwned + Debug + 'static,
 {
     let text = format!("{message:?}");
-    let write = move |form| match kind {
-        Kind::Message => encode_as(&message, form).expect("encodes").to_vec(),
-        Kind::Frame => encode_frame(&message, form).expect("encodes").to_vec(),
+    let write = move |encoding| match kind {
+        Kind::Message => encode_as(&message, encoding).expect("encodes").to_vec(),
+        Kind::Frame => encode_frame(&message, encoding).expect("encodes").to_vec(),
     };
     let read = move |buf: &[u8]| {
         let body = match kind {
@@ -94,8 +94,8 @@
     }
 }
 
-/// `is_down` is what the builds that are compared say of it
-pub fn figures(is_down: Option<bool>) -> EngineStats {
+/// Sample stats, with `is_down` as the compared builds report it.
+pub fn stats(is_down: Option<bool>) -> EngineStats {
     EngineStats {
         fence: 1_700_000_000_123,
         next_load_ms: 250,
@@ -116,12 +116,12 @@
     }
 }
 
-/// of an engine that names a limit and is cold
-fn figures_bound() -> EngineStats {
+/// Stats of an engine with a limit, in slow start.
+fn limited_stats() -> EngineStats {
     EngineStats {
         limit_milli_per_s: Some(2_100),
         cold_left_ms: 900,
-        ..figures(Some(false))
+        ..stats(Some(false))
     }
 }
 
@@ -132,7 +132,7 @@
         held: vec![held("a", 2)],
         loading: vec![adapter("b")],
         lately: vec![7, u64::MAX],
-        figures: figures(is_down),
+        figures: stats(is_down),
     }
 }
 
@@ -141,7 +141,7 @@
         came: vec![held("b", 1)],
         left: vec![adapter("a")],
         loading: vec![adapter("c")],
-        figures: figures(is_down),
+        figures: stats(is_down),
     })
 }
 
@@ -182,31 +182,31 @@
 }
 
 pub fn relay_demands() -> RelayDemands {
-    let told = |demand| EngineDemand {
+    let engine_demand = |demand| EngineDemand {
         engine: engine(),
         demand,
     };
     RelayDemands {
         entry: "entry-1".to_string(),
         is_whole: true,
-        engines: vec![told(Some(demand())), told(None)],
+        engines: vec![engine_demand(Some(demand())), engine_demand(None)],
     }
 }
 
 pub fn relay_update(is_down: Option<bool>) -> RelayUpdate {
-    let words = [
+    let states = [
         EngineViewState::View(ViewUpdate::Whole(view(is_down))),
         EngineViewState::View(changed(is_down)),
-        EngineViewState::View(ViewUpdate::Figures(figures(is_down))),
+        EngineViewState::View(ViewUpdate::Figures(stats(is_down))),
         EngineViewState::Silent,
     ];
-    let news = words.into_iter().map(|word| EngineUpdate {
+    let updates = states.into_iter().map(|word| EngineUpdate {
         engine: engine(),
         age_ms: 12,
         word,
     });
     RelayUpdate {
-        news: news.collect(),
+        news: updates.collect(),
     }
 }
 
@@ -249,7 +249,7 @@
     }
 }
 
-/// a configuration with a route and an account that are bound to regions
+/// A configuration with a route and an account that are restricted to regions.
 fn published_regions() -> PublishedResponse {
     let regions = |name: &str| AllowedRegions::restricted_to([name.to_string()]);
     let route = Route {
@@ -281,49 +281,49 @@
     }
 }
 
-/// of streams of views, and of demands
-pub fn of_engines(is_down: Option<bool>) -> Vec<Sample> {
+/// Messages of view streams and demands.
+pub fn engine_samples(is_down: Option<bool>) -> Vec<Sample> {
     use Kind::{Frame, Message};
-    let ask = RelayRequest {
+    let request = RelayRequest {
         entry: "entry-1".to_string(),
     };
-    let figures = ViewUpdate::Figures(figures(is_down));
+    let stats = ViewUpdate::Figures(stats(is_down));
     vec![
         sample(Frame, "view_whole", ViewUpdate::Whole(view(is_down))),
         sample(Frame, "view_changed", changed(is_down)),
-        sample(Frame, "view_figures", figures),
+        sample(Frame, "view_figures", stats),
         sample(
             Frame,
             "view_figures_bound",
-            ViewUpdate::Figures(figures_bound()),
+            ViewUpdate::Figures(limited_stats()),
         ),
         sample(Message, "demand", demand()),
-        sample(Message, "relay_ask", ask),
+        sample(Message, "relay_ask", request),
         sample(Message, "relay_demands", relay_demands()),
         sample(Frame, "relay_update", relay_update(is_down)),
     ]
 }
 
-/// of what the platform's store publishes
-pub fn of_the_store() -> Vec<Sample> {
+/// Messages with records of the platform's store.
+pub fn store_samples() -> Vec<Sample> {
     use Kind::Message;
-    let ask = PublishedRequest {
+    let request = PublishedRequest {
         topic: Topic::Backends,
         after: Some(45),
         wait_ms: 1000,
     };
-    let lost = PublishedResponse::HistoryLost;
+    let history_lost = PublishedResponse::HistoryLost;
     vec![
-        sample(Message, "published_ask", ask),
+        sample(Message, "published_ask", request),
         sample(Message, "published_records", published()),
         sample(Message, "published_regions", published_regions()),
-        sample(Message, "published_history_lost", lost),
+        sample(Message, "published_history_lost", history_lost),
         sample(Message, "published_stale", PublishedResponse::Stale),
     ]
 }
 
-/// of keepers
-pub fn of_keepers() -> Vec<Sample> {
+/// Messages of usage aggregation.
+pub fn usage_samples() -> Vec<Sample> {
     use Kind::Message;
     let usage = AccountUsage {
         account: 5,
@@ -348,51 +348,51 @@
         level: 2.5,
         asked_per_s: 30.0,
     };
-    let answer = UsageResponse {
+    let response = UsageResponse {
         incarnation: 78,
         entries: 3,
         accounts: vec![level],
     };
     vec![
         sample(Message, "usage_report", report),
-        sample(Message, "usage_answer", answer),
+        sample(Message, "usage_answer", response),
     ]
 }
 
-/// of keepers of crashing requests
-pub fn of_crashes() -> Vec<Sample> {
+/// Messages of crash aggregation.
+pub fn crash_samples() -> Vec<Sample> {
     use Kind::Message;
     let digest = RequestDigest::of("POST", "/", "", b"body");
-    let word = |event, age_ms| CrashReport {
+    let report = |event, age_ms| CrashReport {
         digest,
         event,
         age_ms,
     };
-    let mark = |revision| CrashCursor {
+    let cursor = |revision| CrashCursor {
         keeper: 5,
         revision,
     };
-    let ask = CrashRequest {
+    let request = CrashRequest {
         entry: "entry-1".to_string(),
-        heard: Some(mark(6)),
+        heard: Some(cursor(6)),
         wait_ms: 1500,
         words: vec![
-            word(CrashEvent::Ended { life: 11 }, 20),
-            word(CrashEvent::Served, 30),
+            report(CrashEvent::Ended { life: 11 }, 20),
+            report(CrashEvent::Served, 30),
         ],
     };
-    let answer = CrashResponse {
-        mark: mark(7),
+    let response = CrashResponse {
+        mark: cursor(7),
         words: Vec::new(),
     };
     vec![
-        sample(Message, "crash_ask", ask),
-        sample(Message, "crash_answer", answer),
+        sample(Message, "crash_ask", request),
+        sample(Message, "crash_answer", response),
     ]
 }
 
-/// of dealers of permits
-pub fn of_dealers() -> Vec<Sample> {
+/// Messages of admission permits.
+pub fn admission_samples() -> Vec<Sample> {
     use Kind::Message;
     let report = AdmissionReport {
         entry: "entry-1".to_string(),
@@ -406,7 +406,7 @@
         priority: 1,
         unused: 1,
     };
-    let answer = AdmissionResponse {
+    let response = AdmissionResponse {
         backend: "e-1".into(),
         limit_milli_per_s: Some(2_100),
         freed_ago_ms: None,
@@ -415,13 +415,13 @@
     };
     vec![
         sample(Message, "intake_report", report),
-        sample(Message, "intake_answer", answer),
+        sample(Message, "intake_answer", response),
     ]
 }
 
-/// of requests that pass through sidecars
-pub fn of_work() -> Vec<Sample> {
-    use Kind::{Frame as OfStream, Message};
+/// Messages of requests that sidecars run.
+pub fn work_samples() -> Vec<Sample> {
+    use Kind::{Frame as InStream, Message};
     let permit = PermitRequest {
         purpose: PermitPurpose::Ask,
         target: "box".to_string(),
@@ -511,48 +511,48 @@
         sample(Message, "sync_answer", synced),
         sample(Message, "shard_ask", shard),
         sample(Message, "shard_answer", ShardResponse { shard: None }),
-        sample(OfStream, "frame_report", Frame::Report(report)),
-        sample(OfStream, "frame_token", token),
-        sample(OfStream, "frame_finished", numbered(8, finished)),
+        sample(InStream, "frame_report", Frame::Report(report)),
+        sample(InStream, "frame_token", token),
+        sample(InStream, "frame_finished", numbered(8, finished)),
         sample(
-            OfStream,
+            InStream,
             "frame_refused",
             numbered(9, FrameBody::Refused(refusal)),
         ),
     ]
 }
 
-/// of all kinds
+/// Returns the samples of all kinds.
 pub fn all(is_down: Option<bool>) -> Vec<Sample> {
-    let mut all = of_engines(is_down);
-    all.extend(of_the_store());
-    all.extend(of_keepers());
-    all.extend(of_crashes());
-    all.extend(of_dealers());
-    all.extend(of_work());
+    let mut all = engine_samples(is_down);
+    all.extend(store_samples());
+    all.extend(usage_samples());
+    all.extend(crash_samples());
+    all.extend(admission_samples());
+    all.extend(work_samples());
     all
 }
 
-/// words of the forms in records
-pub const FORMS: [(WireEncoding, &str); 3] = [
+/// Encodings with their names in records.
+pub const ENCODINGS: [(WireEncoding, &str); 3] = [
     (WireEncoding::Positional, "positional"),
     (WireEncoding::Named, "named"),
     (WireEncoding::NamedTextIds, "named_by_text"),
 ];
 
-/// The bytes of all messages in all forms, a line each: kind, form, name, hex. Messages are
-/// written with names in the positional form too, so that they stand once.
+/// Returns the bytes of all samples in all encodings, one line each: kind, encoding, name, hex.
+/// Encodings with the same bytes as an earlier one are left out.
 pub fn record() -> String {
     let mut text = String::new();
     for sample in all(Some(true)) {
         let mut written: Vec<Vec<u8>> = Vec::new();
-        for (form, word) in FORMS {
-            let bytes = (sample.write)(form);
+        for (encoding, encoding_name) in ENCODINGS {
+            let bytes = (sample.write)(encoding);
             if written.contains(&bytes) {
                 continue;
             }
-            let (kind, name) = (sample.kind.word(), sample.name);
-            text.push_str(&format!("{kind} {word} {name} {}\n", hex(&bytes)));
+            let (kind, name) = (sample.kind.name(), sample.name);
+            text.push_str(&format!("{kind} {encoding_name} {name} {}\n", hex(&bytes)));
             written.push(bytes);
         }
     }
--- a/protocol/tests/schema.rs
+++ b/protocol/tests/schema.rs
@@ -1,4 +1,4 @@
-//! the committed code is the one that the schema leads to
+//! The committed generated code must match the schema.
 
 #[path = "../examples/generate.rs"]
 mod generate;
--- a/protocol/tests/views.rs
+++ b/protocol/tests/views.rs
@@ -1,4 +1,4 @@
-//! the messages of a stream of views make the same view on the other side
+//! Receivers of a view stream must reconstruct the sender's view.
 
 use {
     chalkcart_protocol::{
@@ -13,7 +13,7 @@
 const SIZE: usize = 24;
 const SEED: u64 = 7;
 
-/// incarnation, adapters with versions, loads, queue
+/// Incarnation, loaded adapters with versions, adapters being loaded, queue length.
 type ViewNumbers = (u8, Vec<u8>, Vec<u8>, u8);
 
 fn adapter(number: u8) -> AdapterRef {
@@ -23,7 +23,7 @@
     }
 }
 
-/// a view from a few numbers
+/// Builds a view from a few numbers.
 fn view((incarnation, held, loading, queued): ViewNumbers) -> EngineView {
     let held = held.iter().map(|n| HeldAdapter {
         adapter: adapter(*n),
@@ -45,21 +45,21 @@
     }
 }
 
-fn follows(views: Vec<ViewNumbers>) -> bool {
+fn reconstructs_each_view(views: Vec<ViewNumbers>) -> bool {
     let mut before = EngineView::default();
-    let mut followed = EngineView::default();
+    let mut received = EngineView::default();
     views.into_iter().map(view).all(|after| {
         let update = ViewUpdate::between(&before, &after);
         let sent: ViewUpdate = decode(&encode(&update).unwrap()).unwrap();
-        followed.apply(sent);
+        received.apply(sent);
         before = after;
-        followed == before
+        received == before
     })
 }
 
 #[test]
-fn a_follower_of_changes_has_the_view_that_was_sent() {
-    let check: fn(Vec<ViewNumbers>) -> bool = follows;
+fn receivers_reconstruct_the_view_from_updates() {
+    let check: fn(Vec<ViewNumbers>) -> bool = reconstructs_each_view;
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(SIZE, SEED))
         .tests(CASES)
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn the_smallest_message_is_sent() {
+fn the_smallest_update_is_chosen() {
     type Change = fn(&mut EngineView);
     let cases: &[(&str, Change, &str)] = &[
         ("figures", |v| v.figures.queued = 9, "figures"),
-        ("an adapter less", |v| drop(v.held.pop()), "changed"),
+        ("an adapter removed", |v| drop(v.held.pop()), "changed"),
         ("a newer version", |v| v.held[0].version = 9, "changed"),
         ("a load", |v| v.loading = vec![adapter(7)], "changed"),
         (
