--- a/node/src/cli/mod.rs
+++ b/node/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! the command line's common part
+//! Command line parts shared by all programs.
 
 mod program;
 
--- a/node/src/cli/program.rs
+++ b/node/src/cli/program.rs
@@ -1,6 +1,6 @@
 use {getopts::Options, std::path::PathBuf};
 
-/// how a program ends
+/// Exit status of a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCode {
     Done = 0,
@@ -8,19 +8,19 @@
     Usage = 2,
 }
 
-/// a command of a program, for its help
+/// A command of a program, as its help describes it.
 #[derive(Debug, Clone, Copy)]
 pub struct Program {
-    /// as typed, with the command
+    /// Name as typed, including the command.
     pub name: &'static str,
-    /// what follows the name
+    /// Arguments after the name.
     pub arguments: &'static str,
-    /// one line
+    /// One-line summary.
     pub purpose: &'static str,
 }
 
 impl Program {
-    /// the text of `--help`
+    /// Returns the text of `--help`.
     pub fn help(&self, options: &Options) -> String {
         let brief = format!(
             "{}\n\nUsage: {} {}",
@@ -29,7 +29,7 @@
         options.usage(&brief)
     }
 
-    /// options that each command has
+    /// Returns the options that every command has.
     pub fn options() -> Options {
         let mut options = Options::new();
         options.optflag("h", "help", "print this help");
@@ -37,7 +37,7 @@
         options
     }
 
-    /// the one settings file that the command takes
+    /// Returns the settings file, the only argument of the command.
     pub fn file_argument(&self, free: &[String]) -> Result<PathBuf, String> {
         match free {
             [file] => Ok(PathBuf::from(file)),
@@ -46,7 +46,7 @@
     }
 }
 
-/// print what is wrong with the arguments
+/// Prints an error about the arguments.
 pub fn usage_error(program: &Program, message: impl std::fmt::Display) -> ExitCode {
     eprintln!("{}: {message}", program.name);
     eprintln!("Try '{} --help'.", program.name);
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! what both processes share around their work: settings files, logs,
-//! signals and the start of the runtime
+//! Process infrastructure shared by the gateway and the sidecar: settings files, logging,
+//! signals and the runtime.
 
 pub mod cli;
 pub mod logging;
--- a/node/src/logging/bounded_writer.rs
+++ b/node/src/logging/bounded_writer.rs
@@ -15,38 +15,40 @@
     },
 };
 
-/// lines that wait for a slow reader
-const QUEUED_LINES: usize = 512;
-/// longest time that the end of the process waits for its last lines
-const LAST_LINES: Duration = Duration::from_millis(200);
-const LOOK: Duration = Duration::from_millis(5);
-/// stack of the writing thread, which only copies lines
+/// Capacity of the queue to the writer thread, in lines.
+const QUEUE_CAPACITY: usize = 512;
+/// Maximum time that the shutdown waits for queued lines.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Stack size of the writer thread, which only copies lines.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// writes lines without ever waiting for their reader.
+/// Writes log lines without blocking the caller.
 ///
-/// A thread of its own writes; when its queue or the budget is full, lines are
-/// left out and counted, and the count is the next line that gets through.
+/// A dedicated thread writes the lines. If its queue is full or the budget is exhausted, lines
+/// are dropped and counted, and the count is logged ahead of the next line.
 pub struct BoundedWriter {
     node: String,
     started: Instant,
     lines: SyncSender<String>,
     budget: Mutex<LineBudget>,
-    /// lines that the thread has not written yet
+    /// Queued lines that the thread has not written yet.
     pending: Arc<AtomicUsize>,
 }
 
 impl BoundedWriter {
-    /// start the thread that writes to `out`
+    /// Starts the thread that writes to `out`.
     pub fn start(node: &str, out: impl Write + Send + 'static) -> Result<Self> {
-        let (lines, received) = sync_channel(QUEUED_LINES);
+        let (lines, queue) = sync_channel(QUEUE_CAPACITY);
         let builder = thread::Builder::new()
             .name("log".to_string())
             .stack_size(STACK_BYTES);
         let pending = Arc::new(AtomicUsize::new(0));
-        let unwritten = pending.clone();
-        let write = move || write_all(&received, out, &unwritten);
-        builder.spawn(write).context("start the log's thread")?;
+        let thread_pending = pending.clone();
+        let write = move || write_all(&queue, out, &thread_pending);
+        builder
+            .spawn(write)
+            .context("cannot start the log writer thread")?;
         let started = Instant::now();
         Ok(Self {
             node: node.to_string(),
@@ -57,37 +59,38 @@
         })
     }
 
-    /// write one record, or count it as left out
-    pub fn put(&self, record: &Record) {
+    /// Queues a record, or drops and counts it.
+    pub fn write_record(&self, record: &Record) {
         let now = Instant::now();
         let line = json_line(&self.node, now - self.started, record);
         let is_failure = record.level() <= Level::Warn;
-        // no holder panics halfway through a change
+        // the budget stays consistent if a holder of the lock panics
         let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
-        if !budget.take(line.len() + 1, is_failure, now) {
+        if !budget.try_take(line.len() + 1, is_failure, now) {
             return;
         }
-        let left_out = budget.take_left_out();
-        if left_out > 0 && !self.send_count(left_out, now) {
-            budget.put_back(left_out);
+        let dropped = budget.take_dropped();
+        if dropped > 0 && !self.enqueue_drop_count(dropped, now) {
+            budget.add_dropped(dropped);
         }
-        if !self.hand_on(line) {
-            budget.put_back(1);
+        if !self.try_enqueue(line) {
+            budget.add_dropped(1);
         }
     }
 
-    fn hand_on(&self, line: String) -> bool {
+    /// Queues a line for the writer thread; returns false if the queue is full.
+    fn try_enqueue(&self, line: String) -> bool {
         self.pending.fetch_add(1, Ordering::Relaxed);
-        let is_taken = self.lines.try_send(line).is_ok();
-        if !is_taken {
+        let is_queued = self.lines.try_send(line).is_ok();
+        if !is_queued {
             self.pending.fetch_sub(1, Ordering::Relaxed);
         }
-        is_taken
+        is_queued
     }
 
-    /// say how many lines were left out; false if the queue is full
-    fn send_count(&self, left_out: u64, now: Instant) -> bool {
-        let fields = [("count", left_out)];
+    /// Queues a line with the number of dropped lines; returns false if the queue is full.
+    fn enqueue_drop_count(&self, dropped: u64, now: Instant) -> bool {
+        let fields = [("count", dropped)];
         let mut builder = Record::builder();
         builder.level(Level::Warn).key_values(&fields);
         let line = json_line(
@@ -95,13 +98,13 @@
             now - self.started,
             &builder.args(format_args!("log: lines left out")).build(),
         );
-        self.hand_on(line)
+        self.try_enqueue(line)
     }
 }
 
-fn write_all(received: &Receiver<String>, mut out: impl Write, pending: &AtomicUsize) {
-    for line in received {
-        // a reader that is gone is no reason to stop the process
+fn write_all(queue: &Receiver<String>, mut out: impl Write, pending: &AtomicUsize) {
+    for line in queue {
+        // a closed standard output must not stop the process
         let _ = writeln!(out, "{line}");
         let _ = out.flush();
         pending.fetch_sub(1, Ordering::Relaxed);
@@ -110,7 +113,7 @@
 
 impl LogWriter for BoundedWriter {
     fn write(&self, _now: &mut DeferredNow, record: &Record) -> io::Result<()> {
-        self.put(record);
+        self.write_record(record);
         Ok(())
     }
     fn flush(&self) -> io::Result<()> {
@@ -119,11 +122,11 @@
     fn max_log_level(&self) -> LevelFilter {
         LevelFilter::Trace
     }
-    /// let the last lines out, for a short time at most
+    /// Waits briefly until the queued lines are written.
     fn shutdown(&self) {
-        let until = Instant::now() + LAST_LINES;
-        while self.pending.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-            thread::sleep(LOOK);
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while self.pending.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
     }
 }
--- a/node/src/logging/mod.rs
+++ b/node/src/logging/mod.rs
@@ -1,4 +1,4 @@
-//! logs: lines of JSON on standard output, bounded and never waited for
+//! Logging as JSON lines on standard output, bounded in rate and non-blocking.
 
 mod bounded_writer;
 mod json_line;
--- a/node/src/logging/start.rs
+++ b/node/src/logging/start.rs
@@ -6,17 +6,17 @@
     std::io,
 };
 
-/// start logging to standard output, one line of JSON a record, with the name
-/// of this process's box in each
+/// Starts logging to standard output, one JSON line per record, with the name of this box in
+/// each.
 pub fn start(name: &str, level: &str) -> Result<LoggerHandle> {
-    let logger = Logger::try_with_str(level).context("read the log level")?;
+    let logger = Logger::try_with_str(level).context("invalid log level")?;
     let writer = BoundedWriter::start(name, io::stdout())?;
     let logger = logger.log_to_writer(Box::new(writer));
-    logger.start().context("start the log")
+    logger.start().context("cannot start the logger")
 }
 
-/// whether a text names a level of the log; flexi_logger itself takes any
-/// word for the name of a module
+/// Checks that a text is a log level. flexi_logger would accept any other word as a module
+/// name.
 pub fn check_level(level: &str) -> Result<(), ParseLevelError> {
     level.parse::<LevelFilter>().map(|_| ())
 }
--- a/node/src/runtime/mod.rs
+++ b/node/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! the runtime of a process
+//! Runtime of a process.
 
 mod run_process;
 
--- a/node/src/runtime/run_process.rs
+++ b/node/src/runtime/run_process.rs
@@ -5,7 +5,7 @@
     tokio::runtime::Builder,
 };
 
-/// start the log and the traffic threads, and run a process to its end
+/// Starts logging and a multi-threaded runtime, and runs a process to completion.
 pub fn run_process(
     name: &str,
     log_level: &str,
@@ -17,7 +17,7 @@
     run(name, log_level, builder, process)
 }
 
-/// the same with one thread for all traffic, for boxes with a part of a core
+/// Like [`run_process`] with a single-threaded runtime, for boxes with a fraction of a core.
 pub fn run_on_one_thread(
     name: &str,
     log_level: &str,
@@ -33,11 +33,14 @@
     process: impl Future<Output = Result<()>>,
 ) -> Result<()> {
     let log = logging::start(name, log_level)?;
-    let runtime = builder.enable_all().build().context("start the runtime")?;
-    let ended = runtime.block_on(process);
-    if let Err(e) = &ended {
+    let runtime = builder
+        .enable_all()
+        .build()
+        .context("cannot start the runtime")?;
+    let result = runtime.block_on(process);
+    if let Err(e) = &result {
         log::error!("process: failed: {e:#}");
     }
     log.shutdown();
-    ended
+    result
 }
--- a/node/src/settings/checks.rs
+++ b/node/src/settings/checks.rs
@@ -1,6 +1,6 @@
 use {super::SettingsError, crate::logging};
 
-/// refuse an empty text
+/// Rejects an empty text.
 pub fn check_not_empty(
     key: &'static str,
     value: &str,
@@ -12,7 +12,7 @@
     }
 }
 
-/// refuse zero
+/// Rejects zero.
 pub fn check_positive(key: &'static str, value: u64) -> Result<(), SettingsError> {
     match value {
         0 => Err(SettingsError::value(key, 0, "1 or more")),
@@ -20,7 +20,7 @@
     }
 }
 
-/// refuse what is no level of the log
+/// Rejects a text that is not a log level.
 pub fn check_log(level: &str) -> Result<(), SettingsError> {
     let checked = logging::check_level(level);
     checked.map_err(|_| SettingsError::value("log", level, "a log level"))
--- a/node/src/settings/defaults.rs
+++ b/node/src/settings/defaults.rs
@@ -1,14 +1,14 @@
-//! defaults that both programs share
+//! Default settings shared by both programs.
 
-/// level of the log
+/// Returns the default log level.
 pub fn log() -> String {
     "info".to_string()
 }
-/// longest time that a planned stop waits, in ms
+/// Returns the default time limit of a graceful shutdown, in ms.
 pub fn drain_ms() -> u64 {
     60_000
 }
-/// threads for traffic
+/// Returns the default number of runtime threads.
 pub fn threads() -> usize {
     2
 }
--- a/node/src/settings/errors.rs
+++ b/node/src/settings/errors.rs
@@ -1,6 +1,6 @@
 use {std::path::PathBuf, thiserror::Error};
 
-/// a settings file that can't be used
+/// Why a settings file is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("{}: {source}", file.display())]
@@ -8,7 +8,6 @@
         file: PathBuf,
         source: std::io::Error,
     },
-    /// the key, the value and what was expected
     #[error("{key}: {problem}")]
     Parse { key: String, problem: String },
     #[error("{key}: {value} is not allowed, expected {expected}")]
--- a/node/src/settings/load.rs
+++ b/node/src/settings/load.rs
@@ -5,21 +5,21 @@
     std::path::{Path, PathBuf},
 };
 
-/// settings that know their bounds
+/// Settings that can be validated.
 pub trait Checked {
-    /// refuse values out of bounds
+    /// Rejects values out of bounds.
     fn check(&self) -> Result<(), SettingsError>;
 }
 
-/// turns another form of a settings file into ours
+/// Converts a settings file in another format to chalkcart's.
 pub type Translate = fn(Value) -> Result<Value, SettingsError>;
 
-/// read and check a settings file
+/// Reads and validates a settings file.
 pub fn load<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, SettingsError> {
     parse(&read(file)?)
 }
 
-/// the same for a file of another form
+/// Like [`load`] for a file in another format.
 pub fn load_translated<T: DeserializeOwned + Checked>(
     file: &Path,
     translate: Translate,
@@ -34,20 +34,20 @@
     })
 }
 
-/// parse and check the text of a settings file
+/// Parses and validates the text of a settings file.
 pub fn parse<T: DeserializeOwned + Checked>(text: &str) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let settings = deserialize(&mut json)?;
-    json.end().map_err(unreadable)?;
+    json.end().map_err(parse_error)?;
     Ok(settings)
 }
 
-/// the same for a text of another form
+/// Like [`parse`] for a text in another format.
 pub fn parse_translated<T: DeserializeOwned + Checked>(
     text: &str,
     translate: Translate,
 ) -> Result<T, SettingsError> {
-    let document: Value = serde_json::from_str(text).map_err(unreadable)?;
+    let document: Value = serde_json::from_str(text).map_err(parse_error)?;
     deserialize(translate(document)?)
 }
 
@@ -65,17 +65,17 @@
     Ok(settings)
 }
 
-fn unreadable(e: serde_json::Error) -> SettingsError {
+fn parse_error(e: serde_json::Error) -> SettingsError {
     SettingsError::Parse {
         key: ".".to_string(),
         problem: e.to_string(),
     }
 }
 
-/// the variable that names the settings file where none is given
+/// Environment variable with the path of the settings file, used if no argument is given.
 pub const FILE_VARIABLE: &str = "CHALKCART_CONFIG";
 
-/// the settings file of a command that takes one, or none and the variable
+/// Returns the settings file named by the argument or else by the environment variable.
 pub fn file_or_environment(free: &[String]) -> Result<PathBuf, String> {
     match free {
         [file] => Ok(PathBuf::from(file)),
--- a/node/src/settings/mod.rs
+++ b/node/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! settings files, checked before anything starts
+//! Settings files, validated before a process starts.
 
 mod checks;
 pub mod defaults;
--- a/node/src/settings/reload.rs
+++ b/node/src/settings/reload.rs
@@ -13,10 +13,10 @@
     },
 };
 
-/// how often the file is compared without a signal
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the file is checked for changes.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// follows a settings file: read again at SIGHUP, and when its text changes
+/// Reloads a settings file on SIGHUP and when its content changes.
 pub struct SettingsReloader {
     file: PathBuf,
     text: String,
@@ -24,11 +24,11 @@
 }
 
 impl SettingsReloader {
-    /// `file` was read at the start
+    /// Watches a file that the process has already loaded.
     pub fn new(file: &Path) -> Self {
         Self::with_translation(file, Ok)
     }
-    /// the same for a file of another form
+    /// Watches a file in another format, which `translate` converts.
     pub fn with_translation(file: &Path, translate: Translate) -> Self {
         Self {
             translate,
@@ -37,37 +37,42 @@
         }
     }
 
-    /// hand each good new version to `apply`; a bad one is refused with a log
-    /// line, and the old one stays in force
+    /// Passes each valid new version to `apply`. An invalid one is logged, and the previous one
+    /// stays in force.
+    ///
+    /// # Errors
+    /// SIGHUP cannot be watched or unblocked.
     pub async fn run<T: DeserializeOwned + Checked>(
         mut self,
         apply: impl Fn(T) + Send,
     ) -> Result<()> {
-        let mut hangup = signal(SignalKind::hangup()).context("watch SIGHUP")?;
+        let mut hangup = signal(SignalKind::hangup()).context("cannot watch SIGHUP")?;
         unblock_sighup()?;
         loop {
-            let signalled = timeout(LOOK_EVERY, hangup.recv()).await.is_ok();
-            match self.read_changed::<T>(signalled) {
+            let is_signalled = timeout(POLL_INTERVAL, hangup.recv()).await.is_ok();
+            match self.read_if_changed::<T>(is_signalled) {
                 Ok(Some(settings)) => {
                     log::info!("settings: {} in force", self.file.display());
                     apply(settings);
                 }
                 Ok(None) => {}
-                Err(e) => log::error!("settings: new ones refused, the old stay in force: {e}"),
+                Err(e) => log::error!(
+                    "settings: new version rejected; the previous one stays in force: {e}"
+                ),
             }
         }
     }
 
-    fn read_changed<T: DeserializeOwned + Checked>(
+    fn read_if_changed<T: DeserializeOwned + Checked>(
         &mut self,
-        signalled: bool,
+        is_signalled: bool,
     ) -> Result<Option<T>, SettingsError> {
         let read = std::fs::read_to_string(&self.file);
         let text = read.map_err(|source| SettingsError::Read {
             file: self.file.clone(),
             source,
         })?;
-        if !signalled && text == self.text {
+        if !is_signalled && text == self.text {
             return Ok(None);
         }
         self.text = text;
--- a/node/src/signals/mod.rs
+++ b/node/src/signals/mod.rs
@@ -1,4 +1,4 @@
-//! signals that ask for a planned stop, or for settings to be read again
+//! Signals for a graceful shutdown and for reloading settings.
 
 mod sighup;
 mod stop_signal;
--- a/node/src/signals/sighup.rs
+++ b/node/src/signals/sighup.rs
@@ -1,29 +1,30 @@
-//! SIGHUP until somebody follows it
+//! Blocking of SIGHUP during the start of a process.
 
 use {
     anyhow::{Context, Result},
     nix::sys::signal::{SigSet, Signal},
 };
 
-/// Keep SIGHUP until `unblock_sighup`: one that comes while the process still begins
-/// would end it, since it asks for settings to be read again only where that is followed.
-/// Threads that are started meanwhile keep it too.
+/// Blocks SIGHUP on this thread and those that it starts, until [`unblock_sighup`]. Without a
+/// handler, one that arrives during the start would terminate the process.
 ///
 /// # Errors
-/// the system refused it
+/// The system call failed.
 pub fn block_sighup() -> Result<()> {
-    hangups().thread_block().context("hold SIGHUP")
+    sighup_set().thread_block().context("cannot block SIGHUP")
 }
 
-/// let SIGHUP through on this thread, also one that came meanwhile
+/// Unblocks SIGHUP on this thread and delivers a pending one.
 ///
 /// # Errors
-/// the system refused it
+/// The system call failed.
 pub fn unblock_sighup() -> Result<()> {
-    hangups().thread_unblock().context("release SIGHUP")
+    sighup_set()
+        .thread_unblock()
+        .context("cannot unblock SIGHUP")
 }
 
-fn hangups() -> SigSet {
+fn sighup_set() -> SigSet {
     let mut set = SigSet::empty();
     set.add(Signal::SIGHUP);
     set
--- a/node/tests/logging.rs
+++ b/node/tests/logging.rs
@@ -1,4 +1,4 @@
-//! the log is bounded and never waits for its reader
+//! Log output is bounded and never blocks the process.
 
 use {
     chalkcart_node::logging::{BoundedWriter, LineBudget, BYTES_PER_SECOND},
@@ -13,21 +13,21 @@
     },
 };
 
-/// takes no byte until it is told to
-struct StuckReader {
-    go_on: Receiver<()>,
-    is_stuck: bool,
-    seen: Arc<Mutex<Vec<u8>>>,
+/// Blocks writes until it is released.
+struct BlockingWriter {
+    release: Receiver<()>,
+    is_blocked: bool,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for StuckReader {
+impl Write for BlockingWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        if self.is_stuck {
-            // an error says that the test is over
-            let _ = self.go_on.recv();
-            self.is_stuck = false;
+        if self.is_blocked {
+            // an error means that the test has ended
+            let _ = self.release.recv();
+            self.is_blocked = false;
         }
-        self.seen.lock().unwrap().extend_from_slice(buf);
+        self.written.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -35,82 +35,88 @@
     }
 }
 
-fn stuck_reader() -> (StuckReader, Sender<()>, Arc<Mutex<Vec<u8>>>) {
-    let (unstick, go_on) = channel();
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let reader = StuckReader {
-        go_on,
-        is_stuck: true,
-        seen: seen.clone(),
+fn blocking_writer() -> (BlockingWriter, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+    let (release_sender, release) = channel();
+    let written = Arc::new(Mutex::new(Vec::new()));
+    let out = BlockingWriter {
+        release,
+        is_blocked: true,
+        written: written.clone(),
     };
-    (reader, unstick, seen)
+    (out, release_sender, written)
 }
 
-fn put(writer: &BoundedWriter, text: &str) {
+fn log_line(writer: &BoundedWriter, text: &str) {
     let mut builder = Record::builder();
     builder.level(Level::Info);
-    writer.put(&builder.args(format_args!("part: {text}")).build());
+    writer.write_record(&builder.args(format_args!("part: {text}")).build());
 }
 
 #[test]
-fn a_reader_that_does_not_read_holds_nothing_up_and_the_gap_is_counted() {
-    let (reader, unstick, seen) = stuck_reader();
-    let writer = BoundedWriter::start("node-1", reader).unwrap();
-    let mut put_in_all: u64 = 5_000;
-    for number in 0..put_in_all {
-        // this would hang if a line waited for its reader
-        put(&writer, &format!("line {number}"));
+fn a_blocked_output_does_not_block_logging_and_dropped_lines_are_counted() {
+    let (out, release, output) = blocking_writer();
+    let writer = BoundedWriter::start("node-1", out).unwrap();
+    let mut total: u64 = 5_000;
+    for number in 0..total {
+        // would hang if logging blocked on the output
+        log_line(&writer, &format!("line {number}"));
     }
-    unstick.send(()).unwrap();
-    let end = Instant::now() + Duration::from_secs(60);
+    release.send(()).unwrap();
+    let deadline = Instant::now() + Duration::from_secs(60);
     loop {
-        put(&writer, "after the gap");
-        put_in_all += 1;
+        log_line(&writer, "after the gap");
+        total += 1;
         std::thread::sleep(Duration::from_millis(5));
-        let (written, left_out) = count_lines(&seen);
-        // each line is either written or counted, however long it took
-        if left_out > 0 && written + left_out == put_in_all {
-            assert!(written < 3_000, "{written} of {put_in_all}");
+        let (written, dropped) = count_lines(&output);
+        // each line is either written or counted as dropped
+        if dropped > 0 && written + dropped == total {
+            assert!(written < 3_000, "{written} of {total}");
             return;
         }
         assert!(
-            Instant::now() < end,
-            "{written} written, {left_out} counted, {put_in_all} put"
+            Instant::now() < deadline,
+            "{written} written, {dropped} dropped, {total} logged"
         );
     }
 }
 
-/// lines that were written, and lines that were counted as left out
-fn count_lines(seen: &Mutex<Vec<u8>>) -> (u64, u64) {
-    let text = String::from_utf8(seen.lock().unwrap().clone()).unwrap();
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-    let (mut written, mut left_out) = (0, 0);
-    for line in whole.lines() {
+/// Returns the numbers of lines written and of lines reported as dropped.
+fn count_lines(output: &Mutex<Vec<u8>>) -> (u64, u64) {
+    let text = String::from_utf8(output.lock().unwrap().clone()).unwrap();
+    let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+    let (mut written, mut dropped) = (0, 0);
+    for line in complete.lines() {
         let parsed: serde_json::Value = serde_json::from_str(line).unwrap();
         match parsed["count"].as_u64() {
-            Some(count) => left_out += count,
+            Some(count) => dropped += count,
             None => written += 1,
         }
     }
-    (written, left_out)
+    (written, dropped)
 }
 
 #[test]
-fn no_more_bytes_a_second_than_stated_and_failures_go_last() {
+fn output_rate_is_bounded_and_failures_are_dropped_last() {
     let start = Instant::now();
     let mut budget = LineBudget::new(start);
     let (line, seconds) = (200usize, 20u64);
     let mut written = 0;
     for tick in 0..seconds * 1_000 {
         let now = start + Duration::from_millis(tick);
-        written += (0..10).filter(|_| budget.take(line, false, now)).count() * line;
+        written += (0..10)
+            .filter(|_| budget.try_take(line, false, now))
+            .count()
+            * line;
     }
-    let most = BYTES_PER_SECOND * (seconds as f64 + 2.0);
-    assert!((written as f64) <= most, "{written} of {most}");
+    let max = BYTES_PER_SECOND * (seconds as f64 + 2.0);
+    assert!((written as f64) <= max, "{written} of {max}");
     let now = start + Duration::from_secs(seconds);
-    while budget.take(line, false, now) {}
-    assert!(!budget.take(line, false, now));
-    assert!(budget.take(line, true, now), "a failure still goes");
-    assert!(budget.take_left_out() > 0);
-    assert_eq!(budget.take_left_out(), 0);
+    while budget.try_take(line, false, now) {}
+    assert!(!budget.try_take(line, false, now));
+    assert!(
+        budget.try_take(line, true, now),
+        "a failure is still written"
+    );
+    assert!(budget.take_dropped() > 0);
+    assert_eq!(budget.take_dropped(), 0);
 }
--- a/testkit/tests/ingress_configuration.rs
+++ b/testkit/tests/ingress_configuration.rs
@@ -147,7 +147,7 @@
     hang_up()?;
     until("the bad ones are refused", || {
         let log = fleet.log();
-        log.contains("new ones refused") && log.contains("grace_s: -1 is not allowed")
+        log.contains("new version rejected") && log.contains("grace_s: -1 is not allowed")
     })
     .await;
     assert_eq!(ask(&fleet, "/safe/").await?.status, 200);
