--- a/coordination/src/backend_admission/advertised_limit.rs
+++ b/coordination/src/backend_admission/advertised_limit.rs
@@ -1,7 +1,7 @@
 use {
     super::{AdmissionGate, EqualShare, PermitPool, ShareMode, MIN_PROBE_RATE_PER_S},
     crate::backend_signals::{LimitSignal, RequestRate},
-    chalkcart_protocol::peer::{HeardLimit, IntakeAnswer},
+    chalkcart_protocol::peer::{AdmissionResponse, ObservedLimit},
     std::time::{Duration, Instant},
 };
 
@@ -32,7 +32,7 @@
 /// Limit of a back end as this entry observed it, for the permit issuer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitUpdate {
-    pub limit: Option<HeardLimit>,
+    pub limit: Option<ObservedLimit>,
     /// ms since a response came without the limit that applied before
     pub lifted_ago_ms: Option<u32>,
 }
@@ -108,7 +108,7 @@
     /// entry may have reported to it that the limit was lifted since the last response here.
     pub fn on_permit_response(
         &mut self,
-        response: &IntakeAnswer,
+        response: &AdmissionResponse,
         requested_at: Instant,
         sharing: LimitSharing,
         now: Instant,
@@ -225,7 +225,7 @@
             u32::try_from(elapsed).unwrap_or(u32::MAX)
         };
         let update = LimitUpdate {
-            limit: self.received.map(|received| HeardLimit {
+            limit: self.received.map(|received| ObservedLimit {
                 milli_per_s: received.rate.milli_per_s(),
                 ago_ms: ms_since(received.at),
             }),
--- a/coordination/src/backend_admission/engine_limit.rs
+++ b/coordination/src/backend_admission/engine_limit.rs
@@ -1,7 +1,7 @@
 use {
     super::PermitIssuer,
     crate::backend_signals::{LimitSignal, RequestRate},
-    chalkcart_protocol::peer::{HeardLimit, IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse, ObservedLimit},
     chalkcart_state::backends::BackendId,
     std::time::{Duration, Instant},
 };
@@ -52,9 +52,9 @@
     pub fn on_report(
         &mut self,
         backend: &BackendId,
-        report: &IntakeReport,
+        report: &AdmissionReport,
         now: Instant,
-    ) -> IntakeAnswer {
+    ) -> AdmissionResponse {
         let is_same_engine = report.backend == *backend;
         if is_same_engine {
             self.update_from_entry(report, now);
@@ -64,7 +64,7 @@
             Some(rate) => self.issuer.issue(rate.per_s(), report, now),
             None => (0, Duration::ZERO),
         };
-        IntakeAnswer {
+        AdmissionResponse {
             backend: backend.clone(),
             limit_milli_per_s: limit.map(RequestRate::milli_per_s),
             freed_ago_ms: self.lifted_at.map(|at| ms_since(at, now)),
@@ -73,7 +73,7 @@
         }
     }
 
-    fn update_from_entry(&mut self, report: &IntakeReport, now: Instant) {
+    fn update_from_entry(&mut self, report: &AdmissionReport, now: Instant) {
         if let Some(lifted_at) = report.freed_ago_ms.map(|ago| ms_ago(ago, now)) {
             self.from_entries = self.from_entries.filter(|(_, at)| *at > lifted_at);
             let latest = self
@@ -81,7 +81,7 @@
                 .map_or(lifted_at, |known| known.max(lifted_at));
             self.lifted_at = Some(latest);
         }
-        let Some(HeardLimit {
+        let Some(ObservedLimit {
             milli_per_s,
             ago_ms,
         }) = report.named
--- a/coordination/src/backend_admission/permit_issuer.rs
+++ b/coordination/src/backend_admission/permit_issuer.rs
@@ -1,6 +1,6 @@
 use {
     super::MIN_PROBE_RATE_PER_S,
-    chalkcart_protocol::peer::IntakeReport,
+    chalkcart_protocol::peer::AdmissionReport,
     chalkcart_state::ids::BoxName,
     std::{
         collections::HashMap,
@@ -39,7 +39,7 @@
 impl PermitIssuer {
     /// Returns the number of permits granted to an entry now, and the time until its next
     /// grant.
-    pub fn issue(&mut self, per_s: f64, report: &IntakeReport, now: Instant) -> (u32, Duration) {
+    pub fn issue(&mut self, per_s: f64, report: &AdmissionReport, now: Instant) -> (u32, Duration) {
         let per_s = per_s.max(MIN_PROBE_RATE_PER_S);
         self.refill(per_s, f64::from(report.unused), now);
         self.record_request(report, now);
@@ -73,7 +73,7 @@
         self.tokens = (self.tokens + due + returned).min(max_tokens);
     }
 
-    fn record_request(&mut self, report: &IntakeReport, now: Instant) {
+    fn record_request(&mut self, report: &AdmissionReport, now: Instant) {
         self.entries
             .retain(|_, e| now.saturating_duration_since(e.received_at) < ENTRY_TTL);
         let known = self.entries.get(&report.entry);
--- a/coordination/src/crashes/crash_detector.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -1,6 +1,6 @@
 use {
     crate::dispatch::reported_at,
-    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_protocol::peer::EngineStats,
     chalkcart_state::{backends::BackendId, ingress::RequestDigest},
     std::{
         collections::HashMap,
@@ -67,7 +67,7 @@
     }
 
     /// Applies what an engine's sidecar reports about the engine.
-    pub fn on_engine_stats(&mut self, backend: &BackendId, figures: &EngineFigures, now: Instant) {
+    pub fn on_engine_stats(&mut self, backend: &BackendId, figures: &EngineStats, now: Instant) {
         match figures.is_down {
             Some(true) => self.on_engine_ended(backend, now),
             Some(false) => self.on_alive(backend, reported_at(figures, now)),
--- a/coordination/src/crashes/crash_registry.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::{CrashEvent, CrashWord},
+    chalkcart_protocol::peer::{CrashEvent, CrashReport},
     chalkcart_state::ingress::RequestDigest,
     std::{
         collections::HashMap,
@@ -118,7 +118,7 @@
     }
 
     /// Adds the reports of another process. Returns whether any of them is new.
-    pub fn merge(&mut self, reports: &[CrashWord], now: Instant) -> bool {
+    pub fn merge(&mut self, reports: &[CrashReport], now: Instant) -> bool {
         let previous = self.revision;
         for report in reports {
             let age = Duration::from_millis(report.age_ms);
@@ -130,18 +130,18 @@
 
     /// Returns the events after a revision, oldest first and at most one message full, and
     /// the revision up to which they are complete.
-    pub fn reports_since(&self, revision: u64, now: Instant) -> (Vec<CrashWord>, u64) {
+    pub fn reports_since(&self, revision: u64, now: Instant) -> (Vec<CrashReport>, u64) {
         if revision >= self.revision {
             return (Vec::new(), self.revision);
         }
-        let mut reports: Vec<(u64, CrashWord)> = Vec::new();
+        let mut reports: Vec<(u64, CrashReport)> = Vec::new();
         for (digest, record) in &self.requests {
             let newer = record
                 .events()
                 .filter(|(_, stamp)| stamp.revision > revision);
             reports.extend(newer.map(|(event, stamp)| {
                 let age = now.saturating_duration_since(stamp.at);
-                let report = CrashWord {
+                let report = CrashReport {
                     digest: *digest,
                     event,
                     age_ms: age.as_millis() as u64,
--- a/coordination/src/dispatch/account_fair_queueing.rs
+++ b/coordination/src/dispatch/account_fair_queueing.rs
@@ -1,4 +1,4 @@
-use {chalkcart_state::accounts::AccountMark, std::collections::HashMap};
+use {chalkcart_state::accounts::AccountFingerprint, std::collections::HashMap};
 
 /// Accounts tracked before those without a waiting request are dropped.
 const MAX_TRACKED_ACCOUNTS: usize = 1_000;
@@ -13,13 +13,13 @@
     /// Start tag of the request served last.
     virtual_time: u64,
     /// Finish tag of the last request of each account.
-    finish_tags: HashMap<AccountMark, u64>,
+    finish_tags: HashMap<AccountFingerprint, u64>,
 }
 
 impl AccountFairQueueing {
     /// Returns the start tag of a request; a request without an account starts at the
     /// current virtual time.
-    pub fn next_start_tag(&mut self, account: Option<AccountMark>, size: u32) -> u64 {
+    pub fn next_start_tag(&mut self, account: Option<AccountFingerprint>, size: u32) -> u64 {
         let Some(account) = account else {
             return self.virtual_time;
         };
@@ -35,7 +35,7 @@
     }
 
     /// Handles a request that left without being served: it costs its account nothing.
-    pub fn on_withdrawn(&mut self, account: Option<AccountMark>, size: u32) {
+    pub fn on_withdrawn(&mut self, account: Option<AccountFingerprint>, size: u32) {
         let finish_tag = account.and_then(|account| self.finish_tags.get_mut(&account));
         if let Some(finish_tag) = finish_tag {
             *finish_tag = finish_tag
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -8,7 +8,7 @@
         membership::{rendezvous_weight, stable_hash},
         placement::{adapter_hash, AdapterHash, RecentAdapters},
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend},
         ingress::RequestDigest,
@@ -219,7 +219,7 @@
         AffectedRequests::OfAdapters(loaded.map(|h| h.adapter.clone()).collect())
     }
     /// Applies a report in which only the stats changed.
-    pub fn on_stats(&mut self, figures: EngineFigures, now: Instant) {
+    pub fn on_stats(&mut self, figures: EngineStats, now: Instant) {
         if let Some(view) = &mut self.view {
             view.figures = figures;
             self.viewed_at = reported_at(&figures, now);
@@ -435,7 +435,7 @@
 }
 
 /// Returns when the sidecar wrote the report; relays add the time that it spent on the way.
-pub(crate) fn reported_at(figures: &EngineFigures, now: Instant) -> Instant {
+pub(crate) fn reported_at(figures: &EngineStats, now: Instant) -> Instant {
     let age = Duration::from_millis(u64::from(figures.age_ms));
     now.checked_sub(age).unwrap_or(now)
 }
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -7,7 +7,7 @@
         BackendState,
     },
     crate::backend_signals::BackendSignals,
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, Backend, BackendId, BackendList, BackendName},
         ids::ServiceName,
@@ -38,7 +38,8 @@
         for (id, state) in &mut self.backends {
             let by_name = listed.get(&id.name);
             let is_listed = by_name.is_some_and(|listed| *listed == id);
-            let has_successor = by_name.is_some_and(|b| b.follows(id) && !ended.contains(*b));
+            let has_successor =
+                by_name.is_some_and(|b| b.is_later_incarnation_of(id) && !ended.contains(*b));
             state.is_ahead_of_list &= !is_listed && !has_successor;
             let was_unlisted = state.is_unlisted;
             state.is_unlisted = !(is_listed || state.is_ahead_of_list && state.view.is_some());
@@ -187,7 +188,7 @@
             current.view.is_some()
                 && current.listed.service == listed.service
                 && *id != listed.id
-                && !listed.id.follows(id)
+                && !listed.id.is_later_incarnation_of(id)
         })
     }
 
@@ -202,7 +203,7 @@
     /// Applies the engine's own signals that its sidecar forwards: leaving, a rate limit or
     /// slow start. They also reach entries that got no response from the engine, and arrive
     /// while the store is down.
-    fn on_reported_signals(&mut self, backend: &BackendId, stats: &EngineFigures, now: Instant) {
+    fn on_reported_signals(&mut self, backend: &BackendId, stats: &EngineStats, now: Instant) {
         self.on_limit_reported(backend, stats, now);
         if stats.cold_left_ms > 0 {
             let left = Duration::from_millis(u64::from(stats.cold_left_ms));
@@ -214,7 +215,7 @@
         }
     }
 
-    pub(super) fn on_stats(&mut self, backend: &BackendId, stats: EngineFigures, now: Instant) {
+    pub(super) fn on_stats(&mut self, backend: &BackendId, stats: EngineStats, now: Instant) {
         self.last_report_at = Some(now);
         self.on_entry_count(stats.entries, now);
         if let Some(state) = self.backends.get_mut(backend) {
--- a/coordination/src/dispatch/dispatch_request.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -1,6 +1,6 @@
 use {
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         backends::{AdapterRef, BackendId},
         ids::{BaseModelName, ServiceName},
         ingress::RequestDigest,
@@ -24,7 +24,7 @@
     pub adapter: Option<AdapterRef>,
     pub prompt_tokens: u32,
     /// The client account, none on a route without keys.
-    pub account: Option<AccountMark>,
+    pub account: Option<AccountFingerprint>,
     pub allowed_regions: AllowedRegions,
     /// Priority of the client account; compared before that of the route. 0 is the most
     /// urgent.
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -1,7 +1,7 @@
 use {
     super::{DispatchRequest, DispatchSettings, PermitError, Ticket},
     crate::backend_signals::BackendSignals,
-    chalkcart_protocol::peer::{EngineFigures, EngineView, IntakeAnswer},
+    chalkcart_protocol::peer::{AdmissionResponse, EngineStats, EngineView},
     chalkcart_state::{
         backends::{AdapterRef, BackendId, BackendList},
         ids::ZoneName,
@@ -75,7 +75,7 @@
     PermitsReceived {
         backend: BackendId,
         requested_at: Instant,
-        response: Result<IntakeAnswer, PermitError>,
+        response: Result<AdmissionResponse, PermitError>,
     },
     ListUpdated {
         version: u64,
@@ -94,7 +94,7 @@
     /// Only these stats of a view changed.
     StatsReceived {
         backend: BackendId,
-        stats: EngineFigures,
+        stats: EngineStats,
     },
     ViewLost(BackendId),
     /// A demand was sent to the sidecar of the engine at this address, and reached it if
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -6,7 +6,7 @@
         backend_admission::{AdvertisedLimit, LimitSharing},
         backend_signals::{LimitSignal, RequestRate},
     },
-    chalkcart_protocol::peer::{EngineFigures, IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse, EngineStats},
     chalkcart_state::backends::BackendId,
     std::{
         collections::HashMap,
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitQuery {
     pub engine: SocketAddr,
-    pub report: IntakeReport,
+    pub report: AdmissionReport,
     pub requested_at: Instant,
 }
 
@@ -51,7 +51,7 @@
     pub(super) fn on_limit_reported(
         &mut self,
         backend: &BackendId,
-        figures: &EngineFigures,
+        figures: &EngineStats,
         now: Instant,
     ) {
         let reported = figures.limit_milli_per_s.map(RequestRate::from_milli_per_s);
@@ -68,7 +68,7 @@
         &mut self,
         backend: &BackendId,
         requested_at: Instant,
-        response: Result<IntakeAnswer, PermitError>,
+        response: Result<AdmissionResponse, PermitError>,
         now: Instant,
     ) {
         self.update_limit(backend, now, |limit, sharing| match &response {
@@ -173,7 +173,7 @@
             }
             queries.push(PermitQuery {
                 engine: state.listed.addr,
-                report: IntakeReport {
+                report: AdmissionReport {
                     entry: self.settings.entry.clone(),
                     backend: id.clone(),
                     named: update.limit,
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -148,7 +148,7 @@
             return (Choice::Wait(RejectionCause::BackedOff), Vec::new());
         }
         if candidates.is_empty() {
-            let cause = match request.allowed_regions.allows_each() {
+            let cause = match request.allowed_regions.is_unrestricted() {
                 true => RejectionCause::NoBackend,
                 false => RejectionCause::OutsideRegions,
             };
--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -5,9 +5,9 @@
         LimitBounds, LimitSettings,
     },
     crate::membership::{rendezvous_weight, stable_hash},
-    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageAnswer, UsageReport},
+    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
-        accounts::{AccountMark, ClientAccount, ClientAccountName, RateLimit},
+        accounts::{AccountFingerprint, ClientAccount, ClientAccountName, RateLimit},
         ids::{BoxName, Incarnation},
     },
     std::{
@@ -79,7 +79,7 @@
     aggregator: Option<Incarnation>,
     /// Responses received from this aggregator.
     responses: u32,
-    accounts: HashMap<AccountMark, SharedBucket>,
+    accounts: HashMap<AccountFingerprint, SharedBucket>,
 }
 
 impl AccountLimiter {
@@ -113,20 +113,20 @@
             let Some(limit) = &account.limit else {
                 continue;
             };
-            if !limited.insert(account.mark) {
+            if !limited.insert(account.fingerprint) {
                 // an account is listed once per API key
                 continue;
             }
             let (bounds, entries) = (self.settings.bounds(limit), self.entry_count());
-            let known = self.accounts.get(&account.mark);
+            let known = self.accounts.get(&account.fingerprint);
             if known.is_none_or(|bucket| bucket.bounds() != bounds) {
                 changed.push(LimitChange {
                     account: account.name.clone(),
                     bounds,
                 });
             }
-            let phase = phase_of(&self.entry, account.mark);
-            let bucket = self.accounts.entry(account.mark);
+            let phase = phase_of(&self.entry, account.fingerprint);
+            let bucket = self.accounts.entry(account.fingerprint);
             let bucket = bucket.or_insert_with(|| SharedBucket::new(bounds, entries, phase, now));
             bucket.set_bounds(bounds, entries, now);
         }
@@ -153,7 +153,7 @@
     /// Counts a request towards the demand of its account, whether or not it is admitted.
     pub fn record_request(
         &mut self,
-        account: AccountMark,
+        account: AccountFingerprint,
         limit: &RateLimit,
         charge: u64,
         now: Instant,
@@ -167,7 +167,7 @@
     /// The account is over its limit, and the request must not run.
     pub fn charge(
         &mut self,
-        account: AccountMark,
+        account: AccountFingerprint,
         limit: &RateLimit,
         charge: u64,
         now: Instant,
@@ -200,7 +200,7 @@
 
     fn bucket(
         &mut self,
-        account: AccountMark,
+        account: AccountFingerprint,
         limit: &RateLimit,
         now: Instant,
     ) -> &mut SharedBucket {
@@ -211,7 +211,7 @@
     }
 
     /// Refunds the charge of a request that did not run.
-    pub fn refund(&mut self, account: AccountMark, charge: u64, now: Instant) {
+    pub fn refund(&mut self, account: AccountFingerprint, charge: u64, now: Instant) {
         if let Some(bucket) = self.accounts.get_mut(&account) {
             bucket.refund(charge, now);
         }
@@ -249,7 +249,7 @@
     }
 
     /// Applies the aggregator's response to a report.
-    pub fn on_response(&mut self, report: &UsageReport, response: &UsageAnswer, now: Instant) {
+    pub fn on_response(&mut self, report: &UsageReport, response: &UsageResponse, now: Instant) {
         if self.aggregator != Some(response.incarnation) {
             self.responses = 0;
         }
@@ -257,9 +257,9 @@
         self.responses += 1;
         let part = f64::from(response.entries) / f64::from(report.entries.max(response.entries));
         let usages = report.accounts.iter().map(|usage| (usage.account, usage));
-        let usages: HashMap<AccountMark, &AccountUsage> = usages.collect();
+        let usages: HashMap<AccountFingerprint, &AccountUsage> = usages.collect();
         let levels = response.accounts.iter().map(|level| (level.account, level));
-        let levels: HashMap<AccountMark, &AccountLevel> = levels.collect();
+        let levels: HashMap<AccountFingerprint, &AccountLevel> = levels.collect();
         for (account, bucket) in &mut self.accounts {
             let usage = usages.get(account).copied();
             match levels.get(account) {
@@ -270,11 +270,11 @@
     }
 
     /// Returns the age of an account's level, or `None` if no valid level is known.
-    pub fn level_age(&self, account: AccountMark, now: Instant) -> Option<Duration> {
+    pub fn level_age(&self, account: AccountFingerprint, now: Instant) -> Option<Duration> {
         self.accounts.get(&account)?.level_age(now)
     }
     /// Returns whether the demand for an account at all entries is known.
-    pub fn knows_fleet_demand(&self, account: AccountMark, now: Instant) -> bool {
+    pub fn knows_fleet_demand(&self, account: AccountFingerprint, now: Instant) -> bool {
         let bucket = self.accounts.get(&account);
         let is_known = bucket.is_some_and(|bucket| bucket.demand_per_s(now).is_some());
         is_known && self.startup_state(now) != StartupState::Unsynced
@@ -291,7 +291,7 @@
 }
 
 /// Returns a value between 0 and 1 that is evenly distributed over the entries.
-fn phase_of(entry: &BoxName, account: AccountMark) -> f64 {
+fn phase_of(entry: &BoxName, account: AccountFingerprint) -> f64 {
     rendezvous_weight(account, stable_hash(entry)) as f64 / u64::MAX as f64
 }
 
--- a/coordination/src/limits/usage_aggregator.rs
+++ b/coordination/src/limits/usage_aggregator.rs
@@ -1,8 +1,8 @@
 use {
     super::{TokenBucket, WindowSum},
-    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageAnswer, UsageReport},
+    chalkcart_protocol::peer::{AccountLevel, AccountUsage, UsageReport, UsageResponse},
     chalkcart_state::{
-        accounts::AccountMark,
+        accounts::AccountFingerprint,
         ids::{BoxName, Incarnation},
     },
     std::{
@@ -31,7 +31,7 @@
 pub struct UsageAggregator {
     incarnation: Incarnation,
     entries: HashMap<BoxName, EntryState>,
-    accounts: HashMap<AccountMark, AccountState>,
+    accounts: HashMap<AccountFingerprint, AccountState>,
 }
 
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     incarnation: Incarnation,
     last_report: Instant,
     /// Last reported counters of each account: units charged and units requested.
-    reported: HashMap<AccountMark, (i64, i64)>,
+    reported: HashMap<AccountFingerprint, (i64, i64)>,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     }
 
     /// Applies the report of an entry and returns the levels that the entry needs.
-    pub fn on_report(&mut self, report: UsageReport, now: Instant) -> UsageAnswer {
+    pub fn on_report(&mut self, report: UsageReport, now: Instant) -> UsageResponse {
         self.expire(now);
         let known = self.entries.get(&report.entry);
         if known.is_none_or(|entry| entry.incarnation != report.incarnation) {
@@ -94,13 +94,13 @@
             account.level(usage.account, now)
         });
         let mut accounts: Vec<AccountLevel> = levels.collect();
-        let reported: HashSet<AccountMark> = accounts.iter().map(|a| a.account).collect();
+        let reported: HashSet<AccountFingerprint> = accounts.iter().map(|a| a.account).collect();
         for (account, state) in &self.accounts {
             if !reported.contains(account) && state.is_short(now) {
                 accounts.push(state.level(*account, now));
             }
         }
-        UsageAnswer {
+        UsageResponse {
             incarnation: self.incarnation,
             entries: reporting,
             accounts,
@@ -166,7 +166,7 @@
         self.available(now) < self.bucket.capacity() * AMPLE_PART
     }
 
-    fn level(&self, account: AccountMark, now: Instant) -> AccountLevel {
+    fn level(&self, account: AccountFingerprint, now: Instant) -> AccountLevel {
         AccountLevel {
             account,
             level: self.available(now),
--- a/coordination/src/permits/load_permit_issuer.rs
+++ b/coordination/src/permits/load_permit_issuer.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk},
+    chalkcart_protocol::peer::{PermitRequest, PermitResponse},
     chalkcart_state::ids::{AdapterName, BoxName},
     std::{
         collections::HashMap,
@@ -84,14 +84,14 @@
     }
 
     /// Grants a permit, or tells the target when to request it again.
-    pub fn request(&mut self, request: &PermitAsk, now: Instant) -> PermitAnswer {
+    pub fn request(&mut self, request: &PermitRequest, now: Instant) -> PermitResponse {
         self.refill(now);
         self.remove_expired(now);
         let key = LoadKey::from(request);
         if let Some(expires) = self.leases.get(&key) {
             // the response to an earlier request was lost
             let lease = expires.saturating_duration_since(now);
-            return PermitAnswer::Granted { lease };
+            return PermitResponse::Granted { lease };
         }
         self.waiting.insert(
             key.clone(),
@@ -103,20 +103,20 @@
         );
         let rank = self.rank(&key);
         if rank >= self.free_permits() {
-            return PermitAnswer::Wait {
+            return PermitResponse::Wait {
                 retry_after: self.retry_after(rank),
             };
         }
         self.waiting.remove(&key);
         self.leases.insert(key, now + self.settings.lease);
         self.tokens -= 1.0;
-        PermitAnswer::Granted {
+        PermitResponse::Granted {
             lease: self.settings.lease,
         }
     }
 
     /// Releases the permit of a load that has ended.
-    pub fn release(&mut self, request: &PermitAsk) {
+    pub fn release(&mut self, request: &PermitRequest) {
         let key = LoadKey::from(request);
         self.leases.remove(&key);
         self.waiting.remove(&key);
@@ -163,8 +163,8 @@
     }
 }
 
-impl From<&PermitAsk> for LoadKey {
-    fn from(request: &PermitAsk) -> Self {
+impl From<&PermitRequest> for LoadKey {
+    fn from(request: &PermitRequest) -> Self {
         Self {
             target: request.target.clone(),
             adapter: request.adapter.clone(),
--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{placement_control::OccupiedSlot, OrderKind, PlacementControl},
-    chalkcart_protocol::peer::EngineRoom,
+    chalkcart_protocol::peer::EngineCapacity,
     chalkcart_state::backends::AdapterRef,
     std::time::Instant,
 };
@@ -31,7 +31,7 @@
 
     /// Returns the order to load the base model of the wanted adapters if the engine holds
     /// no model.
-    fn missing_model(&mut self, room: &EngineRoom, now: Instant) -> Option<OrderKind> {
+    fn missing_model(&mut self, room: &EngineCapacity, now: Instant) -> Option<OrderKind> {
         if self.report.busy || !self.report.models.is_empty() {
             return None;
         }
@@ -86,7 +86,7 @@
     }
 
     /// Returns the number of adapters that fit the engine's slots and its memory.
-    fn capacity(&self, room: &EngineRoom) -> usize {
+    fn capacity(&self, room: &EngineCapacity) -> usize {
         let models = room.models.iter();
         let loaded = models.filter(|m| self.report.models.contains(&m.model));
         let (mut free_mb, mut max_adapter_mb) = (room.weights_mb, 0.0f64);
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -8,7 +8,7 @@
         backend_signals::{BackendSignals, RequestRate},
     },
     chalkcart_protocol::peer::{
-        AdapterDemand, EngineFigures, EngineView, IntakeAnswer, IntakeReport,
+        AdapterDemand, AdmissionReport, AdmissionResponse, EngineStats, EngineView,
     },
     chalkcart_state::backends::{AdapterRef, BackendId, BackendName},
     std::{
@@ -174,7 +174,7 @@
 
     /// Returns the state of the engine that is published to entries.
     pub fn view(&self, now: Instant) -> EngineView {
-        let figures = EngineFigures {
+        let figures = EngineStats {
             fence: self.fence.value(),
             next_load_ms: self
                 .expected_load_delay(self.load_times.load_time(), now)
@@ -193,7 +193,7 @@
             is_leaving: self.is_engine_leaving,
             limit_milli_per_s: self.limit.effective_rate(now).map(RequestRate::milli_per_s),
             cold_left_ms: self.slow_start_left_ms(now),
-            ..EngineFigures::default()
+            ..EngineStats::default()
         };
         let mut view = EngineView {
             backend: self.backend.clone(),
@@ -231,7 +231,11 @@
         }
     }
     /// Records the limit that an entry observed and responds to its request for permits.
-    pub fn on_admission_report(&mut self, report: &IntakeReport, now: Instant) -> IntakeAnswer {
+    pub fn on_admission_report(
+        &mut self,
+        report: &AdmissionReport,
+        now: Instant,
+    ) -> AdmissionResponse {
         self.limit.on_report(&self.backend, report, now)
     }
     fn slow_start_left_ms(&self, now: Instant) -> u16 {
@@ -341,14 +345,14 @@
     /// time is a later incarnation, even a smaller one after the engine's clock was set
     /// back.
     fn on_restart(&mut self, start_time_ms: u64) {
-        self.backend.born = start_time_ms;
+        self.backend.start_time_ms = start_time_ms;
         self.is_identified = false;
         self.identity_requested_at = None;
         self.reset_incarnation();
     }
 
     fn on_report(&mut self, report: EngineReport, now: Instant) {
-        if report.start_time_ms != self.backend.born {
+        if report.start_time_ms != self.backend.start_time_ms {
             self.on_restart(report.start_time_ms);
         }
         let mut slots = HashMap::with_capacity(report.held.len());
--- a/coordination/src/relay/published_cache.rs
+++ b/coordination/src/relay/published_cache.rs
@@ -1,5 +1,5 @@
 use {
-    chalkcart_protocol::peer::PublishedAnswer,
+    chalkcart_protocol::peer::PublishedResponse,
     chalkcart_state::{
         backends::{AdapterRef, BackendName},
         ids::ZoneName,
@@ -94,10 +94,10 @@
         after: Option<u64>,
         requested_at: Instant,
         now: Instant,
-    ) -> Option<PublishedAnswer> {
+    ) -> Option<PublishedResponse> {
         let age = self.received_at.map(|at| now.saturating_duration_since(at));
         if age.is_none_or(|age| age > self.stale_after) {
-            return Some(PublishedAnswer::Stale);
+            return Some(PublishedResponse::Stale);
         }
         let Some(after) = after else {
             let is_present = |record: &&Record| !matches!(record, Record::BackendGone(_));
@@ -106,7 +106,7 @@
             return Some(self.records_response(present, requested_at));
         };
         if after < self.history_lost_to {
-            return Some(PublishedAnswer::HistoryLost);
+            return Some(PublishedResponse::HistoryLost);
         }
         let newer = self.records.values().filter(|(at, _)| *at > after);
         let newer: Vec<Record> = newer.map(|(_, record)| record.clone()).collect();
@@ -114,24 +114,24 @@
     }
 
     /// Returns the response to an entry whose wait for a change has timed out.
-    pub fn empty_response(&self, after: Option<u64>, requested_at: Instant) -> PublishedAnswer {
+    pub fn empty_response(&self, after: Option<u64>, requested_at: Instant) -> PublishedResponse {
         let at = self.revision.max(after.unwrap_or(0));
         let records = Vec::new();
         self.snapshot_response(Snapshot { records, at }, requested_at)
     }
 
-    fn records_response(&self, records: Vec<Record>, requested_at: Instant) -> PublishedAnswer {
+    fn records_response(&self, records: Vec<Record>, requested_at: Instant) -> PublishedResponse {
         let at = self.revision;
         self.snapshot_response(Snapshot { records, at }, requested_at)
     }
 
-    fn snapshot_response(&self, snapshot: Snapshot, requested_at: Instant) -> PublishedAnswer {
+    fn snapshot_response(&self, snapshot: Snapshot, requested_at: Instant) -> PublishedResponse {
         let current_ms = match self.current_at {
             Some(at) if at >= requested_at => at.duration_since(requested_at).as_millis() as i64,
             Some(at) => -(requested_at.duration_since(at).as_millis() as i64) - 1,
-            None => return PublishedAnswer::Stale,
+            None => return PublishedResponse::Stale,
         };
-        PublishedAnswer::Records {
+        PublishedResponse::Records {
             snapshot,
             current_ms,
         }
--- a/coordination/src/relay/relay_state.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -1,7 +1,7 @@
 use {
     crate::placement::{adapter_hash, DemandTable, RecentAdapters},
     chalkcart_protocol::peer::{
-        AdapterDemand, EngineFigures, EngineNews, EngineView, EngineWord, RelayDemands,
+        AdapterDemand, EngineStats, EngineUpdate, EngineView, EngineViewState, RelayDemands,
         RelayUpdate, ViewUpdate,
     },
     chalkcart_state::{
@@ -100,7 +100,7 @@
             return false;
         };
         let before = known.view.as_ref();
-        let is_urgent = before.is_none_or(|before| view.is_urgent_by_relay_after(before));
+        let is_urgent = before.is_none_or(|before| view.is_urgent_for_relay_after(before));
         known.on_view(view, now);
         self.unsent_views.insert(engine);
         is_urgent
@@ -112,7 +112,7 @@
         &mut self,
         engine: SocketAddr,
         backend: &BackendId,
-        stats: EngineFigures,
+        stats: EngineStats,
         now: Instant,
     ) -> bool {
         let Some(known) = self.engines.get_mut(&engine) else {
@@ -127,7 +127,7 @@
         view.figures = stats;
         known.received_at = now;
         self.unsent_views.insert(engine);
-        had_spare_slots != (stats.spare_slots > 0) || stats.binds_otherwise_than(&before)
+        had_spare_slots != (stats.spare_slots > 0) || stats.differs_in_availability(&before)
     }
 
     /// Records that the sidecar of an engine is unresponsive.
@@ -142,12 +142,12 @@
     /// Returns the update to send to all entries and marks it as sent.
     pub fn take_update(&mut self, now: Instant) -> RelayUpdate {
         let removed = std::mem::take(&mut self.unsent_removals);
-        let mut news: Vec<EngineNews> = removed.into_iter().map(removal).collect();
+        let mut news: Vec<EngineUpdate> = removed.into_iter().map(removal).collect();
         for addr in std::mem::take(&mut self.unsent_views) {
             let Some(engine) = self.engines.get_mut(&addr) else {
                 continue;
             };
-            news.extend(engine.take_change().map(|word| EngineNews {
+            news.extend(engine.take_change().map(|word| EngineUpdate {
                 engine: addr,
                 age_ms: engine.age_ms(now),
                 word,
@@ -161,10 +161,10 @@
     pub fn full_update(&self, now: Instant) -> RelayUpdate {
         let sent = self.engines.iter().filter_map(|(addr, engine)| {
             let view = engine.sent_view.as_ref()?;
-            Some(EngineNews {
+            Some(EngineUpdate {
                 engine: *addr,
                 age_ms: engine.age_ms(now),
-                word: EngineWord::View(ViewUpdate::Whole(engine.with_recent(view))),
+                word: EngineViewState::View(ViewUpdate::Whole(engine.with_recent(view))),
             })
         });
         RelayUpdate {
@@ -212,11 +212,11 @@
     }
 }
 
-fn removal(engine: SocketAddr) -> EngineNews {
-    EngineNews {
+fn removal(engine: SocketAddr) -> EngineUpdate {
+    EngineUpdate {
         engine,
         age_ms: 0,
-        word: EngineWord::Silent,
+        word: EngineViewState::Silent,
     }
 }
 
@@ -249,20 +249,20 @@
 
     /// Returns the smallest message that brings entries to the newest view, and marks that
     /// view as sent.
-    fn take_change(&mut self) -> Option<EngineWord> {
+    fn take_change(&mut self) -> Option<EngineViewState> {
         let change = match (&mut self.sent_view, &self.view) {
             (None, None) => return None,
-            (Some(_), None) => EngineWord::Silent,
-            (None, Some(view)) => EngineWord::View(ViewUpdate::Whole(self.with_recent(view))),
-            (Some(sent), Some(view)) if !sent.differs_in_holdings(view) => {
+            (Some(_), None) => EngineViewState::Silent,
+            (None, Some(view)) => EngineViewState::View(ViewUpdate::Whole(self.with_recent(view))),
+            (Some(sent), Some(view)) if !sent.differs_beyond_stats(view) => {
                 sent.figures = view.figures;
-                return Some(EngineWord::View(ViewUpdate::Figures(view.figures)));
+                return Some(EngineViewState::View(ViewUpdate::Figures(view.figures)));
             }
             (Some(sent), Some(view)) => match ViewUpdate::between(sent, view) {
                 ViewUpdate::Whole(view) => {
-                    EngineWord::View(ViewUpdate::Whole(self.with_recent(&view)))
+                    EngineViewState::View(ViewUpdate::Whole(self.with_recent(&view)))
                 }
-                update => EngineWord::View(update),
+                update => EngineViewState::View(update),
             },
         };
         self.sent_view = self.view.clone();
--- a/coordination/src/sidecar/actions.rs
+++ b/coordination/src/sidecar/actions.rs
@@ -1,7 +1,7 @@
 use {
     super::ReplyId,
     crate::slots::AdapterKey,
-    chalkcart_protocol::peer::{Outcome, PermitAsk, Refusal, ReserveAnswer, WorkOrder},
+    chalkcart_protocol::peer::{Outcome, PermitRequest, Refusal, ReserveAnswer, WorkOrder},
     chalkcart_state::ids::{Fence, Incarnation, RequestId},
     std::{net::SocketAddr, time::Instant},
 };
@@ -48,12 +48,12 @@
     },
     RequestPermit {
         issuer: SocketAddr,
-        request: PermitAsk,
+        request: PermitRequest,
         adapter: AdapterKey,
     },
     ReturnPermit {
         issuer: SocketAddr,
-        request: PermitAsk,
+        request: PermitRequest,
     },
     RespondToReserve {
         reply: ReplyId,
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -1,6 +1,6 @@
 use {
     crate::{fence::EngineStatus, slots::AdapterKey},
-    chalkcart_protocol::peer::{Outcome, PermitAnswer, Reason, WorkOrder},
+    chalkcart_protocol::peer::{Outcome, PermitResponse, Reason, WorkOrder},
     chalkcart_state::{
         config::Root,
         ids::{Fence, Incarnation, RequestId},
@@ -74,7 +74,7 @@
     /// The permit issuer's response; `None` if the issuer can't be reached.
     PermitRequestEnded {
         adapter: AdapterKey,
-        response: Option<PermitAnswer>,
+        response: Option<PermitResponse>,
     },
     Configured(Arc<Root>),
     DrainRequested,
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -6,7 +6,7 @@
         OrderFence, OrderResult, PermitMode, SidecarAction, SidecarControl,
     },
     crate::slots::{AdapterKey, SlotAvailability},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose, Reason, Step},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest, PermitResponse, Reason, Step},
     chalkcart_state::ids::{Incarnation, RequestId},
     std::time::{Duration, Instant},
 };
@@ -64,18 +64,18 @@
     pub(super) fn on_permit(
         &mut self,
         key: &AdapterKey,
-        response: Option<PermitAnswer>,
+        response: Option<PermitResponse>,
         now: Instant,
     ) {
         let Some(load) = self.loads.pending.get_mut(key) else {
-            if matches!(response, Some(PermitAnswer::Granted { .. })) {
+            if matches!(response, Some(PermitResponse::Granted { .. })) {
                 self.return_permit(key);
             }
             return;
         };
         load.permit = match response {
-            Some(PermitAnswer::Granted { lease }) => PermitState::GrantedUntil(now + lease),
-            Some(PermitAnswer::Wait { retry_after }) => PermitState::RequestAt(now + retry_after),
+            Some(PermitResponse::Granted { lease }) => PermitState::GrantedUntil(now + lease),
+            Some(PermitResponse::Wait { retry_after }) => PermitState::RequestAt(now + retry_after),
             None => {
                 load.failed_permit_requests += 1;
                 PermitState::RequestAt(now + PERMIT_RETRY_DELAY)
@@ -233,13 +233,18 @@
         });
     }
 
-    fn permit_request(&self, key: &AdapterKey, purpose: PermitPurpose, now: Instant) -> PermitAsk {
+    fn permit_request(
+        &self,
+        key: &AdapterKey,
+        purpose: PermitPurpose,
+        now: Instant,
+    ) -> PermitRequest {
         let queued = self
             .queue
             .iter()
             .filter(|w| w.adapter.as_ref() == Some(key));
         let most_urgent = queued.min_by_key(|w| (w.priority_at(now), w.arrived));
-        PermitAsk {
+        PermitRequest {
             purpose,
             target: self.settings.name.clone(),
             adapter: key.adapter.clone(),
@@ -255,7 +260,7 @@
         };
         self.actions.push(SidecarAction::ReturnPermit {
             issuer,
-            request: PermitAsk {
+            request: PermitRequest {
                 purpose: PermitPurpose::Return,
                 target: self.settings.name.clone(),
                 adapter: key.adapter.clone(),
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -15,7 +15,7 @@
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
 
 fn only(names: &[&str]) -> AllowedRegions {
-    AllowedRegions::only(names.iter().map(ToString::to_string))
+    AllowedRegions::restricted_to(names.iter().map(ToString::to_string))
 }
 
 /// Returns a back end in a region's only zone, which has the name of the region.
@@ -163,11 +163,11 @@
 fn restrictions_of_route_and_account_are_combined() {
     let any = AllowedRegions::default();
     let (north, both) = (only(&["north"]), only(&["north", "south"]));
-    assert_eq!(any.and(&north), north);
-    assert_eq!(both.and(&any), both);
-    assert_eq!(both.and(&north), north);
-    let none = north.and(&only(&["south"]));
-    assert!(!none.allows_each());
+    assert_eq!(any.intersection(&north), north);
+    assert_eq!(both.intersection(&any), both);
+    assert_eq!(both.intersection(&north), north);
+    let none = north.intersection(&only(&["south"]));
+    assert!(!none.is_unrestricted());
     assert!(!REGIONS.iter().any(|r| none.allows(Some(&r.to_string()))));
     // an empty list doesn't restrict
     assert_eq!(only(&[]), any);
@@ -200,7 +200,7 @@
             .map(|b| b.id.to_string()).collect();
         let mut fixture = fixture(list);
         let ask = DispatchRequest {
-            allowed_regions: only(&drawn(route % 8)).and(&only(&drawn(account % 8))),
+            allowed_regions: only(&drawn(route % 8)).intersection(&only(&drawn(account % 8))),
             ..fixture.new_request(PLAIN, None)
         };
         let sent = sent_to(&fixture.submit(1, ask));
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -9,7 +9,7 @@
         },
         dispatch::{DispatchEvent, DispatchRequest, SendOutcome},
     },
-    chalkcart_protocol::peer::{CrashEvent, CrashWord, EngineView},
+    chalkcart_protocol::peer::{CrashEvent, CrashReport, EngineView},
     chalkcart_state::{backends::Backend, ingress::RequestDigest},
     dispatch_fixture::*,
     quickcheck::{Arbitrary, Gen, QuickCheck},
@@ -284,8 +284,8 @@
 
 const STEPS_MS: u64 = 50;
 
-fn report_of(event: &Event) -> CrashWord {
-    CrashWord {
+fn report_of(event: &Event) -> CrashReport {
+    CrashReport {
         digest: digest(&event.body.to_string()),
         event: match event.incarnation {
             Some(incarnation) => CrashEvent::Ended {
@@ -343,8 +343,8 @@
         let events = with_one_crash_per_incarnation(events);
         let expected = reference(&events);
         let now = Instant::now();
-        let reports: Vec<CrashWord> = events.iter().map(report_of).collect();
-        let reversed: Vec<CrashWord> = reports.iter().rev().copied().collect();
+        let reports: Vec<CrashReport> = events.iter().map(report_of).collect();
+        let reversed: Vec<CrashReport> = reports.iter().rev().copied().collect();
         let cut = if reports.is_empty() {
             0
         } else {
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -7,7 +7,7 @@
         Decision, DispatchEvent, DispatchRequest, DispatchSettings, RejectionCause, SendOutcome,
         SharedRetryBudget, Ticket,
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     dispatch_fixture::*,
     std::time::Instant,
 };
@@ -376,7 +376,7 @@
     list[0].slots = 5;
     let figures = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        stats: EngineFigures::default(),
+        stats: EngineStats::default(),
     };
     fixture.handle(figures);
     let request = fixture.new_request(ENGINES, Some("a"));
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -4,7 +4,7 @@
 
 use {
     chalkcart_coordination::dispatch::{DispatchEvent, DispatchRequest, DueDemands, SendOutcome},
-    chalkcart_protocol::peer::EngineFigures,
+    chalkcart_protocol::peer::EngineStats,
     chalkcart_state::backends::{Backend, HeldAdapter},
     dispatch_fixture::*,
 };
@@ -210,7 +210,7 @@
     fixture.view(1, view("engines-1", &[("a", 1)]));
     let figures = |running| DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        stats: EngineFigures {
+        stats: EngineStats {
             running,
             ..view("engines-1", &[]).figures
         },
@@ -235,7 +235,7 @@
     fixture.handle(DispatchEvent::ViewLost("engines-1".into()));
     let figures = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
-        stats: EngineFigures::default(),
+        stats: EngineStats::default(),
     };
     fixture.handle(figures);
     let request = fixture.new_request(ENGINES, Some("a"));
--- a/coordination/tests/intake_fleet.rs
+++ b/coordination/tests/intake_fleet.rs
@@ -64,7 +64,7 @@
 #[test]
 fn the_issuer_serves_all_entries_in_turn() {
     use chalkcart_coordination::backend_admission::PermitIssuer;
-    use chalkcart_protocol::peer::IntakeReport;
+    use chalkcart_protocol::peer::AdmissionReport;
     use std::time::{Duration, Instant};
     let mut issuer = PermitIssuer::default();
     let mut granted = [0u32; 5];
@@ -72,7 +72,7 @@
     for step in 0..6_000u32 {
         let now = begun + Duration::from_millis(10) * step;
         let number = step as usize % granted.len();
-        let report = IntakeReport {
+        let report = AdmissionReport {
             entry: format!("entry-{number}"),
             backend: "e".into(),
             named: None,
--- a/coordination/tests/intake_sim/mod.rs
+++ b/coordination/tests/intake_sim/mod.rs
@@ -9,7 +9,7 @@
         backend_admission::{AdvertisedLimit, EngineLimit, LimitSharing},
         backend_signals::{LimitSignal, RequestRate},
     },
-    chalkcart_protocol::peer::{IntakeAnswer, IntakeReport},
+    chalkcart_protocol::peer::{AdmissionReport, AdmissionResponse},
     chalkcart_state::backends::BackendId,
     rand::{rngs::StdRng, RngExt, SeedableRng},
     std::time::{Duration, Instant},
@@ -93,7 +93,7 @@
     /// when the first response with a limit arrived
     informed_at: Option<Instant>,
     responses: Vec<(Instant, Instant, f64)>,
-    permit_response: Option<(Instant, Instant, Option<IntakeAnswer>)>,
+    permit_response: Option<(Instant, Instant, Option<AdmissionResponse>)>,
 }
 
 pub fn allowed(per_s: f64) -> usize {
@@ -228,7 +228,7 @@
                 && entry.limit.is_permit_request_due(now)
             {
                 let (update, unused) = entry.limit.on_permits_requested(now);
-                let report = IntakeReport {
+                let report = AdmissionReport {
                     entry: format!("entry-{number}"),
                     backend: backend.clone(),
                     named: update.limit,
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -8,8 +8,8 @@
         limits::{AccountLimiter, LimitSettings, UsageAggregator},
         membership::{rendezvous_weight, AggregatedState, AggregatorSelector},
     },
-    chalkcart_protocol::peer::{UsageAnswer, UsageReport},
-    chalkcart_state::accounts::{AccountMark, ClientAccount, LimitUnit, RateLimit},
+    chalkcart_protocol::peer::{UsageReport, UsageResponse},
+    chalkcart_state::accounts::{AccountFingerprint, ClientAccount, LimitUnit, RateLimit},
     std::{
         collections::{BTreeMap, HashMap, VecDeque},
         net::SocketAddr,
@@ -69,11 +69,11 @@
 }
 
 /// Returns the fingerprint and the limit of an account.
-fn limit_of(number: usize) -> (AccountMark, RateLimit) {
-    static LIMITS: OnceLock<Vec<(AccountMark, RateLimit)>> = OnceLock::new();
+fn limit_of(number: usize) -> (AccountFingerprint, RateLimit) {
+    static LIMITS: OnceLock<Vec<(AccountFingerprint, RateLimit)>> = OnceLock::new();
     let limits = LIMITS.get_or_init(|| {
         let accounts = (0..ACCOUNTS.len()).map(account);
-        let limits = accounts.map(|a| (a.mark, a.limit.expect("a limit")));
+        let limits = accounts.map(|a| (a.fingerprint, a.limit.expect("a limit")));
         limits.collect()
     });
     limits[number]
@@ -134,7 +134,7 @@
 
 enum Message {
     Report(usize, SocketAddr, UsageReport),
-    Response(usize, SocketAddr, UsageAnswer),
+    Response(usize, SocketAddr, UsageResponse),
     /// Response of the store: the version of the keys when the call was made.
     Published(usize, u64, Instant),
 }
@@ -291,7 +291,7 @@
         }
     }
 
-    fn on_response(&mut self, number: usize, from: SocketAddr, response: &UsageAnswer) {
+    fn on_response(&mut self, number: usize, from: SocketAddr, response: &UsageResponse) {
         let now = self.now();
         let entry = &mut self.entries[number];
         if entry.cut_until > self.step || entry.frozen_until > self.step {
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -44,8 +44,8 @@
 }
 
 fn charge(limiter: &mut AccountLimiter, units: u64, now: Instant) -> Result<(), LimitExceeded> {
-    limiter.record_request(account().mark, &limit(), units, now);
-    limiter.charge(account().mark, &limit(), units, now)
+    limiter.record_request(account().fingerprint, &limit(), units, now);
+    limiter.charge(account().fingerprint, &limit(), units, now)
 }
 
 fn exchange_report(limiter: &mut AccountLimiter, aggregator: &mut UsageAggregator, now: Instant) {
@@ -148,7 +148,7 @@
         units + rest >= 1_000,
         "less than the burst: {units} and {rest}"
     );
-    limiters[3].refund(account().mark, 0, now);
+    limiters[3].refund(account().fingerprint, 0, now);
     exchange_report(&mut limiters[3], &mut aggregator, now);
     exchange_report(&mut limiters[5], &mut aggregator, now);
     let over = charge(&mut limiters[5], 100, now).expect_err("over limit");
@@ -169,7 +169,7 @@
         one.usage_report(now).expect("a report").accounts[0].taken,
         units as i64
     );
-    one.refund(account().mark, units, now);
+    one.refund(account().fingerprint, units, now);
     exchange_report(&mut one, &mut aggregator, now);
     let reported = one.usage_report(now).expect("a report");
     assert_eq!(
--- a/coordination/tests/permits.rs
+++ b/coordination/tests/permits.rs
@@ -2,12 +2,12 @@
 
 use {
     chalkcart_coordination::permits::{LoadPermitIssuer, LoadPermitSettings},
-    chalkcart_protocol::peer::{PermitAnswer, PermitAsk, PermitPurpose},
+    chalkcart_protocol::peer::{PermitPurpose, PermitRequest, PermitResponse},
     std::time::{Duration, Instant},
 };
 
-fn request_of(target: &str, priority: u8, waited: u64) -> PermitAsk {
-    PermitAsk {
+fn request_of(target: &str, priority: u8, waited: u64) -> PermitRequest {
+    PermitRequest {
         purpose: PermitPurpose::Ask,
         target: target.to_string(),
         adapter: "a".to_string(),
@@ -16,8 +16,8 @@
     }
 }
 
-fn is_granted(answer: PermitAnswer) -> bool {
-    matches!(answer, PermitAnswer::Granted { .. })
+fn is_granted(answer: PermitResponse) -> bool {
+    matches!(answer, PermitResponse::Granted { .. })
 }
 
 #[test]
@@ -97,8 +97,8 @@
     let settings = LoadPermitSettings::default();
     let mut issuer = LoadPermitIssuer::new(settings.clone(), start);
     let retry = |answer| match answer {
-        PermitAnswer::Wait { retry_after } => retry_after,
-        PermitAnswer::Granted { .. } => Duration::ZERO,
+        PermitResponse::Wait { retry_after } => retry_after,
+        PermitResponse::Granted { .. } => Duration::ZERO,
     };
     let pauses: Vec<Duration> = (0..50)
         .map(|number| issuer.request(&request_of(&format!("t{number}"), number, 0), start))
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -138,7 +138,10 @@
     // runs of the previous incarnation free no slot of this one
     (0..4).for_each(|ticket| fixture.end(ticket, SendOutcome::Failed));
     let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(30, ask).is_empty(), "all four slots are taken");
+    assert!(
+        fixture.submit(30, ask).is_empty(),
+        "all four slots are taken"
+    );
 }
 
 #[test]
@@ -293,7 +296,7 @@
     keeper.identify();
     keeper.report(holding(SECOND, &["m"], &[]));
     let order = keeper.order();
-    assert_eq!(order.map(|o| o.backend.born), Some(SECOND));
+    assert_eq!(order.map(|o| o.backend.start_time_ms), Some(SECOND));
 }
 
 /// Guards against ordering a load into a full engine, which crashes it, after the engine's name
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -11,7 +11,7 @@
         },
         relay::RelayCandidate,
     },
-    chalkcart_protocol::peer::{EngineFigures, EngineView},
+    chalkcart_protocol::peer::{EngineStats, EngineView},
     chalkcart_state::backends::BackendId,
     chalkcart_transport::{clock, links::ViewSink},
     std::{
@@ -107,7 +107,7 @@
         self.tell(DispatchEvent::ViewReceived { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
-    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineFigures) {
+    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
         self.figures.put(backend, figures);
     }
     fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -85,7 +85,7 @@
             model: accepted.head.model.clone(),
             adapter: accepted.head.adapter.clone(),
             prompt_tokens: accepted.head.prompt_tokens,
-            account: accepted.caller.as_ref().map(|c| c.account.mark),
+            account: accepted.caller.as_ref().map(|c| c.account.fingerprint),
             allowed_regions: AllowedRegions::default(),
             account_priority: accepted.caller.as_ref().map_or(0, |c| c.account.priority),
             priority: route.priority,
@@ -414,7 +414,7 @@
         log::info!(
             request = self.accepted.head.id.as_str(),
             backend = backend.as_str(),
-            born = backend.born,
+            born = backend.start_time_ms,
             leaving = word.is_leaving,
             rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
             limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
@@ -441,7 +441,7 @@
             if is_named && self.shared.unknown_headers.is_news(backend, name.as_str()) {
                 log::warn!(
                     backend = backend.as_str(),
-                    born = backend.born,
+                    born = backend.start_time_ms,
                     header = name.as_str();
                     "backend: says what is not known here"
                 );
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/intake_exchange.rs
@@ -1,7 +1,7 @@
 use {
     super::control::ControlHandle,
     chalkcart_coordination::dispatch::{DispatchEvent, PermitError, PermitQuery},
-    chalkcart_protocol::peer::{path, IntakeAnswer},
+    chalkcart_protocol::peer::{path, AdmissionResponse},
     chalkcart_transport::client::{ClientError, PeerClient},
     std::{net::SocketAddr, time::Duration},
     tokio::runtime::Handle,
@@ -39,7 +39,8 @@
                 requested_at,
                 ..
             } = question;
-            let answer = peers.call::<_, IntakeAnswer>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
+            let answer =
+                peers.call::<_, AdmissionResponse>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
             control.tell(DispatchEvent::PermitsReceived {
                 backend: report.backend,
--- a/state/src/accounts/client_account.rs
+++ b/state/src/accounts/client_account.rs
@@ -5,21 +5,22 @@
     sha2::{Digest, Sha256},
 };
 
-/// name of a client account
 pub type ClientAccountName = String;
-/// a hash of its name that every process computes alike
-pub type AccountMark = u64;
+/// First 64 bits of the SHA-256 of an account's name, the same in every process.
+pub type AccountFingerprint = u64;
 
-/// whom a key belongs to
+/// The client account that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
     pub name: ClientAccountName,
-    pub mark: AccountMark,
-    /// goes before that of the route; 0 is the most urgent
+    #[serde(rename = "mark")]
+    pub fingerprint: AccountFingerprint,
+    /// Takes precedence over the route's priority; 0 is the most urgent.
     pub priority: u8,
-    /// none if the account is not limited
+    /// `None` if the account has no rate limit.
     pub limit: Option<RateLimit>,
-    /// where its requests may be served; missing: a build before 5, which reads no such bound
+    /// Regions in which its requests may be served; missing in messages of builds before wire
+    /// version 5, which do not support the restriction.
     #[serde(default)]
     pub allowed_regions: AllowedRegions,
 }
@@ -31,7 +32,7 @@
         head.copy_from_slice(&digest[..8]);
         Self {
             name: name.to_string(),
-            mark: u64::from_be_bytes(head),
+            fingerprint: u64::from_be_bytes(head),
             priority,
             limit,
             allowed_regions: AllowedRegions::default(),
--- a/state/src/accounts/mod.rs
+++ b/state/src/accounts/mod.rs
@@ -1,4 +1,4 @@
-//! client accounts as operators publish them: who may ask, and how much
+//! Client accounts as operators publish them: their keys, priorities and rate limits.
 
 mod account_table;
 mod api_key;
@@ -6,8 +6,8 @@
 mod rate_limit;
 
 pub use {
-    account_table::{AccountTable, ContestedKey},
+    account_table::{AccountTable, DuplicateKey},
     api_key::{ApiKeyDigest, ApiKeyError, MAX_KEY_BYTES},
-    client_account::{AccountMark, ClientAccount, ClientAccountName},
+    client_account::{AccountFingerprint, ClientAccount, ClientAccountName},
     rate_limit::{LimitUnit, RateLimit},
 };
--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -11,7 +11,7 @@
         },
         slots::AdapterKey,
     },
-    chalkcart_protocol::peer::{GenerateWork, Outcome, PermitAnswer, Reason, Work, WorkOrder},
+    chalkcart_protocol::peer::{GenerateWork, Outcome, PermitResponse, Reason, Work, WorkOrder},
     chalkcart_state::ids::WeightsDigest,
     chalkcart_testkit::engine::{EngineSettings, EngineState},
     chalkcart_transport::engine::{AdapterBody, EventBody, FenceBody, GenerateBody},
@@ -250,7 +250,7 @@
             SidecarAction::RequestPermit { adapter, .. } => {
                 Some(SidecarEvent::PermitRequestEnded {
                     adapter: adapter.clone(),
-                    response: Some(PermitAnswer::Granted { lease: LEASE }),
+                    response: Some(PermitResponse::Granted { lease: LEASE }),
                 })
             }
             _ => None,
