--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -1,4 +1,4 @@
-//! the placement of adapters on one engine, from events and times alone
+//! Placement of adapters on one engine, without I/O or a real clock.
 
 use {
     chalkcart_coordination::placement::{
@@ -57,7 +57,7 @@
     }
 }
 
-/// an engine that does as it is told, with a clock
+/// A placement control with an engine that accepts every order.
 struct Fixture {
     control: PlacementControl,
     now: Instant,
@@ -79,31 +79,31 @@
         fixture.read();
         fixture
     }
-    fn tell(&mut self, event: PlacementEvent) {
+    fn handle(&mut self, event: PlacementEvent) {
         self.control.handle(event, self.now);
     }
     fn read(&mut self) {
-        self.tell(PlacementEvent::Report(self.report.clone()));
+        self.handle(PlacementEvent::Report(self.report.clone()));
     }
     fn demand(&mut self, demand: AdapterDemand) {
-        self.tell(PlacementEvent::Demand(demand));
-        // the first one names the incarnation, which is read anew
+        self.handle(PlacementEvent::Demand(demand));
+        // the first demand sets the engine's name, which invalidates the report
         self.read();
     }
-    /// the next order, after its identity was told
+    /// Returns the next order, after confirming the engine's identity.
     fn next_order(&mut self) -> Option<EngineOrder> {
         loop {
             match self.control.next_action(self.now) {
                 PlacementAction::Identify { .. } => {
-                    self.tell(PlacementEvent::Identified(Some("b".to_string())))
+                    self.handle(PlacementEvent::Identified(Some("b".to_string())))
                 }
                 PlacementAction::Order(order) => return Some(order),
                 PlacementAction::Read { .. } | PlacementAction::BackOff { .. } => return None,
             }
         }
     }
-    /// carry out one order as an engine does
-    fn obey(&mut self, order: EngineOrder) {
+    /// Executes an order as an engine does.
+    fn execute(&mut self, order: EngineOrder) {
         match &order.kind {
             OrderKind::LoadAdapter(a) => self.report.loading.push(a.clone()),
             OrderKind::UnloadAdapter(a) => self.report.held.retain(|h| h.adapter != *a),
@@ -111,7 +111,7 @@
         }
         self.orders.push(order.clone());
         let answer = OrderAnswer::Taken;
-        self.tell(PlacementEvent::OrderAnswered { order, answer });
+        self.handle(PlacementEvent::OrderAnswered { order, answer });
         self.read();
     }
     fn finish_loads(&mut self, version: u64) {
@@ -121,7 +121,7 @@
         }
         self.read();
     }
-    fn hold(&mut self, names: &[&str]) {
+    fn set_held(&mut self, names: &[&str]) {
         self.report.held = names
             .iter()
             .map(|name| HeldAdapter {
@@ -158,15 +158,15 @@
     let mut fixture = Fixture::new();
     fixture.demand(demand(&[("a", 3), ("b", 0), ("c", 1)]));
     while let Some(order) = fixture.next_order() {
-        fixture.obey(order);
+        fixture.execute(order);
     }
     let loads = [adapter("b"), adapter("c")].map(OrderKind::LoadAdapter);
     assert_eq!(fixture.kinds(), loads);
 }
 
 #[test]
-fn an_adapter_that_many_wait_for_is_loaded_before_one_more_urgent() {
-    // those that wait for the less urgent one, and what is loaded first
+fn an_adapter_that_many_requests_wait_for_is_loaded_before_a_more_urgent_one() {
+    // requests that wait for the less urgent adapter, and the adapter loaded first
     let cases = [(1, "urgent"), (2, "many"), (8, "many")];
     for (waiting, first) in cases {
         let mut fixture = Fixture::new();
@@ -175,14 +175,14 @@
         fixture.demand(demand);
         let order = fixture.next_order().unwrap();
         let expected = OrderKind::LoadAdapter(adapter(first));
-        assert_eq!(order.kind, expected, "{waiting} wait");
+        assert_eq!(order.kind, expected, "{waiting} requests wait");
     }
 }
 
 #[test]
-fn the_adapter_unused_for_longest_makes_room() {
+fn the_least_recently_used_adapter_is_evicted() {
     let mut fixture = Fixture::new();
-    fixture.hold(&["old", "new"]);
+    fixture.set_held(&["old", "new"]);
     fixture.now += ms(1_000);
     let mut message = demand(&[("a", 0)]);
     message.used = vec![AdapterUse {
@@ -193,7 +193,7 @@
     fixture.now += ms(500);
     fixture.demand(message);
     while let Some(order) = fixture.next_order() {
-        fixture.obey(order);
+        fixture.execute(order);
     }
     assert_eq!(
         fixture.kinds(),
@@ -204,11 +204,10 @@
     );
 }
 
-/// none of these may be evicted
 #[test]
-fn an_adapter_that_is_needed_stays() {
-    type Need = fn(&mut AdapterDemand);
-    let cases: &[(&str, Need)] = &[
+fn an_adapter_that_is_in_use_or_wanted_is_not_evicted() {
+    type AddDemand = fn(&mut AdapterDemand);
+    let cases: &[(&str, AddDemand)] = &[
         ("in use", |d| {
             d.used = vec![AdapterUse {
                 adapter: adapter("kept"),
@@ -217,12 +216,12 @@
         }),
         ("wanted", |d| d.wanted.push(wanted("kept", 5))),
     ];
-    for (name, need) in cases {
+    for (name, add_demand) in cases {
         let mut fixture = Fixture::new();
-        fixture.hold(&["kept", "kept-2"]);
+        fixture.set_held(&["kept", "kept-2"]);
         fixture.now += ms(2_000);
         let mut message = demand(&[("a", 0), ("kept-2", 0)]);
-        need(&mut message);
+        add_demand(&mut message);
         fixture.demand(message);
         assert_eq!(fixture.next_order(), None, "{name}");
         assert_eq!(
@@ -234,22 +233,22 @@
 }
 
 #[test]
-fn orders_never_exceed_the_places() {
+fn orders_never_exceed_the_slots() {
     let mut fixture = Fixture::new();
     for round in 0..20u64 {
         let names: Vec<String> = (0..5).map(|n| format!("a{}", (round + n) % 9)).collect();
         let wants: Vec<(&str, u8)> = names.iter().map(|n| (n.as_str(), 0)).collect();
         fixture.demand(demand(&wants));
         while let Some(order) = fixture.next_order() {
-            fixture.obey(order);
-            let taken: HashSet<&AdapterRef> = fixture
+            fixture.execute(order);
+            let occupied: HashSet<&AdapterRef> = fixture
                 .report
                 .held
                 .iter()
                 .map(|h| &h.adapter)
                 .chain(&fixture.report.loading)
                 .collect();
-            assert!(taken.len() <= 2, "{taken:?}");
+            assert!(occupied.len() <= 2, "{occupied:?}");
         }
         fixture.finish_loads(1);
         fixture.now += ms(700);
@@ -258,19 +257,19 @@
 }
 
 #[test]
-fn weight_bounds_the_places_too() {
+fn memory_bounds_the_number_of_adapters() {
     let mut fixture = Fixture::new();
     let mut message = demand(&[("a", 0), ("b", 0)]);
     message.room.weights_mb = 515.0;
     fixture.demand(message);
     while let Some(order) = fixture.next_order() {
-        fixture.obey(order);
+        fixture.execute(order);
     }
     assert_eq!(fixture.orders.len(), 1);
 }
 
 #[test]
-fn a_refused_fence_is_raised_and_never_repeated() {
+fn a_refused_fence_is_raised_and_never_reused() {
     let mut fixture = Fixture::new();
     fixture.demand(demand(&[("a", 0)]));
     let mut fences = HashSet::new();
@@ -278,14 +277,14 @@
         let order = fixture.next_order().expect("an order");
         assert!(fences.insert(order.fence), "{} twice", order.fence);
         let answer = OrderAnswer::Fenced;
-        fixture.tell(PlacementEvent::OrderAnswered { order, answer });
+        fixture.handle(PlacementEvent::OrderAnswered { order, answer });
         fixture.read();
     }
     assert_eq!(fences.iter().min(), Some(&1_000));
 }
 
 #[test]
-fn a_fence_is_higher_than_that_of_an_earlier_life_under_a_clock_that_went_back() {
+fn a_fence_exceeds_that_of_an_earlier_incarnation_after_the_clock_went_back() {
     let mut fixture = Fixture::new();
     fixture.demand(AdapterDemand {
         fence_seen: 5_000,
@@ -294,52 +293,55 @@
     let order = fixture.next_order().expect("an order");
     assert!(order.fence > 5_000, "{}", order.fence);
     let fence = order.fence;
-    fixture.obey(order);
+    fixture.execute(order);
     fixture.demand(AdapterDemand {
         fence_seen: fence,
         ..demand(&[("b", 0)])
     });
     let order = fixture.next_order().expect("an order");
-    assert_eq!(order.fence, fence, "its own is no reason to raise it");
+    assert_eq!(order.fence, fence, "not raised by its own value");
 }
 
-/// what follows each answer of the engine
+/// A fenced order needs no delay: it is retried with a higher fence after the next read.
 #[test]
-fn orders_follow_what_the_engine_answers() {
+fn an_order_that_failed_is_retried_after_a_read_and_a_delay() {
     let cases = [
         (OrderAnswer::Busy, false),
         (OrderAnswer::Refused, false),
         (OrderAnswer::Unknown, false),
         (OrderAnswer::Fenced, true),
     ];
-    for (answer, at_once) in cases {
+    for (answer, is_immediate) in cases {
         let mut fixture = Fixture::new();
         fixture.demand(demand(&[("a", 0)]));
         let order = fixture.next_order().expect("an order");
         let name = format!("{answer:?}");
-        fixture.tell(PlacementEvent::OrderAnswered { order, answer });
+        fixture.handle(PlacementEvent::OrderAnswered { order, answer });
         assert_eq!(fixture.next_order(), None, "{name}: read first");
         fixture.read();
-        assert_eq!(fixture.next_order().is_some(), at_once, "{name}");
+        assert_eq!(fixture.next_order().is_some(), is_immediate, "{name}");
         fixture.now += ms(400);
         assert!(fixture.next_order().is_some(), "{name}: later");
     }
 }
 
 #[test]
-fn an_engine_that_came_back_is_identified_before_the_next_order() {
+fn a_restarted_engine_is_identified_before_the_next_order() {
     let mut fixture = Fixture::new();
     fixture.demand(demand(&[("a", 0)]));
     let order = fixture.next_order().expect("an order");
     let answer = OrderAnswer::OtherBackend(None);
-    fixture.tell(PlacementEvent::OrderAnswered { order, answer });
+    fixture.handle(PlacementEvent::OrderAnswered { order, answer });
     fixture.read();
     let step = fixture.control.next_action(fixture.now);
     assert!(matches!(step, PlacementAction::Identify { .. }), "{step:?}");
-    fixture.tell(PlacementEvent::Identified(Some("b2".to_string())));
+    fixture.handle(PlacementEvent::Identified(Some("b2".to_string())));
     fixture.demand(demand(&[("a", 0)]));
     let order = fixture.next_order().expect("an order");
-    assert_eq!(order.backend, "b2", "the engine knows better than the list");
+    assert_eq!(
+        order.backend, "b2",
+        "the engine's own name takes precedence"
+    );
 }
 
 #[test]
@@ -351,22 +353,26 @@
     let order = fixture.next_order().expect("an order");
     assert_eq!(order.kind, OrderKind::LoadModel("m".to_string()));
     let answer = OrderAnswer::Taken;
-    fixture.tell(PlacementEvent::OrderAnswered { order, answer });
+    fixture.handle(PlacementEvent::OrderAnswered { order, answer });
     fixture.report.busy = true;
     fixture.read();
     assert_eq!(fixture.next_order(), None);
     let wait = fixture.control.view(fixture.now).figures.next_load_ms;
-    assert!(wait >= 2_000, "{wait}: entries hear how long it takes");
+    assert!(wait >= 2_000, "{wait}: includes the load of the base model");
     fixture.report.busy = false;
     fixture.read();
-    assert_eq!(fixture.next_order(), None, "loads of models are rationed");
+    assert_eq!(
+        fixture.next_order(),
+        None,
+        "loads of models are rate-limited"
+    );
 }
 
 #[test]
-fn a_newer_version_replaces_an_idle_adapter_at_once_and_a_busy_one_in_time() {
+fn a_newer_version_replaces_an_idle_adapter_at_once_and_a_busy_one_after_a_delay() {
     for (in_flight, wait) in [(0, ms(0)), (1, ms(1_100))] {
         let mut fixture = Fixture::new();
-        fixture.hold(&["a"]);
+        fixture.set_held(&["a"]);
         let mut message = demand(&[]);
         message.used = vec![AdapterUse {
             adapter: adapter("a"),
@@ -382,9 +388,9 @@
         fixture.demand(message);
         let order = fixture.next_order().expect("an order");
         assert_eq!(order.kind, OrderKind::LoadAdapter(adapter("a")));
-        fixture.obey(order);
+        fixture.execute(order);
         let held = fixture.control.view(fixture.now).held;
-        assert!(held.is_empty(), "not offered while it is replaced");
+        assert!(held.is_empty(), "not published while it is replaced");
         fixture.finish_loads(2);
         let held = fixture.control.view(fixture.now).held;
         assert_eq!(held.first().map(|h| h.version), Some(2));
@@ -392,7 +398,7 @@
 }
 
 #[test]
-fn an_entry_that_fell_silent_needs_nothing() {
+fn the_demand_of_an_unresponsive_entry_expires() {
     let mut fixture = Fixture::new();
     fixture.demand(demand(&[("a", 0)]));
     fixture.now += ms(3_500);
@@ -402,64 +408,64 @@
 }
 
 #[test]
-fn what_the_engine_held_comes_back_in_a_time_of_its_own() {
+fn load_times_and_reload_times_are_estimated_separately() {
     let mut fixture = Fixture::new();
     fixture.demand(demand(&[]));
     assert!(fixture.next_order().is_none());
-    fixture.hold(&["a"]);
+    fixture.set_held(&["a"]);
     assert!(fixture.control.view(fixture.now).lately.is_empty());
-    fixture.hold(&[]);
+    fixture.set_held(&[]);
     assert_eq!(
         fixture.control.view(fixture.now).lately,
         [adapter_hash(&adapter("a"))]
     );
-    // a load from the store takes 500 ms, a return 50 ms
-    for (name, takes) in [("b", 500), ("a", 50)] {
+    // a load from the store takes 500 ms, a reload 50 ms
+    for (name, load_ms) in [("b", 500), ("a", 50)] {
         let before = fixture.control.view(fixture.now).figures;
         fixture.demand(demand(&[(name, 0)]));
         let order = fixture.next_order().unwrap();
-        fixture.obey(order);
-        fixture.now += ms(takes);
+        fixture.execute(order);
+        fixture.now += ms(load_ms);
         fixture.finish_loads(1);
         fixture.demand(demand(&[]));
         let after = fixture.control.view(fixture.now).figures;
-        let is_return = name == "a";
-        assert_eq!(before.next_load_ms != after.next_load_ms, !is_return);
-        assert_eq!(before.next_return_ms != after.next_return_ms, is_return);
+        let is_reload = name == "a";
+        assert_eq!(before.next_load_ms != after.next_load_ms, !is_reload);
+        assert_eq!(before.next_return_ms != after.next_return_ms, is_reload);
     }
-    // another incarnation has nothing
-    fixture.tell(PlacementEvent::Identified(Some("later".to_string())));
+    // another incarnation starts with an empty host cache
+    fixture.handle(PlacementEvent::Identified(Some("later".to_string())));
     assert!(fixture.control.view(fixture.now).lately.is_empty());
 }
 
-/// have `count` adapters loaded one after the other, each in this time
-fn load_each(fixture: &mut Fixture, names: &[&str], takes: Duration) {
+/// Loads and evicts the adapters one after the other; each load takes `load_time`.
+fn load_each(fixture: &mut Fixture, names: &[&str], load_time: Duration) {
     for name in names {
         fixture.demand(demand(&[(name, 0)]));
         while let Some(order) = fixture.next_order() {
-            fixture.obey(order);
+            fixture.execute(order);
         }
-        fixture.now += takes;
+        fixture.now += load_time;
         fixture.finish_loads(1);
-        fixture.hold(&[]);
+        fixture.set_held(&[]);
     }
 }
 
 #[test]
 fn fewer_adapters_are_loaded_at_once_while_loads_are_slow() {
-    // time of a load in ms, and how many are under way at once then
-    for (takes, at_once) in [(250, 3), (500, 2), (1_500, 1)] {
+    // load time in ms, and the expected number of concurrent loads
+    for (load_ms, concurrent) in [(250, 3), (500, 2), (1_500, 1)] {
         let mut fixture = Fixture::new();
         fixture.demand(demand(&[]));
-        load_each(&mut fixture, &["p", "q", "r", "s", "t", "u"], ms(takes));
+        load_each(&mut fixture, &["p", "q", "r", "s", "t", "u"], ms(load_ms));
         let mut many = demand(&[("a", 0), ("b", 0), ("c", 0), ("d", 0), ("e", 0)]);
         many.room.adapter_slots = 9;
         fixture.demand(many);
         let mut loads = 0;
         while let Some(order) = fixture.next_order() {
-            fixture.obey(order);
+            fixture.execute(order);
             loads += 1;
         }
-        assert_eq!(loads, at_once, "{takes} ms a load");
+        assert_eq!(loads, concurrent, "{load_ms} ms per load");
     }
 }
--- a/coordination/tests/relay_fleet.rs
+++ b/coordination/tests/relay_fleet.rs
@@ -1,4 +1,4 @@
-//! a simulated fleet whose relays fail: no I/O, one seed, time in steps
+//! A simulated fleet whose relays fail one after the other, with a fixed seed.
 
 use {
     chalkcart_coordination::{
@@ -17,22 +17,23 @@
 const ENTRIES: usize = 60;
 const ENGINES: usize = 200;
 const STEP: Duration = Duration::from_millis(100);
-/// an entry leaves a relay after this silence
-const SILENCE: Duration = Duration::from_millis(700);
+/// Time without a message after which an entry leaves its relay.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval at which an entry selects its relay again.
 const REVIEW_STEPS: u64 = 20;
-/// relays fail one after the other for this long, each for a while
+/// Length of the period in which relays fail, in steps.
 const FAULT_STEPS: u64 = 300;
-const FAULT_EVERY: u64 = 5;
-const DEAD_STEPS: u64 = 15;
-/// a relay rests for 5 s, and entries look for a better one each 2 s
-const CALM_STEPS: u64 = 80;
+const FAULT_INTERVAL_STEPS: u64 = 5;
+const FAILURE_STEPS: u64 = 15;
+/// Longer than the back-off of a failed relay and a review interval.
+const RECOVERY_STEPS: u64 = 80;
 
 struct Entry {
     zone: usize,
-    choice: RelaySelector,
+    selector: RelaySelector,
     relay: SocketAddr,
-    silent: Duration,
-    longest_silence: Duration,
+    without_relay: Duration,
+    max_without_relay: Duration,
 }
 
 struct Fleet {
@@ -53,14 +54,14 @@
         let candidates: Vec<RelayCandidate> = (0..ENGINES).map(engine).collect();
         let entries = (0..ENTRIES).map(|n| {
             let zone = n % ZONES;
-            let mut choice = RelaySelector::new(&format!("e{n}"), &format!("z{zone}"));
-            let relay = choice.select(&candidates, None, now).expect("a relay");
+            let mut selector = RelaySelector::new(&format!("e{n}"), &format!("z{zone}"));
+            let relay = selector.select(&candidates, None, now).expect("a relay");
             Entry {
                 zone,
-                choice,
+                selector,
                 relay,
-                silent: Duration::ZERO,
-                longest_silence: Duration::ZERO,
+                without_relay: Duration::ZERO,
+                max_without_relay: Duration::ZERO,
             }
         });
         let entries = entries.collect();
@@ -73,41 +74,40 @@
         }
     }
 
-    /// one of the relays in use dies
-    fn kill_one(&mut self) {
+    fn kill_one_relay_in_use(&mut self) {
         let in_use: Vec<SocketAddr> = self.in_use().into_values().flatten().collect();
         let draw = rendezvous_weight(SEED, self.step) as usize;
-        let until = self.step + DEAD_STEPS;
+        let until = self.step + FAILURE_STEPS;
         self.dead.insert(in_use[draw % in_use.len()], until);
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.step += 1;
         self.now += STEP;
         let step = self.step;
         self.dead.retain(|_, until| *until > step);
         for entry in &mut self.entries {
             if !self.dead.contains_key(&entry.relay) {
-                entry.silent = Duration::ZERO;
+                entry.without_relay = Duration::ZERO;
                 if step.is_multiple_of(REVIEW_STEPS) {
-                    let present = Some(entry.relay);
-                    let chosen = entry.choice.select(&self.candidates, present, self.now);
-                    entry.relay = chosen.expect("a relay");
+                    let current = Some(entry.relay);
+                    let selected = entry.selector.select(&self.candidates, current, self.now);
+                    entry.relay = selected.expect("a relay");
                 }
                 continue;
             }
-            entry.silent += STEP;
-            entry.longest_silence = entry.longest_silence.max(entry.silent);
-            let here = entry.silent.as_millis() % SILENCE.as_millis();
-            if here == 0 {
-                entry.choice.on_failure(entry.relay, self.now);
-                let chosen = entry.choice.select(&self.candidates, None, self.now);
-                entry.relay = chosen.expect("a relay");
+            entry.without_relay += STEP;
+            entry.max_without_relay = entry.max_without_relay.max(entry.without_relay);
+            let since_switch = entry.without_relay.as_millis() % RELAY_TIMEOUT.as_millis();
+            if since_switch == 0 {
+                entry.selector.on_failure(entry.relay, self.now);
+                let selected = entry.selector.select(&self.candidates, None, self.now);
+                entry.relay = selected.expect("a relay");
             }
         }
     }
 
-    /// relays that the entries of each zone use
+    /// Returns the relays that the entries of each zone use.
     fn in_use(&self) -> BTreeMap<usize, BTreeSet<SocketAddr>> {
         let mut relays: BTreeMap<usize, BTreeSet<SocketAddr>> = BTreeMap::new();
         for entry in &self.entries {
@@ -118,18 +118,18 @@
 }
 
 #[test]
-fn entries_are_never_long_without_a_relay_and_come_back_to_few() {
+fn entries_replace_failed_relays_quickly_and_share_few_after_recovery() {
     let mut fleet = Fleet::new();
     for step in 0..FAULT_STEPS {
-        if step % FAULT_EVERY == 0 {
-            fleet.kill_one();
+        if step % FAULT_INTERVAL_STEPS == 0 {
+            fleet.kill_one_relay_in_use();
         }
-        fleet.pass();
+        fleet.advance();
     }
-    let longest = fleet.entries.iter().map(|e| e.longest_silence).max();
-    assert!(longest <= Some(SILENCE * 3), "{longest:?}");
-    for _ in 0..CALM_STEPS {
-        fleet.pass();
+    let longest = fleet.entries.iter().map(|e| e.max_without_relay).max();
+    assert!(longest <= Some(RELAY_TIMEOUT * 3), "{longest:?}");
+    for _ in 0..RECOVERY_STEPS {
+        fleet.advance();
     }
     for (zone, relays) in fleet.in_use() {
         assert!(relays.len() <= RELAYS_PER_ZONE, "zone {zone}: {relays:?}");
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -1,4 +1,5 @@
-//! who hears whom in a large fleet
+//! Relays: their selection, the demands and views that they forward, and their copy of the
+//! store's records.
 
 use {
     chalkcart_coordination::relay::{
@@ -35,7 +36,7 @@
     }
 }
 
-/// ten engines in each of three zones
+/// Ten engines in each of three zones.
 fn candidates() -> Vec<RelayCandidate> {
     let of = |number: u8| RelayCandidate {
         engine: addr(number),
@@ -44,18 +45,18 @@
     (0..30).map(of).collect()
 }
 
-fn choices(zone: &str) -> Vec<RelaySelector> {
+fn selectors(zone: &str) -> Vec<RelaySelector> {
     let of = |n| RelaySelector::new(&format!("entry-{n}"), &zone.to_string());
     (0..20).map(of).collect()
 }
 
 #[test]
-fn the_entries_of_a_zone_use_few_relays_all_of_their_own_zone() {
+fn the_entries_of_a_zone_share_few_relays_of_that_zone() {
     let now = Instant::now();
     for zone in ["z0", "z1", "z2"] {
-        let chosen = choices(zone)
+        let chosen = selectors(zone)
             .iter_mut()
-            .map(|choice| choice.select(&candidates(), None, now).expect("a relay"))
+            .map(|selector| selector.select(&candidates(), None, now).expect("a relay"))
             .collect::<HashSet<SocketAddr>>();
         assert_eq!(chosen.len(), RELAYS_PER_ZONE);
         let own = candidates().into_iter().filter(|c| c.zone == zone);
@@ -65,59 +66,63 @@
 }
 
 #[test]
-fn an_entry_leaves_a_relay_that_failed_and_comes_back_after_its_rest() {
+fn an_entry_leaves_a_failed_relay_and_returns_after_the_backoff() {
     let mut now = Instant::now();
-    let mut choice = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
-    let first = choice.select(&candidates(), None, now).expect("a relay");
-    choice.on_failure(first, now);
-    let second = choice.select(&candidates(), None, now).expect("a relay");
+    let mut selector = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
+    let first = selector.select(&candidates(), None, now).expect("a relay");
+    selector.on_failure(first, now);
+    let second = selector.select(&candidates(), None, now).expect("a relay");
     assert_ne!(first, second);
     let present = Some(second);
-    assert_eq!(choice.select(&candidates(), present, now), present, "kept");
+    assert_eq!(
+        selector.select(&candidates(), present, now),
+        present,
+        "kept"
+    );
     now += Duration::from_secs(6);
-    assert_eq!(choice.select(&candidates(), None, now), Some(first));
+    assert_eq!(selector.select(&candidates(), None, now), Some(first));
 }
 
 #[test]
-fn the_entries_of_a_zone_have_one_reader_of_the_store_and_leave_one_that_failed() {
+fn the_entries_of_a_zone_share_one_store_reader_and_leave_one_that_failed() {
     let (now, candidates) = (Instant::now(), candidates());
-    let mut choices = choices("z1");
-    let readers = choices
+    let mut selectors = selectors("z1");
+    let readers = selectors
         .iter_mut()
-        .map(|c| c.select_store_reader(&candidates, now));
+        .map(|s| s.select_store_reader(&candidates, now));
     let readers: HashSet<SocketAddr> = readers.map(|r| r.expect("a reader")).collect();
     assert_eq!(readers.len(), 1, "{readers:?}");
     let reader = *readers.iter().next().expect("a reader");
     let own = candidates.iter().find(|c| c.engine == reader);
     assert_eq!(own.map(|c| c.zone.as_str()), Some("z1"));
-    // it is one of those by which views are heard
-    let relays: HashSet<SocketAddr> = choices
+    // the reader is one of the zone's relays
+    let relays: HashSet<SocketAddr> = selectors
         .iter_mut()
-        .filter_map(|c| c.select(&candidates, None, now))
+        .filter_map(|s| s.select(&candidates, None, now))
         .collect();
     assert!(relays.contains(&reader), "{relays:?}");
-    choices[0].on_failure(reader, now);
+    selectors[0].on_failure(reader, now);
     assert_ne!(
-        choices[0].select_store_reader(&candidates, now),
+        selectors[0].select_store_reader(&candidates, now),
         Some(reader)
     );
-    assert_eq!(choices[0].select_store_reader(&[], now), None);
+    assert_eq!(selectors[0].select_store_reader(&[], now), None);
 }
 
 #[test]
 fn an_entry_always_finds_a_relay_while_any_engine_is_listed() {
     let now = Instant::now();
-    let mut choice = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
+    let mut selector = RelaySelector::new(&"entry-1".to_string(), &"z1".to_string());
     let mut tried = HashSet::new();
     for step in 0..30 {
         let at = now + Duration::from_millis(step);
-        let chosen = choice.select(&candidates(), None, at).expect("a relay");
-        assert!(tried.insert(chosen), "each is tried before any is again");
-        choice.on_failure(chosen, at);
+        let chosen = selector.select(&candidates(), None, at).expect("a relay");
+        assert!(tried.insert(chosen), "{chosen} is selected twice");
+        selector.on_failure(chosen, at);
     }
     let later = now + Duration::from_millis(40);
-    assert!(choice.select(&candidates(), None, later).is_some());
-    assert_eq!(choice.select(&[], None, later), None);
+    assert!(selector.select(&candidates(), None, later).is_some());
+    assert_eq!(selector.select(&[], None, later), None);
 }
 
 fn demand(entry: &str, adapter_name: &str) -> AdapterDemand {
@@ -143,7 +148,7 @@
     }
 }
 
-fn whole(entry: &str, adapter_name: &str) -> RelayDemands {
+fn full_demands(entry: &str, adapter_name: &str) -> RelayDemands {
     RelayDemands {
         entry: entry.to_string(),
         is_whole: true,
@@ -155,73 +160,76 @@
 }
 
 #[test]
-fn a_relay_says_what_all_its_entries_need_as_one() {
+fn a_relay_merges_the_demands_of_its_entries() {
     let now = Instant::now();
-    let mut book = RelayState::new("relay".to_string());
-    assert!(book.on_demands(whole("e1", "a"), now), "one more engine");
-    assert!(!book.on_demands(whole("e2", "a"), now));
-    let told = book.take_due_demands();
-    let (engine, merged) = &told[0];
-    assert_eq!((*engine, told.len()), (addr(1), 1));
+    let mut relay = RelayState::new("relay".to_string());
+    assert!(
+        relay.on_demands(full_demands("e1", "a"), now),
+        "one more engine"
+    );
+    assert!(!relay.on_demands(full_demands("e2", "a"), now));
+    let due = relay.take_due_demands();
+    let (engine, merged) = &due[0];
+    assert_eq!((*engine, due.len()), (addr(1), 1));
     assert_eq!((merged.entry.as_str(), merged.entries), ("relay", 2));
     assert_eq!(merged.wanted[0].waiting, 4);
     assert_eq!(merged.used[0].in_flight, 6);
     assert_eq!(merged.fence_seen, 7);
-    assert!(book.take_due_demands().is_empty(), "told once");
+    assert!(relay.take_due_demands().is_empty(), "sent once");
 }
 
 #[test]
-fn what_a_silent_entry_needed_is_forgotten() {
+fn the_demands_of_an_unresponsive_entry_expire() {
     let now = Instant::now();
-    let mut book = RelayState::new("relay".to_string());
-    book.on_demands(whole("e1", "a"), now);
-    book.on_demands(whole("e2", "a"), now + Duration::from_secs(2));
+    let mut relay = RelayState::new("relay".to_string());
+    relay.on_demands(full_demands("e1", "a"), now);
+    relay.on_demands(full_demands("e2", "a"), now + Duration::from_secs(2));
     assert!(
-        !book.expire(now + Duration::from_secs(3)),
-        "e2 needs it still"
+        !relay.expire(now + Duration::from_secs(3)),
+        "e2 still has a demand"
     );
-    assert_eq!(book.take_due_demands()[0].1.entries, 1);
-    assert!(book.expire(now + Duration::from_secs(5)));
-    assert_eq!(book.engines().count(), 0);
+    assert_eq!(relay.take_due_demands()[0].1.entries, 1);
+    assert!(relay.expire(now + Duration::from_secs(5)));
+    assert_eq!(relay.engines().count(), 0);
 }
 
 #[test]
-fn readers_hear_that_an_engine_is_followed_no_more() {
+fn entries_receive_the_removal_of_an_engine_without_demand() {
     let now = Instant::now();
-    let mut book = RelayState::new("relay".to_string());
-    book.on_demands(whole("e1", "a"), now);
-    book.on_view(addr(1), view(&[1]), now);
+    let mut relay = RelayState::new("relay".to_string());
+    relay.on_demands(full_demands("e1", "a"), now);
+    relay.on_view(addr(1), view(&[1]), now);
     let mut reader = Reader::default();
-    reader.take_in(book.take_update(now));
+    reader.apply(relay.take_update(now));
     assert_eq!(reader.0.len(), 1);
-    let mut without = whole("e1", "a");
+    let mut without = full_demands("e1", "a");
     without.is_whole = false;
     without.engines[0].demand = None;
-    assert!(book.on_demands(without, now), "one engine less");
-    reader.take_in(book.take_update(now));
+    assert!(relay.on_demands(without, now), "one engine less");
+    reader.apply(relay.take_update(now));
     assert!(
         reader.0.is_empty(),
-        "nothing is kept for an engine that left"
+        "the view of a removed engine is dropped"
     );
 }
 
-/// what happens to a relay
+/// An event at a relay.
 #[derive(Debug, Clone)]
-enum Heard {
+enum RelayEvent {
     View(u8, Vec<u8>),
-    Figures(u8, u32),
-    Silent(u8),
-    Told,
+    Stats(u8, u32),
+    Unresponsive(u8),
+    SendUpdate,
 }
 
-impl Arbitrary for Heard {
+impl Arbitrary for RelayEvent {
     fn arbitrary(g: &mut Gen) -> Self {
         let engine = u8::arbitrary(g) % 3;
         match u8::arbitrary(g) % 5 {
             0 | 1 => Self::View(engine, Vec::arbitrary(g)),
-            2 => Self::Figures(engine, u32::arbitrary(g) % 9),
-            3 => Self::Silent(engine),
-            _ => Self::Told,
+            2 => Self::Stats(engine, u32::arbitrary(g) % 9),
+            3 => Self::Unresponsive(engine),
+            _ => Self::SendUpdate,
         }
     }
 }
@@ -241,15 +249,15 @@
     }
 }
 
-/// what an entry knows that reads a relay's messages
+/// The views of an entry that applies a relay's updates.
 #[derive(Debug, Default, PartialEq)]
 struct Reader(BTreeMap<SocketAddr, EngineView>);
 
 impl Reader {
-    fn take_in(&mut self, update: RelayUpdate) {
+    fn apply(&mut self, update: RelayUpdate) {
         for news in update.news {
             match news.word {
-                EngineWord::Unknown => panic!("of no build"),
+                EngineWord::Unknown => panic!("no build sends this"),
                 EngineWord::Silent => {
                     self.0.remove(&news.engine);
                 }
@@ -263,63 +271,64 @@
     }
 }
 
-/// a reader that came late, one that heard all, and the sidecars agree
-fn readers_agree(story: Vec<Heard>, late_at: usize) -> bool {
+/// Returns whether the views of a reader that connects late, of one that receives all
+/// updates, and of the sidecars are equal after the events.
+fn readers_agree(events: Vec<RelayEvent>, late_at: usize) -> bool {
     let now = Instant::now();
-    let mut book = RelayState::new("relay".to_string());
+    let mut relay = RelayState::new("relay".to_string());
     for engine in 0..3 {
-        let mut message = whole("e", "a");
+        let mut message = full_demands("e", "a");
         message.is_whole = false;
         message.engines[0].engine = addr(engine);
-        book.on_demands(message, now);
+        relay.on_demands(message, now);
     }
     let mut truth = Reader::default();
     let (mut early, mut late) = (Reader::default(), None);
-    for (step, heard) in story.into_iter().enumerate() {
+    for (step, event) in events.into_iter().enumerate() {
         if step == late_at % 20 {
             late = Some(Reader::default());
             late.as_mut()
                 .expect("it is there")
-                .take_in(book.full_update(now));
+                .apply(relay.full_update(now));
         }
-        match heard {
-            Heard::View(engine, held) => {
+        match event {
+            RelayEvent::View(engine, held) => {
                 truth.0.insert(addr(engine), view(&held));
-                book.on_view(addr(engine), view(&held), now);
+                relay.on_view(addr(engine), view(&held), now);
             }
-            Heard::Figures(engine, running) => {
-                let figures = EngineFigures {
+            RelayEvent::Stats(engine, running) => {
+                let stats = EngineFigures {
                     running,
                     ..EngineFigures::default()
                 };
                 if let Some(view) = truth.0.get_mut(&addr(engine)) {
-                    view.figures = figures;
+                    view.figures = stats;
                 }
-                book.on_stats(addr(engine), &"b".into(), figures, now);
+                relay.on_stats(addr(engine), &"b".into(), stats, now);
             }
-            Heard::Silent(engine) => {
+            RelayEvent::Unresponsive(engine) => {
                 truth.0.remove(&addr(engine));
-                book.on_unresponsive(addr(engine), now);
+                relay.on_unresponsive(addr(engine), now);
             }
-            Heard::Told => {
-                let update = book.take_update(now);
-                early.take_in(update.clone());
-                late.iter_mut().for_each(|l| l.take_in(update.clone()));
+            RelayEvent::SendUpdate => {
+                let update = relay.take_update(now);
+                early.apply(update.clone());
+                late.iter_mut().for_each(|l| l.apply(update.clone()));
             }
         }
     }
-    let update = book.take_update(now);
-    early.take_in(update.clone());
-    late.iter_mut().for_each(|l| l.take_in(update.clone()));
+    let update = relay.take_update(now);
+    early.apply(update.clone());
+    late.iter_mut().for_each(|l| l.apply(update.clone()));
     early == truth && late.is_none_or(|late| late == truth)
 }
 
 #[test]
-fn readers_know_what_the_sidecars_said_last() {
+fn readers_have_the_latest_views_of_the_sidecars() {
     let rng = Gen::from_size_and_seed(60, SEED);
     QuickCheck::new()
         .rng(rng)
-        .quickcheck(readers_agree as fn(Vec<Heard>, usize) -> bool);
+        .quickcheck(readers_agree as fn(Vec<RelayEvent>, usize) -> bool);
 }
 
 fn listed(id: &str) -> Record {
@@ -340,7 +349,7 @@
     Snapshot { records, at }
 }
 
-/// an answer that was current when it was asked for
+/// A response that was current at the time of the request.
 fn current(snapshot: Snapshot) -> PublishedAnswer {
     let current_ms = 0;
     PublishedAnswer::Records {
@@ -350,44 +359,48 @@
 }
 
 #[test]
-fn a_relay_tells_the_store_as_it_heard_it_and_only_while_it_hears_it() {
+fn a_relay_serves_the_records_of_the_store_until_they_are_stale() {
     let now = Instant::now();
-    let mut book = PublishedCache::new(STALE_AFTER);
-    assert_eq!(book.response(None, now, now), Some(PublishedAnswer::Stale));
-    book.apply(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
+    let mut cache = PublishedCache::new(STALE_AFTER);
+    assert_eq!(cache.response(None, now, now), Some(PublishedAnswer::Stale));
+    cache.apply(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
     let all = current(snapshot(5, vec![listed("a"), listed("b")]));
-    assert_eq!(book.response(None, now, now), Some(all));
-    assert_eq!(book.response(Some(5), now, now), None, "nothing newer");
-    // a later whole lacks one that is known, and an older answer says nothing
-    book.apply(snapshot(9, vec![listed("a")]), true, now, now);
-    book.apply(snapshot(7, vec![listed("c")]), false, now, now);
+    assert_eq!(cache.response(None, now, now), Some(all));
+    assert_eq!(cache.response(Some(5), now, now), None, "nothing newer");
+    // a later listing lacks a known back end, and an earlier state is ignored
+    cache.apply(snapshot(9, vec![listed("a")]), true, now, now);
+    cache.apply(snapshot(7, vec![listed("c")]), false, now, now);
     let lost = Some(PublishedAnswer::HistoryLost);
     assert_eq!(
-        book.response(Some(5), now, now),
+        cache.response(Some(5), now, now),
         lost,
-        "all must be asked for"
+        "the topic must be read in full"
     );
     let all = current(snapshot(9, vec![listed("a")]));
-    assert_eq!(book.response(None, now, now), Some(all));
+    assert_eq!(cache.response(None, now, now), Some(all));
     let gone = Record::BackendGone("a".to_string());
-    book.apply(snapshot(10, vec![gone.clone()]), false, now, now);
+    cache.apply(snapshot(10, vec![gone.clone()]), false, now, now);
     let gone = current(snapshot(10, vec![gone]));
-    assert_eq!(book.response(Some(9), now, now), Some(gone));
+    assert_eq!(cache.response(Some(9), now, now), Some(gone));
     let nothing = current(snapshot(12, Vec::new()));
-    assert_eq!(book.empty_response(Some(12), now), nothing, "never back");
+    assert_eq!(
+        cache.empty_response(Some(12), now),
+        nothing,
+        "never an earlier revision"
+    );
     let later = now + Duration::from_secs(2);
     assert_eq!(
-        book.response(Some(10), later, later),
+        cache.response(Some(10), later, later),
         Some(PublishedAnswer::Stale)
     );
 }
 
-/// Pages of a whole are no snapshot: a later page may have a change that came after
-/// the first. An entry that knows all up to the first page has not heard it.
+/// The pages of a listing are no snapshot: a later page may contain a change that an entry
+/// at the revision of the first page does not know.
 #[test]
-fn a_change_that_came_between_two_pages_is_told_when_it_is_heard_again() {
+fn a_change_between_two_pages_of_a_listing_is_sent_when_the_watch_reports_it() {
     let now = Instant::now();
-    let mut book = PublishedCache::new(STALE_AFTER);
+    let mut cache = PublishedCache::new(STALE_AFTER);
     let leaving = match listed("b") {
         Record::Backend(backend) => Record::Backend(Backend {
             leaving: true,
@@ -395,46 +408,46 @@
         }),
         other => other,
     };
-    book.apply(
+    cache.apply(
         snapshot(5, vec![listed("a"), leaving.clone()]),
         true,
         now,
         now,
     );
-    book.apply(snapshot(6, vec![leaving.clone()]), false, now, now);
-    let told = current(snapshot(6, vec![leaving]));
-    assert_eq!(book.response(Some(5), now, now), Some(told));
+    cache.apply(snapshot(6, vec![leaving.clone()]), false, now, now);
+    let change = current(snapshot(6, vec![leaving]));
+    assert_eq!(cache.response(Some(5), now, now), Some(change));
 }
 
-/// it has not heard what left the list before it began
+/// A relay does not know which back ends were removed before it started.
 #[test]
-fn a_relay_that_begins_tells_all_to_who_knows_an_earlier_revision() {
+fn a_new_relay_requires_a_full_read_from_an_earlier_revision() {
     let now = Instant::now();
-    let mut book = PublishedCache::new(STALE_AFTER);
-    book.apply(snapshot(888, vec![listed("a")]), true, now, now);
+    let mut cache = PublishedCache::new(STALE_AFTER);
+    cache.apply(snapshot(888, vec![listed("a")]), true, now, now);
     let lost = Some(PublishedAnswer::HistoryLost);
-    assert_eq!(book.response(Some(847), now, now), lost);
-    assert_eq!(book.response(Some(888), now, now), None);
-    book.apply(snapshot(890, vec![listed("c")]), false, now, now);
+    assert_eq!(cache.response(Some(847), now, now), lost);
+    assert_eq!(cache.response(Some(888), now, now), None);
+    cache.apply(snapshot(890, vec![listed("c")]), false, now, now);
     let newer = current(snapshot(890, vec![listed("c")]));
-    assert_eq!(book.response(Some(888), now, now), Some(newer));
+    assert_eq!(cache.response(Some(888), now, now), Some(newer));
 }
 
 #[test]
-fn an_earlier_state_of_the_store_is_no_sign_that_it_is_heard() {
+fn an_earlier_state_of_the_store_does_not_refresh_a_stale_copy() {
     let now = Instant::now();
-    let mut book = PublishedCache::new(STALE_AFTER);
-    book.apply(snapshot(9, vec![listed("a")]), true, now, now);
+    let mut cache = PublishedCache::new(STALE_AFTER);
+    cache.apply(snapshot(9, vec![listed("a")]), true, now, now);
     let later = now + STALE_AFTER + Duration::from_millis(1);
-    book.apply(snapshot(7, vec![listed("b")]), true, later, later);
+    cache.apply(snapshot(7, vec![listed("b")]), true, later, later);
     assert_eq!(
-        book.response(Some(9), later, later),
+        cache.response(Some(9), later, later),
         Some(PublishedAnswer::Stale)
     );
 }
 
 #[test]
-fn an_entry_whose_call_failed_leaves_the_store_to_its_relay_for_a_while() {
+fn an_entry_backs_off_after_its_direct_call_to_the_store_failed() {
     let propagation_limit = Duration::from_millis(2_000);
     let pacing = RelayPacing { propagation_limit };
     let mut calls = DirectCallPacing::new(pacing.direct_call_pause());
@@ -445,59 +458,62 @@
     assert!(calls.may_call(now + Duration::from_millis(500)));
     calls.on_success();
     assert!(calls.may_call(now));
-    let known_after = pacing.stale_after() + pacing.direct_call_pause();
-    assert!(known_after < propagation_limit, "a change is known in time");
+    let propagation = pacing.stale_after() + pacing.direct_call_pause();
+    assert!(propagation < propagation_limit, "a change is known in time");
 }
 
 #[test]
-fn what_a_relay_has_forgotten_must_be_asked_for_whole() {
+fn dropped_removals_require_a_full_read() {
     let now = Instant::now();
-    let mut book = PublishedCache::new(STALE_AFTER);
+    let mut cache = PublishedCache::new(STALE_AFTER);
     for at in 1..=2_001 {
         let gone = Record::BackendGone(format!("b{at}"));
-        book.apply(snapshot(at, vec![gone]), false, now, now);
+        cache.apply(snapshot(at, vec![gone]), false, now, now);
     }
     assert_eq!(
-        book.response(Some(1), now, now),
+        cache.response(Some(1), now, now),
         Some(PublishedAnswer::HistoryLost)
     );
-    assert!(book
+    assert!(cache
         .response(Some(2_000), now, now)
         .is_some_and(|a| a != PublishedAnswer::HistoryLost));
 }
 
-/// an entry that asks for changes, and a zone that is no longer in the whole
+/// Covers an entry that reads changes, and a zone that a later listing lacks.
 #[test]
-fn a_relay_tells_which_zones_are_to_be_emptied_and_when_that_is_over() {
+fn a_relay_serves_the_start_and_the_end_of_a_zone_evacuation() {
     let now = Instant::now();
     let zone = |is_evacuated| Record::Zone {
         zone: "y".to_string(),
         is_evacuated,
     };
-    let told = |book: &PublishedCache, after| match book.response(after, now, now) {
+    let records = |cache: &PublishedCache, after| match cache.response(after, now, now) {
         Some(PublishedAnswer::Records { snapshot, .. }) => snapshot.records,
         other => panic!("{other:?}"),
     };
-    let mut book = PublishedCache::new(STALE_AFTER);
-    book.apply(snapshot(1, Vec::new()), true, now, now);
-    book.apply(snapshot(2, vec![zone(true)]), false, now, now);
-    assert_eq!(told(&book, Some(1)), [zone(true)]);
-    assert_eq!(told(&book, None), [zone(true)]);
-    book.apply(snapshot(3, Vec::new()), true, now, now);
+    let mut cache = PublishedCache::new(STALE_AFTER);
+    cache.apply(snapshot(1, Vec::new()), true, now, now);
+    cache.apply(snapshot(2, vec![zone(true)]), false, now, now);
+    assert_eq!(records(&cache, Some(1)), [zone(true)]);
+    assert_eq!(records(&cache, None), [zone(true)]);
+    cache.apply(snapshot(3, Vec::new()), true, now, now);
     assert_eq!(
-        book.response(Some(2), now, now),
+        cache.response(Some(2), now, now),
         Some(PublishedAnswer::HistoryLost),
-        "what went is not known here: all must be asked for"
+        "removals before the listing are unknown"
     );
-    assert_eq!(told(&book, None), [zone(false)]);
+    assert_eq!(records(&cache, None), [zone(false)]);
 }
 
 #[test]
-fn a_relay_that_lost_the_store_is_found_out_before_a_change_must_be_known() {
+fn a_relay_that_lost_the_store_is_stale_before_the_propagation_limit() {
     for propagation_limit in [500, 2_000, 3_000, 4_000].map(Duration::from_millis) {
         let pacing = RelayPacing { propagation_limit };
-        let calm = pacing.watch_wait() + pacing.pause_after_change();
-        assert!(calm < pacing.stale_after(), "a sound relay is never stale");
+        let interval = pacing.watch_wait() + pacing.pause_after_change();
+        assert!(
+            interval < pacing.stale_after(),
+            "a healthy relay is never stale"
+        );
         assert!(pacing.stale_after() < propagation_limit.mul_f64(0.7));
     }
 }
--- a/coordination/tests/sidecar_admission.rs
+++ b/coordination/tests/sidecar_admission.rs
@@ -1,4 +1,4 @@
-//! what a sidecar takes, refuses, and asks for
+//! Admission of requests and permit requests of a sidecar.
 
 use {
     chalkcart_coordination::{
@@ -66,8 +66,8 @@
     }
 }
 
-/// an engine's sidecar that holds its fence
-fn driving(now: Instant) -> SidecarControl {
+/// Returns the control of an engine's sidecar that holds the fence.
+fn ready_engine_control(now: Instant) -> SidecarControl {
     let mut control = SidecarControl::new(
         SidecarSettings {
             epoch: 10,
@@ -86,32 +86,32 @@
         running: Vec::new(),
     };
     let actions = control.handle(SidecarEvent::EngineRead(Some(status(0))), now);
-    let taken = actions.iter().find_map(|a| match a {
+    let fence = actions.iter().find_map(|a| match a {
         SidecarAction::TakeFence(order) => Some(order.fence),
         _ => None,
     });
-    let fence = taken.expect("a fence to take");
-    let answer = SidecarEvent::FenceTakeEnded {
+    let fence = fence.expect("a fence to take");
+    let taken = SidecarEvent::FenceTakeEnded {
         incarnation: INCARNATION,
         fence,
         result: OrderResult::Done,
     };
-    control.handle(answer, now);
+    control.handle(taken, now);
     control.handle(SidecarEvent::EngineRead(Some(status(fence))), now);
     assert!(control.is_ready());
     control
 }
 
-fn asks(actions: &[SidecarAction], wanted: PermitPurpose) -> usize {
-    let is_it = |a: &&SidecarAction| match a {
+fn count_permit_calls(actions: &[SidecarAction], purpose: PermitPurpose) -> usize {
+    let has_purpose = |a: &&SidecarAction| match a {
         SidecarAction::RequestPermit { request, .. }
-        | SidecarAction::ReturnPermit { request, .. } => request.purpose == wanted,
+        | SidecarAction::ReturnPermit { request, .. } => request.purpose == purpose,
         _ => false,
     };
-    actions.iter().filter(is_it).count()
+    actions.iter().filter(has_purpose).count()
 }
 
-fn refusals(actions: &[SidecarAction]) -> Vec<Reason> {
+fn rejection_reasons(actions: &[SidecarAction]) -> Vec<Reason> {
     let reason = |a: &SidecarAction| match a {
         SidecarAction::Reject { refusal, .. } => Some(refusal.reason),
         _ => None,
@@ -120,34 +120,34 @@
 }
 
 #[test]
-fn the_giver_hears_only_of_what_may_be_loaded_next() {
+fn permits_are_requested_only_for_loads_that_may_run_next() {
     let now = Instant::now();
-    let mut control = driving(now);
-    let mut asked = 0;
+    let mut control = ready_engine_control(now);
+    let mut requested = 0;
     for number in 0..20 {
         let event = order(
             &format!("r{number}"),
             Duration::from_secs(60),
             prompt(number),
         );
-        asked += asks(&control.handle(event, now), PermitPurpose::Ask);
+        requested += count_permit_calls(&control.handle(event, now), PermitPurpose::Ask);
     }
-    assert_eq!(asked, MAX_LOADS);
+    assert_eq!(requested, MAX_LOADS);
 }
 
 #[test]
-fn a_claim_whose_requests_are_gone_is_taken_back() {
+fn a_permit_request_is_withdrawn_when_no_request_waits_for_the_load() {
     let now = Instant::now();
-    let mut control = driving(now);
+    let mut control = ready_engine_control(now);
     control.handle(order("r", Duration::from_millis(500), prompt(1)), now);
     let later = now + Duration::from_millis(600);
     let actions = control.handle(SidecarEvent::Tick, later);
-    assert_eq!(refusals(&actions), [Reason::DeadlinePassed]);
-    assert_eq!(asks(&actions, PermitPurpose::Return), 1);
+    assert_eq!(rejection_reasons(&actions), [Reason::DeadlinePassed]);
+    assert_eq!(count_permit_calls(&actions, PermitPurpose::Return), 1);
 }
 
 #[test]
-fn one_very_slow_run_does_not_shut_the_target_for_ever() {
+fn one_very_slow_run_does_not_make_the_target_reject_all_later_requests() {
     let now = Instant::now();
     let kind = TargetKind::Service { max_running: 2 };
     let settings = SidecarSettings {
@@ -158,7 +158,7 @@
     control.handle(order("slow", Duration::from_secs(60), call()), now);
     control.handle(ended("slow", Duration::from_secs(30)), now);
     let actions = control.handle(order("next", Duration::from_secs(1), call()), now);
-    assert!(refusals(&actions).is_empty(), "{actions:?}");
+    assert!(rejection_reasons(&actions).is_empty(), "{actions:?}");
     assert!(actions
         .iter()
         .any(|a| matches!(a, SidecarAction::Run { .. })));
