--- a/coordination/src/stream/stream_buffer.rs
+++ b/coordination/src/stream/stream_buffer.rs
@@ -16,7 +16,7 @@
         if self.is_ended() {
             return false;
         }
-        self.bytes += body.bytes();
+        self.bytes += body.size_bytes();
         self.frames.push(body);
         true
     }
--- a/protocol/src/peer/frame.rs
+++ b/protocol/src/peer/frame.rs
@@ -25,7 +25,7 @@
         !matches!(self, Self::Token(_))
     }
     /// Returns the approximate size of the content in memory.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         match self {
             Self::Token(text) => text.len(),
             Self::Body(body) => body.len(),
--- a/protocol/src/wire/text_ids.rs
+++ b/protocol/src/wire/text_ids.rs
@@ -6,10 +6,10 @@
 const ID_FIELD: &str = "backend";
 const NAME_FIELD: &str = "name";
 
-/// Replaces the ids in an encoded message with names by their text form.
+/// Replaces the ids in an encoded message by their text form.
 pub fn rewrite_with_text_ids(named: &[u8]) -> Result<Vec<u8>, CodecError> {
-    let mut message = read(named)?;
-    rewrite(&mut message);
+    let mut message = parse(named)?;
+    replace_ids(&mut message);
     let mut buf = Vec::with_capacity(named.len());
     let written = rmpv::encode::write_value(&mut buf, &message);
     written.map_err(|e| CodecError::Rewrite(e.to_string()))?;
@@ -18,22 +18,22 @@
 
 /// Whether the ids in an encoded message are text; `None` if it has no ids.
 pub fn has_text_ids(named: &[u8]) -> Option<bool> {
-    find(&read(named).ok()?)
+    first_id_is_text(&parse(named).ok()?)
 }
 
-fn read(mut named: &[u8]) -> Result<Value, CodecError> {
+fn parse(mut named: &[u8]) -> Result<Value, CodecError> {
     let read = rmpv::decode::read_value(&mut named);
     read.map_err(|e| CodecError::Rewrite(e.to_string()))
 }
 
-fn rewrite(value: &mut Value) {
+fn replace_ids(value: &mut Value) {
     match value {
-        Value::Array(items) => items.iter_mut().for_each(rewrite),
+        Value::Array(items) => items.iter_mut().for_each(replace_ids),
         Value::Map(rows) => {
             for (key, value) in rows {
-                match (key.as_str(), name_in(value)) {
+                match (key.as_str(), id_name(value)) {
                     (Some(ID_FIELD), Some(name)) => *value = name,
-                    _ => rewrite(value),
+                    _ => replace_ids(value),
                 }
             }
         }
@@ -42,7 +42,7 @@
 }
 
 /// Returns the name of an id that is encoded as a map.
-fn name_in(id: &Value) -> Option<Value> {
+fn id_name(id: &Value) -> Option<Value> {
     let rows = id.as_map()?;
     let name = rows
         .iter()
@@ -50,12 +50,12 @@
     name.map(|(_, name)| name.clone())
 }
 
-fn find(value: &Value) -> Option<bool> {
+fn first_id_is_text(value: &Value) -> Option<bool> {
     match value {
-        Value::Array(items) => items.iter().find_map(find),
+        Value::Array(items) => items.iter().find_map(first_id_is_text),
         Value::Map(rows) => rows.iter().find_map(|(key, value)| match key.as_str() {
             Some(ID_FIELD) => Some(value.is_str()),
-            _ => find(value),
+            _ => first_id_is_text(value),
         }),
         _ => None,
     }
--- a/state/src/config/change.rs
+++ b/state/src/config/change.rs
@@ -101,7 +101,8 @@
         }
         Change::SetShare { group, share } => {
             let found = root.groups.iter_mut().find(|g| g.name == *group);
-            let found = found.ok_or_else(|| ConfigError::bad("group", group, "a known group"))?;
+            let found =
+                found.ok_or_else(|| ConfigError::bad_value("group", group, "a known group"))?;
             found.share = *share;
             Ok(None)
         }
@@ -139,7 +140,7 @@
             let before = found.versions.len();
             found.versions.retain(|v| v.version != *version);
             match found.versions.len() == before {
-                true => Err(ConfigError::bad(
+                true => Err(ConfigError::bad_value(
                     "version",
                     version.to_string(),
                     "a known version",
@@ -155,7 +156,11 @@
         .adapters
         .binary_search_by(|a| a.name.cmp(&adapter.name));
     match position {
-        Ok(_) => Err(ConfigError::bad("adapter", adapter.name, "a new name")),
+        Ok(_) => Err(ConfigError::bad_value(
+            "adapter",
+            adapter.name,
+            "a new name",
+        )),
         Err(index) => {
             shard.adapters.insert(index, adapter);
             Ok(())
@@ -165,7 +170,7 @@
 
 fn find_adapter<'s>(shard: &'s mut Shard, name: &str) -> Result<&'s mut Adapter, ConfigError> {
     let found = shard.adapters.iter_mut().find(|a| a.name == name);
-    found.ok_or_else(|| ConfigError::bad("adapter", name, "a known adapter"))
+    found.ok_or_else(|| ConfigError::bad_value("adapter", name, "a known adapter"))
 }
 
 fn edit_shard(
--- a/state/src/config/configuration.rs
+++ b/state/src/config/configuration.rs
@@ -32,7 +32,7 @@
     pub fn new(root: Arc<Root>, shards: Vec<Shard>) -> Result<Self, ConfigError> {
         root.check()?;
         if shards.len() != root.shards.len() {
-            return Err(ConfigError::bad(
+            return Err(ConfigError::bad_value(
                 "shards",
                 shards.len().to_string(),
                 root.shards.len().to_string(),
--- a/state/src/config/errors.rs
+++ b/state/src/config/errors.rs
@@ -28,7 +28,7 @@
 }
 
 impl ConfigError {
-    pub fn bad(
+    pub fn bad_value(
         key: impl Into<String>,
         value: impl Into<String>,
         expected: impl Into<String>,
--- a/state/src/config/root.rs
+++ b/state/src/config/root.rs
@@ -25,13 +25,21 @@
     /// Validates the document on its own.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.generation == 0 {
-            return Err(ConfigError::bad("generation", "0", "1 or more"));
+            return Err(ConfigError::bad_value("generation", "0", "1 or more"));
         }
         if self.shards.is_empty() {
-            return Err(ConfigError::bad("shards", "none", "one shard or more"));
+            return Err(ConfigError::bad_value(
+                "shards",
+                "none",
+                "one shard or more",
+            ));
         }
         if self.classes.is_empty() {
-            return Err(ConfigError::bad("classes", "none", "one class or more"));
+            return Err(ConfigError::bad_value(
+                "classes",
+                "none",
+                "one class or more",
+            ));
         }
         check_names("groups", self.groups.iter().map(|g| g.name.as_str()))?;
         check_names("classes", self.classes.iter().map(|c| c.name.as_str()))?;
@@ -69,7 +77,7 @@
 
 fn check_positive(key: impl Into<String>, value: impl Into<u64>) -> Result<(), ConfigError> {
     match value.into() {
-        0 => Err(ConfigError::bad(key, "0", "1 or more")),
+        0 => Err(ConfigError::bad_value(key, "0", "1 or more")),
         _ => Ok(()),
     }
 }
@@ -78,10 +86,10 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(ConfigError::bad(key, "an empty name", "a name"));
+            return Err(ConfigError::bad_value(key, "an empty name", "a name"));
         }
         if !seen.insert(name) {
-            return Err(ConfigError::bad(key, name, "each name once"));
+            return Err(ConfigError::bad_value(key, name, "each name once"));
         }
     }
     Ok(())
--- a/state/src/config/shard.rs
+++ b/state/src/config/shard.rs
@@ -27,7 +27,7 @@
         for adapter in &self.adapters {
             let key = format!("shard/{index}/{}", adapter.name);
             if adapter.name.as_str() <= previous {
-                return Err(ConfigError::bad(
+                return Err(ConfigError::bad_value(
                     key,
                     "out of order",
                     "rising names, each once",
@@ -47,17 +47,17 @@
     root: &Root,
 ) -> Result<(), ConfigError> {
     if shard_index(&adapter.name, root.shards.len()) != index {
-        return Err(ConfigError::bad(
+        return Err(ConfigError::bad_value(
             key,
             "in this shard",
             "the shard of its name",
         ));
     }
     if !root.groups.iter().any(|g| g.name == adapter.group) {
-        return Err(ConfigError::bad(key, &adapter.group, "a known group"));
+        return Err(ConfigError::bad_value(key, &adapter.group, "a known group"));
     }
     if !root.base_models.contains(&adapter.base_model) {
-        return Err(ConfigError::bad(
+        return Err(ConfigError::bad_value(
             key,
             &adapter.base_model,
             "a known base model",
@@ -68,7 +68,7 @@
         .windows(2)
         .all(|pair| pair[0].version < pair[1].version);
     if adapter.versions.is_empty() || !is_ascending {
-        return Err(ConfigError::bad(
+        return Err(ConfigError::bad_value(
             key,
             "its versions",
             "rising numbers, one or more",
