--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -64,7 +64,7 @@
         })
     }
 
-    fn check_not_empty(&self, fields: &[(&str, &str)]) -> Result<(), Status> {
+    fn check_filled(&self, fields: &[(&str, &str)]) -> Result<(), Status> {
         let admission = Admission::new(&self.shared, "");
         match fields.iter().find(|(_, value)| value.is_empty()) {
             Some((field, _)) => Err(admission.bad(field, "must not be empty")),
@@ -80,7 +80,7 @@
         req: Request<CreateGroupRequest>,
     ) -> Result<Response<NextConfiguration>, Status> {
         let req = req.into_inner();
-        self.check_not_empty(&[("group", &req.group)])?;
+        self.check_filled(&[("group", &req.group)])?;
         let change = Change::CreateGroup {
             group: req.group,
             share: req.share,
@@ -93,7 +93,7 @@
         req: Request<SetShareRequest>,
     ) -> Result<Response<NextConfiguration>, Status> {
         let req = req.into_inner();
-        self.check_not_empty(&[("group", &req.group)])?;
+        self.check_filled(&[("group", &req.group)])?;
         let change = Change::SetShare {
             group: req.group,
             share: req.share,
@@ -106,7 +106,7 @@
         req: Request<RegisterAdapterRequest>,
     ) -> Result<Response<NextConfiguration>, Status> {
         let req = req.into_inner();
-        self.check_not_empty(&[("adapter", &req.adapter)])?;
+        self.check_filled(&[("adapter", &req.adapter)])?;
         let change = Change::RegisterAdapter {
             adapter: req.adapter,
             group: req.group,
@@ -121,7 +121,7 @@
         req: Request<AddVersionRequest>,
     ) -> Result<Response<NextConfiguration>, Status> {
         let req = req.into_inner();
-        self.check_not_empty(&[("adapter", &req.adapter)])?;
+        self.check_filled(&[("adapter", &req.adapter)])?;
         let change = Change::AddVersion {
             adapter: req.adapter,
             digest: self.digest(&req.digest)?,
@@ -134,7 +134,7 @@
         req: Request<RetireVersionRequest>,
     ) -> Result<Response<NextConfiguration>, Status> {
         let req = req.into_inner();
-        self.check_not_empty(&[("adapter", &req.adapter)])?;
+        self.check_filled(&[("adapter", &req.adapter)])?;
         let change = Change::RetireVersion {
             adapter: req.adapter,
             version: req.version,
