--- a/coordination/src/backend_admission/permit_pool.rs
+++ b/coordination/src/backend_admission/permit_pool.rs
@@ -87,7 +87,12 @@
     }
 
     /// Takes in the response to the request that was sent at `requested_at`.
-    pub fn on_response(&mut self, response: &AdmissionResponse, requested_at: Instant, now: Instant) {
+    pub fn on_response(
+        &mut self,
+        response: &AdmissionResponse,
+        requested_at: Instant,
+        now: Instant,
+    ) {
         let next = Duration::from_millis(u64::from(response.next_ms));
         self.count = self.available(now) + response.granted;
         if response.granted > 0 {
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -362,7 +362,8 @@
 fn a_relay_serves_the_records_of_the_store_until_they_are_stale() {
     let now = Instant::now();
     let mut cache = PublishedCache::new(STALE_AFTER);
-    assert_eq!(cache.response(None, now, now),
+    assert_eq!(
+        cache.response(None, now, now),
         Some(PublishedResponse::Stale)
     );
     cache.apply(snapshot(5, vec![listed("a"), listed("b")]), true, now, now);
