--- a/coordination/src/backend_admission/admission_gate.rs
+++ b/coordination/src/backend_admission/admission_gate.rs
@@ -2,8 +2,8 @@
 
 /// A condition that holds requests back from a back end.
 ///
-/// Gates are independent of each other. `BackendState::closed_by` checks all of them, so that a
-/// new gate takes one file and one line there.
+/// Gates are independent of each other. The dispatcher checks all of them in one place, so that
+/// a new gate needs one file and one line there.
 pub trait AdmissionGate {
     /// Returns the code of this gate in logs and metrics.
     fn code(&self) -> &'static str;
--- a/coordination/src/backend_admission/advertised_limit.rs
+++ b/coordination/src/backend_admission/advertised_limit.rs
@@ -126,7 +126,7 @@
         self.received = self.received.filter(|received| !is_lifted(received));
         self.update_sharing(sharing, now);
     }
-    /// Records a failed permit request; `is_unsupported` tells that the sidecar issues no
+    /// Records a failed permit request; `is_unsupported` means that the sidecar issues no
     /// permits.
     pub fn on_permit_request_failed(&mut self, is_unsupported: bool, now: Instant) {
         self.permits.on_request_failed(is_unsupported, now);
--- a/coordination/src/backend_admission/engine_limit.rs
+++ b/coordination/src/backend_admission/engine_limit.rs
@@ -10,7 +10,7 @@
 /// each response; without requests, a single one shows whether it still applies.
 const REPORTED_LIMIT_VALID_FOR: Duration = Duration::from_secs(10);
 
-/// Rate limit of an engine as its sidecar knows it, and the permits issued under it.
+/// Rate limit of an engine as known to its sidecar, and the permits issued under it.
 #[derive(Debug, Default)]
 pub struct EngineLimit {
     /// from the engine's responses to this sidecar
--- a/coordination/src/backend_admission/permit_pool.rs
+++ b/coordination/src/backend_admission/permit_pool.rs
@@ -99,7 +99,7 @@
         self.next_request_at = Some(now + next.clamp(MIN_REQUEST_INTERVAL, MAX_REQUEST_INTERVAL));
     }
 
-    /// Records a failed request; `is_unsupported` tells that the sidecar issues no permits.
+    /// Records a failed request; `is_unsupported` means that the sidecar issues no permits.
     pub fn on_request_failed(&mut self, is_unsupported: bool, now: Instant) {
         self.requested_at = None;
         self.last_response = None;
--- a/coordination/src/backend_signals/signals.rs
+++ b/coordination/src/backend_signals/signals.rs
@@ -12,8 +12,8 @@
     pub backoff: Option<Duration>,
     /// Request rate that the back end accepts.
     pub limit: LimitSignal,
-    /// Remaining time of the slow start; zero if it is over, `None` if the response doesn't
-    /// tell.
+    /// Remaining time of the slow start: zero if it is over, `None` if the response doesn't
+    /// contain it.
     pub slow_start_left: Option<Duration>,
 }
 
--- a/coordination/src/config/config_lease.rs
+++ b/coordination/src/config/config_lease.rs
@@ -6,8 +6,8 @@
 
 /// Lease on the current configuration, for requests that carry API keys.
 ///
-/// A revoked key is accepted here for at most the length of the lease: while it is valid, the
-/// store had nothing newer within that time before the request arrived.
+/// The lease bounds the time for which a revoked key is still accepted: it is valid only if the
+/// configuration was known to be the newest within that time.
 #[derive(Debug, Clone)]
 pub struct ConfigLease {
     /// `None` if keys stay valid for as long as nothing newer is known
--- a/coordination/src/permits/load_permit_issuer.rs
+++ b/coordination/src/permits/load_permit_issuer.rs
@@ -51,7 +51,7 @@
 }
 
 /// Issues permits to load from the weight store: to the most urgent class first, then to the
-/// longest wait.
+/// load that has waited longest.
 ///
 /// The leases are its only state. A replacement starts empty, and two issuers at once only slow
 /// loads down, since the store enforces its limits itself.
@@ -83,7 +83,7 @@
         self.settings.loads_at_once = loads_at_once;
     }
 
-    /// Grants a permit, or tells the target when to request it again.
+    /// Grants a permit, or returns the time after which the target should request it again.
     pub fn request(&mut self, request: &PermitAsk, now: Instant) -> PermitAnswer {
         self.refill(now);
         self.remove_expired(now);
--- a/coordination/src/routing/target.rs
+++ b/coordination/src/routing/target.rs
@@ -27,7 +27,7 @@
     at: Instant,
 }
 
-/// State of one target as an entry knows it.
+/// State of one target as known to an entry.
 #[derive(Debug)]
 pub struct Target {
     pub listed: FleetBox,
--- a/coordination/src/routing/target_table.rs
+++ b/coordination/src/routing/target_table.rs
@@ -38,7 +38,7 @@
     pub is_loaded: bool,
 }
 
-/// The targets as one entry knows them.
+/// The targets as known to one entry.
 pub struct TargetTable {
     zone: ZoneName,
     targets: BTreeMap<BoxName, Target>,
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -292,10 +292,10 @@
     for entries in [1, 2, 4, 5, 9, 25, 46, 103, 350] {
         for per_s in [0.0, 0.1, 1.0, 2.1, 5.0, 30.0] {
             for seed in 0..4 {
-                let (most, _) = simulate(per_s, entries, 60, seed);
+                let (max_sent, _) = simulate(per_s, entries, 60, seed);
                 assert!(
-                    most <= max_in_window(per_s),
-                    "{most} of {entries} entries at {per_s} a second, seed {seed}"
+                    max_sent <= max_in_window(per_s),
+                    "{max_sent} of {entries} entries at {per_s} per second, seed {seed}"
                 );
             }
         }
