--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -174,7 +174,7 @@
 
     /// Returns the state of the engine that is published to entries.
     pub fn view(&self, now: Instant) -> EngineView {
-        let figures = EngineFigures {
+        let stats = EngineFigures {
             fence: self.fence.value(),
             next_load_ms: self
                 .expected_load_delay(self.load_times.load_time(), now)
@@ -201,7 +201,7 @@
             loading: self.report.loading.clone(),
             held: Vec::new(),
             lately: self.recent.hashes().collect(),
-            figures,
+            figures: stats,
         };
         let held = self.report.held.iter();
         let ready = held.filter(|h| {
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    /// start a request if its adapter is loaded; false if it still waits
+    /// Starts a queued request if it may run now. Returns whether it was started or rejected.
     fn try_start(&mut self, request: &RequestId, now: Instant) -> bool {
         let Some(queued) = self.queue.get(request) else {
             return false;
