--- a/entry/src/app/serve.rs
+++ b/entry/src/app/serve.rs
@@ -2,7 +2,7 @@
     super::Shared,
     crate::{
         conf::Settings,
-        config::Follower,
+        config::ConfigWatcher,
         control::{self, EntryControl},
         server::new_router,
     },
@@ -23,7 +23,7 @@
     let listener = server::bind(settings.listen).await?;
     let control = control::start(EntryControl::new(&settings, clock::now()))?;
     let shared = Arc::new(Shared::new(settings, control));
-    tokio::spawn(Follower::new(shared.clone()).run());
+    tokio::spawn(ConfigWatcher::new(shared.clone()).run());
     let (stop, stopped) = watch::channel(false);
     let router = new_router(shared.clone());
     let grace = shared.settings.drain();
--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         conf::Settings,
-        config::ConfigKeeper,
+        config::ActiveConfig,
         control::{ControlHandle, EntryEvent},
     },
     chalkcart_coordination::membership::select_permit_issuer,
@@ -15,7 +15,7 @@
 /// what the threads of an entry share
 pub struct Shared {
     pub settings: Settings,
-    pub keeper: ConfigKeeper,
+    pub active_config: ActiveConfig,
     pub control: ControlHandle,
     pub peers: PeerClient,
     pub metrics: RequestMetrics,
@@ -27,7 +27,7 @@
     pub fn new(settings: Settings, control: ControlHandle) -> Self {
         Self {
             settings,
-            keeper: ConfigKeeper::default(),
+            active_config: ActiveConfig::default(),
             control,
             peers: PeerClient::new(),
             metrics: RequestMetrics::new(),
@@ -45,7 +45,7 @@
 
     /// follow a new configuration
     pub fn on_configuration(&self) {
-        let Some(configuration) = self.keeper.configuration() else {
+        let Some(configuration) = self.active_config.configuration() else {
             return;
         };
         self.metrics.on_generation(configuration.generation());
@@ -58,7 +58,7 @@
 
     /// the entry that gives load permits, as this one sees the fleet
     pub fn permit_giver(&self) -> Option<SocketAddr> {
-        select_permit_issuer(&self.keeper.list()).map(|b| b.addr)
+        select_permit_issuer(&self.active_config.list()).map(|b| b.addr)
     }
 }
 
--- a/entry/src/config/config_keeper.rs
+++ b/entry/src/config/active_config.rs
@@ -1,5 +1,5 @@
 use {
-    super::{KeepError, ShardSource},
+    super::{ConfigOfferError, ShardSource},
     arc_swap::{ArcSwap, ArcSwapOption},
     chalkcart_coordination::config::{decide_offer, OfferDecision},
     chalkcart_state::{
@@ -15,13 +15,13 @@
 ///
 /// Readers never wait; offers are judged one at a time.
 #[derive(Default)]
-pub struct ConfigKeeper {
+pub struct ActiveConfig {
     in_force: ArcSwapOption<Configuration>,
     list: ArcSwap<FleetList>,
     offers: Mutex<()>,
 }
 
-impl ConfigKeeper {
+impl ActiveConfig {
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.in_force.load_full()
     }
@@ -47,13 +47,13 @@
         &self,
         root: Root,
         source: &dyn ShardSource,
-    ) -> Result<OfferDecision, KeepError> {
+    ) -> Result<OfferDecision, ConfigOfferError> {
         let _one_at_a_time = self.offers.lock().await;
         let current = self.in_force.load_full();
         let verdict = decide_offer(current.as_ref().map(|c| c.root().as_ref()), &root);
         match verdict {
             OfferDecision::Accept => {}
-            OfferDecision::Conflict => return Err(KeepError::Conflict(root.generation)),
+            OfferDecision::Conflict => return Err(ConfigOfferError::Conflict(root.generation)),
             OfferDecision::Unchanged | OfferDecision::Stale { .. } => return Ok(verdict),
         }
         root.check()?;
@@ -75,7 +75,7 @@
         current: Option<Arc<Configuration>>,
         root: Root,
         shards: Vec<(usize, Shard)>,
-    ) -> Result<(), KeepError> {
+    ) -> Result<(), ConfigOfferError> {
         let root = Arc::new(root);
         let next = match current {
             Some(current) => current.advance(root, shards)?,
--- a/entry/src/config/follower.rs
+++ b/entry/src/config/config_watcher.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ConfigKeeper, KeepError, PeerShards, PlatformShards, ShardSource},
+    super::{ActiveConfig, ConfigOfferError, PeerShards, PlatformShards, ShardSource},
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::{config::OfferDecision, membership::select_watchers},
     chalkcart_protocol::peer::{path, SyncRequest, SyncResponse},
@@ -34,13 +34,13 @@
 
 /// keeps the configuration and the list up to date
 #[derive(Clone)]
-pub struct Follower {
+pub struct ConfigWatcher {
     shared: Arc<Shared>,
     platform: Arc<HttpPlatform>,
     peers: PeerClient,
 }
 
-impl Follower {
+impl ConfigWatcher {
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             platform: Arc::new(HttpPlatform::new(shared.settings.platform)),
@@ -74,7 +74,7 @@
             if !is_alone || rounds_alone >= START_ROUNDS_ALONE {
                 self.offer_highest(offers).await;
             }
-            if self.keeper().generation() > 0 {
+            if self.active_config().generation() > 0 {
                 return;
             }
             sleep(START_PAUSE).await;
@@ -178,8 +178,8 @@
     async fn ask(&self, peer: SocketAddr) -> Option<SyncResponse> {
         let ask = SyncRequest {
             from: self.shared.settings.name.clone(),
-            generation: self.keeper().generation(),
-            list_version: self.keeper().list().version,
+            generation: self.active_config().generation(),
+            list_version: self.active_config().list().version,
             from_sidecar: false,
         };
         let answer = self.peers.call(peer, path::SYNC, &ask, SYNC_TIMEOUT).await;
@@ -197,7 +197,7 @@
     }
 
     async fn read_root(&self, wait: Duration) -> bool {
-        let known = self.keeper().generation();
+        let known = self.active_config().generation();
         match self.platform.watch_root(known, wait).await {
             Ok(Some(root)) => self.offer(root, self.platform_shards().as_ref()).await,
             Ok(None) => true,
@@ -210,7 +210,7 @@
 
     async fn offer(&self, root: Root, source: &dyn ShardSource) -> bool {
         let generation = root.generation;
-        match self.keeper().offer(root, source).await {
+        match self.active_config().offer(root, source).await {
             Ok(OfferDecision::Accept) => {
                 self.shared.on_configuration();
                 true
@@ -220,7 +220,7 @@
                 false
             }
             Ok(OfferDecision::Unchanged | OfferDecision::Conflict) => true,
-            Err(KeepError::Conflict(generation)) => {
+            Err(ConfigOfferError::Conflict(generation)) => {
                 log::error!("config: another content under generation {generation} refused");
                 false
             }
@@ -232,8 +232,8 @@
     }
 
     fn take_list(&self, list: FleetList) {
-        if self.keeper().offer_list(list) {
-            let list = self.keeper().list();
+        if self.active_config().offer_list(list) {
+            let list = self.active_config().list();
             log::info!(
                 "fleet: list {} with {} boxes",
                 list.version,
@@ -244,13 +244,13 @@
     }
 
     fn watchers(&self) -> Vec<(String, SocketAddr)> {
-        let list = self.keeper().list();
+        let list = self.active_config().list();
         let watchers = select_watchers(&list, &self.shared.settings.zone);
         watchers.iter().map(|b| (b.name.clone(), b.addr)).collect()
     }
 
     fn some_peers(&self, count: usize) -> Vec<SocketAddr> {
-        let list = self.keeper().list();
+        let list = self.active_config().list();
         let own = self.shared.settings.listen;
         let listed = list.live_entries().map(|b| b.addr);
         let seeds = self.shared.settings.peers.iter().copied();
@@ -260,8 +260,8 @@
         all.into_iter().sample(&mut rand::rng(), count)
     }
 
-    fn keeper(&self) -> &ConfigKeeper {
-        &self.shared.keeper
+    fn active_config(&self) -> &ActiveConfig {
+        &self.shared.active_config
     }
     fn platform_shards(&self) -> Box<dyn ShardSource> {
         Box::new(PlatformShards(self.platform.clone()))
--- a/entry/src/config/errors.rs
+++ b/entry/src/config/errors.rs
@@ -7,7 +7,7 @@
 
 /// why an offered configuration was not taken
 #[derive(Debug, Error)]
-pub enum KeepError {
+pub enum ConfigOfferError {
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("shard {index} from the platform: {source}")]
--- a/entry/src/config/mod.rs
+++ b/entry/src/config/mod.rs
@@ -1,14 +1,14 @@
 //! the configuration and the list of boxes on this entry: kept, followed,
 //! passed on
 
-mod config_keeper;
+mod active_config;
+mod config_watcher;
 mod errors;
-mod follower;
 mod shard_source;
 
 pub use {
-    config_keeper::ConfigKeeper,
-    errors::KeepError,
-    follower::Follower,
+    active_config::ActiveConfig,
+    config_watcher::ConfigWatcher,
+    errors::ConfigOfferError,
     shard_source::{PeerShards, PlatformShards, ShardSource},
 };
--- a/entry/src/config/shard_source.rs
+++ b/entry/src/config/shard_source.rs
@@ -1,5 +1,5 @@
 use {
-    super::KeepError,
+    super::ConfigOfferError,
     async_trait::async_trait,
     chalkcart_protocol::peer::{path, ShardRequest, ShardResponse},
     chalkcart_state::{config::Shard, ids::Digest},
@@ -12,7 +12,7 @@
 /// where missing shards come from
 #[async_trait]
 pub trait ShardSource: Send + Sync {
-    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, KeepError>;
+    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError>;
 }
 
 /// the platform
@@ -20,9 +20,9 @@
 
 #[async_trait]
 impl ShardSource for PlatformShards {
-    async fn shard(&self, index: usize, _: &Digest) -> Result<Shard, KeepError> {
+    async fn shard(&self, index: usize, _: &Digest) -> Result<Shard, ConfigOfferError> {
         let shard = self.0.shard(index).await;
-        shard.map_err(|source| KeepError::Platform { index, source })
+        shard.map_err(|source| ConfigOfferError::Platform { index, source })
     }
 }
 
@@ -34,7 +34,7 @@
 
 #[async_trait]
 impl ShardSource for PeerShards {
-    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, KeepError> {
+    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError> {
         let ask = ShardRequest {
             index,
             digest: digest.clone(),
@@ -43,8 +43,8 @@
             .peers
             .call(self.peer, path::SHARD, &ask, SHARD_TIMEOUT)
             .await;
-        let answer = answer.map_err(|source| KeepError::Peer { index, source })?;
-        answer.shard.ok_or(KeepError::Gone {
+        let answer = answer.map_err(|source| ConfigOfferError::Peer { index, source })?;
+        answer.shard.ok_or(ConfigOfferError::Gone {
             index,
             peer: self.peer,
         })
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -149,7 +149,7 @@
         let rows = self.shared.control.status().await;
         Ok(Response::new(GetStatusResponse {
             r#box: self.shared.settings.name.clone(),
-            generation: self.shared.keeper.generation(),
+            generation: self.shared.active_config.generation(),
             targets: rows.iter().map(target_status).collect(),
         }))
     }
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -58,7 +58,7 @@
     }
 
     pub fn configuration(&self) -> Result<Arc<Configuration>, Status> {
-        let found = self.shared.keeper.configuration();
+        let found = self.shared.active_config.configuration();
         found.filter(|_| self.shared.is_ready()).ok_or_else(|| {
             let name = &self.shared.settings.name;
             let refusal = Refusal::new(self.outcome, Step::Admission, name, Reason::Leaving)
--- a/entry/src/rpc/force.rs
+++ b/entry/src/rpc/force.rs
@@ -23,7 +23,7 @@
     generation: Generation,
     deadline: Instant,
 ) -> Vec<BoxName> {
-    let list = shared.keeper.list();
+    let list = shared.active_config.list();
     let mut missing: Vec<FleetBox> = list.boxes.clone();
     loop {
         let round = stream::iter(missing.clone()).map(|listed| async move {
@@ -49,7 +49,7 @@
 
 async fn ask_generation(shared: &Shared, listed: &FleetBox) -> Option<Generation> {
     if listed.name == shared.settings.name {
-        return Some(shared.keeper.generation());
+        return Some(shared.active_config.generation());
     }
     let peers = &shared.peers;
     if listed.role != Role::Entry {
--- a/entry/src/server/handlers.rs
+++ b/entry/src/server/handlers.rs
@@ -50,15 +50,15 @@
 }
 
 fn answer_sync(shared: &Shared, ask: &SyncRequest) -> SyncResponse {
-    let configuration = shared.keeper.configuration();
+    let configuration = shared.active_config.configuration();
     let newer = configuration.filter(|c| c.generation() > ask.generation);
-    let list = shared.keeper.list();
+    let list = shared.active_config.list();
     let newer_list = (list.version > ask.list_version).then(|| match ask.from_sidecar {
         true => entries_of(&list),
         false => FleetList::clone(&list),
     });
     SyncResponse {
-        generation: shared.keeper.generation(),
+        generation: shared.active_config.generation(),
         root: newer.map(|c| root_for(ask, c.root())),
         list: newer_list,
     }
@@ -90,7 +90,7 @@
 }
 
 fn answer_shard(shared: &Shared, ask: &ShardRequest) -> ShardResponse {
-    let configuration = shared.keeper.configuration();
+    let configuration = shared.active_config.configuration();
     let found = configuration.filter(|c| c.root().shards.get(ask.index) == Some(&ask.digest));
     ShardResponse {
         shard: found.map(|c| c.shards()[ask.index].to_shard()),
