--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -50,7 +50,7 @@
         };
         self.metrics.on_generation(configuration.generation());
         let policy = &configuration.root().policy;
-        self.control.tell(EntryEvent::StoreLimits {
+        self.control.send(EntryEvent::StoreLimitsUpdated {
             loads_per_second: policy.store_loads_per_second,
             loads_at_once: policy.store_loads_at_once,
         });
--- a/entry/src/config/config_watcher.rs
+++ b/entry/src/config/config_watcher.rs
@@ -239,7 +239,7 @@
                 list.version,
                 list.boxes.len()
             );
-            self.shared.control.tell(EntryEvent::Listed(list));
+            self.shared.control.send(EntryEvent::ListUpdated(list));
         }
     }
 
--- a/entry/src/control/entry_control.rs
+++ b/entry/src/control/entry_control.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EntryEvent, TargetRow},
+    super::{EntryEvent, TargetSummary},
     crate::conf::Settings,
     chalkcart_coordination::{
         permits::{LoadPermitIssuer, LoadPermitSettings},
@@ -30,43 +30,43 @@
     /// decide on one event; an asker that is gone is no concern
     pub fn handle(&mut self, event: EntryEvent, now: Instant) {
         match event {
-            EntryEvent::Requested => self.budget.on_request(),
-            EntryEvent::Route { ask, answer } => {
-                let _ = answer.send(self.targets.route(&ask, now));
+            EntryEvent::RequestArrived => self.budget.on_request(),
+            EntryEvent::Route { request, reply } => {
+                let _ = reply.send(self.targets.route(&request, now));
             }
-            EntryEvent::Find { target, answer } => {
+            EntryEvent::FindTarget { target, reply } => {
                 let found = self.targets.get(&target).map(|t| t.listed.clone());
-                let _ = answer.send(found);
+                let _ = reply.send(found);
             }
-            EntryEvent::TakeRetry { answer } => {
-                let _ = answer.send(self.budget.try_take());
+            EntryEvent::TryTakeRetry { reply } => {
+                let _ = reply.send(self.budget.try_take());
             }
-            EntryEvent::Reported(report) => self.targets.on_report(report, now),
-            EntryEvent::Silent(target) => self.targets.on_unresponsive(&target, now),
-            EntryEvent::Ended(target) => self.targets.on_request_ended(&target),
-            EntryEvent::Listed(list) => self.targets.on_list(&list),
-            EntryEvent::StoreLimits {
+            EntryEvent::ReportReceived(report) => self.targets.on_report(report, now),
+            EntryEvent::TargetUnresponsive(target) => self.targets.on_unresponsive(&target, now),
+            EntryEvent::RequestEnded(target) => self.targets.on_request_ended(&target),
+            EntryEvent::ListUpdated(list) => self.targets.on_list(&list),
+            EntryEvent::StoreLimitsUpdated {
                 loads_per_second,
                 loads_at_once,
             } => self.permits.set_limits(loads_per_second, loads_at_once),
-            EntryEvent::Permit { ask, answer } => {
-                let _ = answer.send(self.permit(&ask, now));
+            EntryEvent::Permit { request, reply } => {
+                let _ = reply.send(self.permit(&request, now));
             }
-            EntryEvent::Plan { ask, answer } => {
-                let _ = answer.send(self.targets.plan(&ask, now));
+            EntryEvent::Plan { request, reply } => {
+                let _ = reply.send(self.targets.plan(&request, now));
             }
-            EntryEvent::Status { answer } => {
-                let rows = self.targets.targets().map(|t| target_row(t, now));
-                let _ = answer.send(rows.collect());
+            EntryEvent::TargetSummaries { reply } => {
+                let summaries = self.targets.targets().map(|t| target_summary(t, now));
+                let _ = reply.send(summaries.collect());
             }
         }
     }
 
-    fn permit(&mut self, ask: &PermitRequest, now: Instant) -> PermitResponse {
-        match ask.purpose {
-            PermitPurpose::Ask => self.permits.request(ask, now),
+    fn permit(&mut self, request: &PermitRequest, now: Instant) -> PermitResponse {
+        match request.purpose {
+            PermitPurpose::Ask => self.permits.request(request, now),
             PermitPurpose::Return => {
-                self.permits.release(ask);
+                self.permits.release(request);
                 PermitResponse::Wait {
                     retry_after: Duration::ZERO,
                 }
@@ -75,13 +75,13 @@
     }
 }
 
-fn target_row(target: &Target, now: Instant) -> TargetRow {
-    TargetRow {
+fn target_summary(target: &Target, now: Instant) -> TargetSummary {
+    TargetSummary {
         listed: target.listed.clone(),
-        leaving: target.is_leaving(),
-        suspect: target.is_suspect(now),
+        is_leaving: target.is_leaving(),
+        is_suspect: target.is_suspect(now),
         report: target.report().cloned(),
-        heard_ago: target
+        report_age: target
             .reported_at()
             .map(|at| now.saturating_duration_since(at)),
     }
--- a/entry/src/control/events.rs
+++ b/entry/src/control/events.rs
@@ -11,49 +11,49 @@
 
 /// one target, for operators
 #[derive(Debug, Clone)]
-pub struct TargetRow {
+pub struct TargetSummary {
     pub listed: FleetBox,
-    pub leaving: bool,
-    pub suspect: bool,
+    pub is_leaving: bool,
+    pub is_suspect: bool,
     pub report: Option<TargetReport>,
-    pub heard_ago: Option<Duration>,
+    pub report_age: Option<Duration>,
 }
 
 /// what happens to an entry; questions carry where the answer goes
 pub enum EntryEvent {
     /// a request came in
-    Requested,
+    RequestArrived,
     Route {
-        ask: RouteRequest,
-        answer: oneshot::Sender<Option<Route>>,
+        request: RouteRequest,
+        reply: oneshot::Sender<Option<Route>>,
     },
     /// where a target with a reserved id listens
-    Find {
+    FindTarget {
         target: BoxName,
-        answer: oneshot::Sender<Option<FleetBox>>,
+        reply: oneshot::Sender<Option<FleetBox>>,
     },
-    TakeRetry {
-        answer: oneshot::Sender<bool>,
+    TryTakeRetry {
+        reply: oneshot::Sender<bool>,
     },
-    Reported(TargetReport),
+    ReportReceived(TargetReport),
     /// a target gave no sign of life
-    Silent(BoxName),
+    TargetUnresponsive(BoxName),
     /// an attempt at a target is over
-    Ended(BoxName),
-    Listed(Arc<FleetList>),
-    StoreLimits {
+    RequestEnded(BoxName),
+    ListUpdated(Arc<FleetList>),
+    StoreLimitsUpdated {
         loads_per_second: u32,
         loads_at_once: u32,
     },
     Permit {
-        ask: PermitRequest,
-        answer: oneshot::Sender<PermitResponse>,
+        request: PermitRequest,
+        reply: oneshot::Sender<PermitResponse>,
     },
     Plan {
-        ask: RouteRequest,
-        answer: oneshot::Sender<Vec<Route>>,
+        request: RouteRequest,
+        reply: oneshot::Sender<Vec<Route>>,
     },
-    Status {
-        answer: oneshot::Sender<Vec<TargetRow>>,
+    TargetSummaries {
+        reply: oneshot::Sender<Vec<TargetSummary>>,
     },
 }
--- a/entry/src/control/handle.rs
+++ b/entry/src/control/handle.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EntryEvent, TargetRow},
+    super::{EntryEvent, TargetSummary},
     chalkcart_coordination::routing::{Route, RouteRequest},
     chalkcart_protocol::peer::{PermitRequest, PermitResponse},
     chalkcart_state::{fleet::FleetBox, ids::BoxName},
@@ -20,40 +20,52 @@
     pub fn new(events: mpsc::Sender<EntryEvent>) -> Self {
         Self { events }
     }
-    pub fn tell(&self, event: EntryEvent) {
+    pub fn send(&self, event: EntryEvent) {
         // the control thread ends only with the process
         let _ = self.events.send(event);
     }
-    pub async fn route(&self, ask: RouteRequest) -> Option<Route> {
-        let asked = self.ask(|answer| EntryEvent::Route { ask, answer }).await;
-        asked.flatten()
+    pub async fn route(&self, request: RouteRequest) -> Option<Route> {
+        let response = self
+            .request(|reply| EntryEvent::Route { request, reply })
+            .await;
+        response.flatten()
     }
-    pub async fn find(&self, target: BoxName) -> Option<FleetBox> {
-        let asked = self.ask(|answer| EntryEvent::Find { target, answer }).await;
-        asked.flatten()
+    pub async fn find_target(&self, target: BoxName) -> Option<FleetBox> {
+        let response = self
+            .request(|reply| EntryEvent::FindTarget { target, reply })
+            .await;
+        response.flatten()
     }
-    pub async fn take_retry(&self) -> bool {
-        let asked = self.ask(|answer| EntryEvent::TakeRetry { answer }).await;
-        asked.unwrap_or(false)
+    pub async fn try_take_retry(&self) -> bool {
+        let response = self
+            .request(|reply| EntryEvent::TryTakeRetry { reply })
+            .await;
+        response.unwrap_or(false)
     }
-    pub async fn permit(&self, ask: PermitRequest) -> PermitResponse {
-        let asked = self.ask(|answer| EntryEvent::Permit { ask, answer }).await;
-        asked.unwrap_or(PermitResponse::Wait {
+    pub async fn request_permit(&self, request: PermitRequest) -> PermitResponse {
+        let response = self
+            .request(|reply| EntryEvent::Permit { request, reply })
+            .await;
+        response.unwrap_or(PermitResponse::Wait {
             retry_after: PERMIT_RETRY,
         })
     }
-    pub async fn plan(&self, ask: RouteRequest) -> Vec<Route> {
-        let asked = self.ask(|answer| EntryEvent::Plan { ask, answer }).await;
-        asked.unwrap_or_default()
+    pub async fn plan(&self, request: RouteRequest) -> Vec<Route> {
+        let response = self
+            .request(|reply| EntryEvent::Plan { request, reply })
+            .await;
+        response.unwrap_or_default()
     }
-    pub async fn status(&self) -> Vec<TargetRow> {
-        let asked = self.ask(|answer| EntryEvent::Status { answer }).await;
-        asked.unwrap_or_default()
+    pub async fn target_summaries(&self) -> Vec<TargetSummary> {
+        let response = self
+            .request(|reply| EntryEvent::TargetSummaries { reply })
+            .await;
+        response.unwrap_or_default()
     }
 
-    async fn ask<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> Option<T> {
-        let (answer, asked) = oneshot::channel();
-        self.tell(event(answer));
-        asked.await.ok()
+    async fn request<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> EntryEvent) -> Option<T> {
+        let (reply, response) = oneshot::channel();
+        self.send(event(reply));
+        response.await.ok()
     }
 }
--- a/entry/src/control/mod.rs
+++ b/entry/src/control/mod.rs
@@ -8,6 +8,6 @@
 pub use {
     control_thread::start,
     entry_control::EntryControl,
-    events::{EntryEvent, TargetRow},
+    events::{EntryEvent, TargetSummary},
     handle::ControlHandle,
 };
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -1,6 +1,6 @@
 use {
     super::{admission::Admission, force::wait_in_force},
-    crate::{app::Shared, control::TargetRow},
+    crate::{app::Shared, control::TargetSummary},
     chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::v1::{
         admin_server::Admin, AddVersionRequest, CreateGroupRequest, Document, GetStatusRequest,
@@ -146,11 +146,11 @@
         &self,
         _: Request<GetStatusRequest>,
     ) -> Result<Response<GetStatusResponse>, Status> {
-        let rows = self.shared.control.status().await;
+        let targets = self.shared.control.target_summaries().await;
         Ok(Response::new(GetStatusResponse {
             r#box: self.shared.settings.name.clone(),
             generation: self.shared.active_config.generation(),
-            targets: rows.iter().map(target_status).collect(),
+            targets: targets.iter().map(target_status).collect(),
         }))
     }
 
@@ -196,22 +196,22 @@
     }
 }
 
-fn target_status(row: &TargetRow) -> TargetStatus {
-    let role = match &row.listed.role {
+fn target_status(target: &TargetSummary) -> TargetStatus {
+    let role = match &target.listed.role {
         Role::Entry => "entry".to_string(),
         Role::Engine { base_model } => format!("engine {base_model}"),
         Role::Service { service } => format!("service {service}"),
     };
-    let report = row.report.as_ref();
+    let report = target.report.as_ref();
     TargetStatus {
-        r#box: row.listed.name.clone(),
-        zone: row.listed.zone.clone(),
+        r#box: target.listed.name.clone(),
+        zone: target.listed.zone.clone(),
         role,
-        leaving: row.leaving,
-        suspect: row.suspect,
+        leaving: target.is_leaving,
+        suspect: target.is_suspect,
         queued_tokens: report.map_or(0, |r| r.queued_tokens),
         running: report.map_or(0, |r| r.running),
         generation: report.map_or(0, |r| r.generation),
-        heard_ms_ago: row.heard_ago.map(|ago| ago.as_millis() as u64),
+        heard_ms_ago: target.report_age.map(|age| age.as_millis() as u64),
     }
 }
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -212,7 +212,7 @@
 
     /// the id must be of a target that can do the work
     async fn check_target(&self, id: &ReservedId, need: &TargetRequirement) -> Result<(), Status> {
-        let Some(listed) = self.shared.control.find(id.target.clone()).await else {
+        let Some(listed) = self.shared.control.find_target(id.target.clone()).await else {
             return Ok(());
         };
         match can_serve(&listed.role, need) {
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -67,7 +67,7 @@
         };
         self.shared
             .control
-            .tell(EntryEvent::Ended(route.target.clone()));
+            .send(EntryEvent::RequestEnded(route.target.clone()));
         let order = ReserveOrder { count };
         let answer: Result<ReserveAnswer, _> = self
             .shared
@@ -84,8 +84,8 @@
                 Err(refusal)
             }
             Err(e) => {
-                let silent = EntryEvent::Silent(route.target.clone());
-                self.shared.control.tell(silent);
+                let silent = EntryEvent::TargetUnresponsive(route.target.clone());
+                self.shared.control.send(silent);
                 let peer = route.target.clone();
                 failed.push(route.target);
                 // ids that nobody knows can't run
@@ -196,7 +196,7 @@
             Admission::new(&self.shared, &text).bad("reserved_id", "not a reserved id")
         })?;
         let order = CancelOrder { request: text };
-        let answer = match self.shared.control.find(id.target).await {
+        let answer = match self.shared.control.find_target(id.target).await {
             Some(listed) => {
                 let peers = &self.shared.peers;
                 let call = peers.call(listed.addr, path::CANCEL, &order, CANCEL_TIMEOUT);
--- a/entry/src/server/handlers.rs
+++ b/entry/src/server/handlers.rs
@@ -39,7 +39,7 @@
 pub async fn permit(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<PermitRequest>(&mut state).await {
-        Ok(ask) => message_reply(&shared.control.permit(ask).await),
+        Ok(ask) => message_reply(&shared.control.request_permit(ask).await),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
--- a/entry/src/traffic/attempt.rs
+++ b/entry/src/traffic/attempt.rs
@@ -101,7 +101,7 @@
             };
             let stopped = match frame {
                 Frame::Report(report) => {
-                    self.shared.control.tell(EntryEvent::Reported(report));
+                    self.shared.control.send(EntryEvent::ReportReceived(report));
                     None
                 }
                 Frame::Numbered { sequence, body } => self.accept(sequence, body).await,
@@ -135,8 +135,8 @@
 
     /// tell the routing that the target gives no sign
     pub fn report_silence(&self) {
-        let silent = EntryEvent::Silent(self.target.clone());
-        self.shared.control.tell(silent);
+        let silent = EntryEvent::TargetUnresponsive(self.target.clone());
+        self.shared.control.send(silent);
     }
 
     /// wait before another try, but not past the deadline
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -52,7 +52,7 @@
 
     /// deliver the whole answer, or give the final word on the request
     pub async fn run(mut self) -> Result<(), Refusal> {
-        self.shared.control.tell(EntryEvent::Requested);
+        self.shared.control.send(EntryEvent::RequestArrived);
         match self.job.reserved.clone() {
             Some(id) => self.run_reserved(&id).await,
             None => self.run_repeatable().await,
@@ -60,7 +60,7 @@
     }
 
     async fn run_reserved(&mut self, id: &ReservedId) -> Result<(), Refusal> {
-        let Some(listed) = self.shared.control.find(id.target.clone()).await else {
+        let Some(listed) = self.shared.control.find_target(id.target.clone()).await else {
             // another entry may know the target, and have sent it there
             return Err(Refusal::may_have_run(
                 Step::Routing,
@@ -119,7 +119,7 @@
             reserved: self.job.reserved.is_some(),
             remaining: self.job.remaining(),
         };
-        may_retry(&attempt) && self.shared.control.take_retry().await
+        may_retry(&attempt) && self.shared.control.try_take_retry().await
     }
 
     async fn try_once(&mut self) -> Result<(), Refusal> {
@@ -138,7 +138,9 @@
         };
         let target = route.target.clone();
         let result = self.try_target(route).await;
-        self.shared.control.tell(EntryEvent::Ended(target.clone()));
+        self.shared
+            .control
+            .send(EntryEvent::RequestEnded(target.clone()));
         self.failed.push(target);
         result
     }
