--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -57,7 +57,7 @@
     }
 
     /// the entry that gives load permits, as this one sees the fleet
-    pub fn permit_giver(&self) -> Option<SocketAddr> {
+    pub fn permit_issuer(&self) -> Option<SocketAddr> {
         select_permit_issuer(&self.active_config.list()).map(|b| b.addr)
     }
 }
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -161,7 +161,7 @@
         let Some(adapter) = configuration.adapter(&req.adapter) else {
             return Err(admission.bad("adapter", "not a known adapter"));
         };
-        let ask = RouteRequest {
+        let request = RouteRequest {
             requirement: TargetRequirement::Adapter {
                 adapter: adapter.name.to_string(),
                 version: req.version,
@@ -170,7 +170,7 @@
             tokens: 0,
             excluded: Vec::new(),
         };
-        let routes = self.shared.control.plan(ask).await;
+        let routes = self.shared.control.plan(request).await;
         let targets = routes.into_iter().map(|route| PlannedTarget {
             r#box: route.target,
             expected_wait_ms: route.expected_wait.as_millis() as u64,
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -109,7 +109,7 @@
             not_repeatable: req.not_repeatable,
             reserved_id: req.reserved_id,
         };
-        let need = TargetRequirement::Adapter {
+        let requirement = TargetRequirement::Adapter {
             adapter: resolved.name.clone(),
             version: resolved.version,
             base_model: resolved.base_model.clone(),
@@ -123,7 +123,7 @@
             max_tokens: req.max_tokens,
             generated: Vec::new(),
         });
-        self.job(&configuration, terms, need, work).await
+        self.job(&configuration, terms, requirement, work).await
     }
 
     pub async fn call(&self, req: CallRequest) -> Result<Job, Status> {
@@ -146,30 +146,30 @@
             not_repeatable: req.not_repeatable,
             reserved_id: req.reserved_id,
         };
-        let need = TargetRequirement::Service(req.service.clone());
+        let requirement = TargetRequirement::Service(req.service.clone());
         let work = Work::Call(CallWork {
             service: req.service,
             body: req.body,
         });
-        self.job(&configuration, terms, need, work).await
+        self.job(&configuration, terms, requirement, work).await
     }
 
     async fn job(
         &self,
         configuration: &Configuration,
         terms: Terms,
-        need: TargetRequirement,
+        requirement: TargetRequirement,
         work: Work,
     ) -> Result<Job, Status> {
         let timeout = self.timeout(configuration, &terms.class, terms.timeout_ms)?;
-        let reserved = self.reserved(&terms, &need).await?;
+        let reserved_id = self.reserved_id(&terms, &requirement).await?;
         Ok(Job {
-            request: request_id(&reserved),
-            reserved,
+            request_id: request_id(&reserved_id),
+            reserved_id,
             group: terms.group,
             class: terms.class,
             deadline: clock::now() + timeout,
-            need,
+            requirement,
             work,
         })
     }
@@ -178,12 +178,12 @@
         &self,
         configuration: &Configuration,
         class: &str,
-        asked_ms: u32,
+        requested_ms: u32,
     ) -> Result<Duration, Status> {
         let Some(class) = configuration.class(class) else {
             return Err(self.bad("class", "not a known class"));
         };
-        Ok(match asked_ms {
+        Ok(match requested_ms {
             0 => class.timeout(),
             ms => class.timeout().min(Duration::from_millis(u64::from(ms))),
         })
@@ -191,10 +191,10 @@
 
     /// a request that must not be repeated needs an id that binds it to one
     /// target; without one nothing could stop a copy through another entry
-    async fn reserved(
+    async fn reserved_id(
         &self,
         terms: &Terms,
-        need: &TargetRequirement,
+        requirement: &TargetRequirement,
     ) -> Result<Option<ReservedId>, Status> {
         let reserved_id = terms.reserved_id.as_str();
         match (terms.not_repeatable, reserved_id.is_empty()) {
@@ -204,26 +204,30 @@
             (true, false) => {
                 let parsed = reserved_id.parse::<ReservedId>();
                 let id = parsed.map_err(|e| self.bad("reserved_id", &e.to_string()))?;
-                self.check_target(&id, need).await?;
+                self.check_target(&id, requirement).await?;
                 Ok(Some(id))
             }
         }
     }
 
     /// the id must be of a target that can do the work
-    async fn check_target(&self, id: &ReservedId, need: &TargetRequirement) -> Result<(), Status> {
+    async fn check_target(
+        &self,
+        id: &ReservedId,
+        requirement: &TargetRequirement,
+    ) -> Result<(), Status> {
         let Some(listed) = self.shared.control.find_target(id.target.clone()).await else {
             return Ok(());
         };
-        match can_serve(&listed.role, need) {
+        match can_serve(&listed.role, requirement) {
             true => Ok(()),
             false => Err(self.bad("reserved_id", "reserved for other work")),
         }
     }
 }
 
-fn request_id(reserved: &Option<ReservedId>) -> String {
-    match reserved {
+fn request_id(reserved_id: &Option<ReservedId>) -> String {
+    match reserved_id {
         Some(id) => id.to_string(),
         None => format!("{:032x}", rand::random::<u128>()),
     }
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -3,7 +3,7 @@
     crate::{
         app::Shared,
         control::EntryEvent,
-        traffic::{Delivered, Dispatcher, Job},
+        traffic::{Dispatcher, Job, ResponsePart},
     },
     chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::{
@@ -52,17 +52,17 @@
 
     async fn reserve_at_target(
         &self,
-        need: &TargetRequirement,
+        requirement: &TargetRequirement,
         count: u32,
         failed: &mut Vec<String>,
     ) -> Result<ReserveResponse, Refusal> {
         let name = &self.shared.settings.name;
-        let ask = RouteRequest {
-            requirement: need.clone(),
+        let request = RouteRequest {
+            requirement: requirement.clone(),
             tokens: u64::from(count),
             excluded: failed.clone(),
         };
-        let Some(route) = self.shared.control.route(ask).await else {
+        let Some(route) = self.shared.control.route(request).await else {
             return Err(Refusal::not_run(Step::Routing, name, Reason::NoTarget));
         };
         self.shared
@@ -95,7 +95,7 @@
         }
     }
 
-    fn need_of(&self, req: &ReserveRequest) -> Result<TargetRequirement, Status> {
+    fn requirement_for(&self, req: &ReserveRequest) -> Result<TargetRequirement, Status> {
         let admission = Admission::new(&self.shared, "");
         let configuration = admission.configuration()?;
         admission.check_group(&configuration, &req.group)?;
@@ -155,7 +155,7 @@
             self.shared.metrics.on_refused(&refusal);
             return Err(to_status(&refusal));
         }
-        let Some(Delivered::Body(body)) = body else {
+        let Some(ResponsePart::Body(body)) = body else {
             return Err(Status::internal("the target gave no body"));
         };
         self.shared
@@ -170,14 +170,17 @@
         req: Request<ReserveRequest>,
     ) -> Result<Response<ReserveResponse>, Status> {
         let req = req.into_inner();
-        let need = self.need_of(&req)?;
+        let requirement = self.requirement_for(&req)?;
         if req.count == 0 || req.count > MAX_RESERVED {
             let admission = Admission::new(&self.shared, "");
             return Err(admission.bad("count", "expected 1 to 1000"));
         }
         let mut failed = Vec::new();
         loop {
-            match self.reserve_at_target(&need, req.count, &mut failed).await {
+            match self
+                .reserve_at_target(&requirement, req.count, &mut failed)
+                .await
+            {
                 Ok(response) => return Ok(Response::new(response)),
                 Err(refusal) if failed.len() >= RESERVE_TRIES || failed.is_empty() => {
                     return Err(to_status(&refusal));
@@ -243,7 +246,7 @@
 async fn pass_on(
     shared: &Shared,
     of: &GroupClass,
-    mut parts: mpsc::Receiver<Delivered>,
+    mut parts: mpsc::Receiver<ResponsePart>,
     caller: &mpsc::Sender<Result<GenerateEvent, Status>>,
 ) {
     let mut last = clock::now();
@@ -254,7 +257,7 @@
             () = caller.closed() => return,
         };
         let event = match part {
-            Some(Delivered::Token(text)) => {
+            Some(ResponsePart::Token(text)) => {
                 match count {
                     0 => shared.metrics.on_first_token(of, clock::elapsed(last)),
                     _ => shared.metrics.on_next_token(of, clock::elapsed(last)),
@@ -266,12 +269,12 @@
                     text,
                 })
             }
-            Some(Delivered::Finished { adapter, version }) => Event::Finished(Finished {
+            Some(ResponsePart::Finished { adapter, version }) => Event::Finished(Finished {
                 token_count: count,
                 adapter,
                 version,
             }),
-            Some(Delivered::Body(_)) | None => return,
+            Some(ResponsePart::Body(_)) | None => return,
         };
         if caller
             .send(Ok(GenerateEvent { event: Some(event) }))
--- a/entry/src/traffic/attempt.rs
+++ b/entry/src/traffic/attempt.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Delivered, Job},
+    super::{Job, ResponsePart},
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::stream::Assembler,
     chalkcart_protocol::peer::{
@@ -26,19 +26,19 @@
 const MAX_EARLY: usize = 256;
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// why reading one stream of frames stopped
+/// why reading one stream of frames end
 #[derive(Debug)]
-pub enum Stopped {
+pub enum StreamEnd {
     /// the whole answer was delivered
-    Whole,
+    Complete,
     /// the target's final word
     Refused(Refusal),
     /// the stream broke; it may be resumed
-    Broken(String),
+    Interrupted(String),
     /// no sign of life
-    Silent,
+    Unresponsive,
     DeadlinePassed,
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// one target's answer to one request, over one or more streams
@@ -47,10 +47,10 @@
     pub job: &'a Job,
     pub target: BoxName,
     pub addr: SocketAddr,
-    frames: Assembler<FrameBody>,
-    caller: &'a mpsc::Sender<Delivered>,
+    assembler: Assembler<FrameBody>,
+    caller: &'a mpsc::Sender<ResponsePart>,
     /// tokens that the caller has, over all attempts
-    had: &'a mut Vec<String>,
+    delivered_tokens: &'a mut Vec<String>,
 }
 
 impl<'a> Attempt<'a> {
@@ -59,69 +59,71 @@
         job: &'a Job,
         target: BoxName,
         addr: SocketAddr,
-        caller: &'a mpsc::Sender<Delivered>,
-        had: &'a mut Vec<String>,
+        caller: &'a mpsc::Sender<ResponsePart>,
+        delivered_tokens: &'a mut Vec<String>,
     ) -> Self {
         Self {
             shared,
             job,
             target,
             addr,
-            frames: Assembler::new(0, MAX_EARLY),
+            assembler: Assembler::new(0, MAX_EARLY),
             caller,
-            had,
+            delivered_tokens,
         }
     }
 
     /// send the request; a reserved one may be sent again to the same target
     pub async fn send(&self) -> Result<FrameStream, ClientError> {
-        let order = self.job.order(self.had, self.shared.permit_giver());
+        let order = self
+            .job
+            .work_order(self.delivered_tokens, self.shared.permit_issuer());
         let peers = &self.shared.peers;
-        self.bounded(peers.stream(self.addr, path::RUN, &order))
+        self.with_response_timeout(peers.stream(self.addr, path::RUN, &order))
             .await
     }
 
     /// ask for the rest of a broken stream
     pub async fn resume(&self) -> Result<FrameStream, ClientError> {
         let order = ResumeOrder {
-            request: self.job.request.clone(),
-            from: self.frames.next(),
+            request: self.job.request_id.clone(),
+            from: self.assembler.next(),
         };
         let peers = &self.shared.peers;
-        self.bounded(peers.stream(self.addr, path::RESUME, &order))
+        self.with_response_timeout(peers.stream(self.addr, path::RESUME, &order))
             .await
     }
 
     /// read frames and deliver them until something stops it
-    pub async fn read(&mut self, stream: &mut FrameStream) -> Stopped {
+    pub async fn read(&mut self, stream: &mut FrameStream) -> StreamEnd {
         loop {
             let frame = match self.next_frame(stream).await {
                 Ok(frame) => frame,
-                Err(stopped) => return stopped,
+                Err(end) => return end,
             };
-            let stopped = match frame {
+            let end = match frame {
                 Frame::Report(report) => {
                     self.shared.control.send(EntryEvent::ReportReceived(report));
                     None
                 }
                 Frame::Numbered { sequence, body } => self.accept(sequence, body).await,
             };
-            if let Some(stopped) = stopped {
-                return stopped;
+            if let Some(end) = end {
+                return end;
             }
         }
     }
 
     /// number of the first frame that was not delivered
-    pub fn next_frame_number(&self) -> Sequence {
-        self.frames.next()
+    pub fn next_sequence(&self) -> Sequence {
+        self.assembler.next()
     }
 
     /// stop work that nobody waits for; nothing depends on it
     pub fn cancel(&self) {
         let (peers, addr) = (self.shared.peers.clone(), self.addr);
         let order = CancelOrder {
-            request: self.job.request.clone(),
+            request: self.job.request_id.clone(),
         };
         tokio::spawn(async move {
             let _: Result<CancelAnswer, _> =
@@ -134,18 +136,18 @@
     }
 
     /// tell the routing that the target gives no sign
-    pub fn report_silence(&self) {
-        let silent = EntryEvent::TargetUnresponsive(self.target.clone());
-        self.shared.control.send(silent);
+    pub fn report_unresponsive(&self) {
+        let event = EntryEvent::TargetUnresponsive(self.target.clone());
+        self.shared.control.send(event);
     }
 
     /// wait before another try, but not past the deadline
-    pub async fn pause(&self, pause: Duration) {
-        sleep(pause.min(self.job.remaining())).await;
+    pub async fn wait_before_retry(&self, delay: Duration) {
+        sleep(delay.min(self.job.remaining())).await;
     }
 
     /// an answer's head comes at once from a target that lives
-    async fn bounded<F>(&self, call: F) -> Result<FrameStream, ClientError>
+    async fn with_response_timeout<F>(&self, call: F) -> Result<FrameStream, ClientError>
     where
         F: std::future::Future<Output = Result<FrameStream, ClientError>>,
     {
@@ -160,59 +162,59 @@
         }
     }
 
-    async fn next_frame(&self, stream: &mut FrameStream) -> Result<Frame, Stopped> {
-        let silence = clock::now() + self.shared.settings.silence();
-        let end = self.job.deadline + DEADLINE_GRACE;
-        let until = silence.min(end);
+    async fn next_frame(&self, stream: &mut FrameStream) -> Result<Frame, StreamEnd> {
+        let silence_deadline = clock::now() + self.shared.settings.silence();
+        let response_deadline = self.job.deadline + DEADLINE_GRACE;
+        let until = silence_deadline.min(response_deadline);
         tokio::select! {
             next = before_deadline(until, stream.next()) => match next {
                 Ok(Some(Ok(frame))) => Ok(frame),
-                Ok(Some(Err(e))) => Err(Stopped::Broken(e.to_string())),
-                Ok(None) => Err(Stopped::Broken("stream ended early".to_string())),
-                Err(_) if until == end => Err(Stopped::DeadlinePassed),
-                Err(_) => Err(Stopped::Silent),
+                Ok(Some(Err(e))) => Err(StreamEnd::Interrupted(e.to_string())),
+                Ok(None) => Err(StreamEnd::Interrupted("stream ended early".to_string())),
+                Err(_) if until == response_deadline => Err(StreamEnd::DeadlinePassed),
+                Err(_) => Err(StreamEnd::Unresponsive),
             },
-            () = self.caller.closed() => Err(Stopped::CallerGone),
+            () = self.caller.closed() => Err(StreamEnd::CallerDisconnected),
         }
     }
 
-    async fn accept(&mut self, sequence: u64, body: FrameBody) -> Option<Stopped> {
-        let ready = match self.frames.accept(sequence, body) {
+    async fn accept(&mut self, sequence: u64, body: FrameBody) -> Option<StreamEnd> {
+        let ready = match self.assembler.accept(sequence, body) {
             Ok(ready) => ready,
-            Err(e) => return Some(Stopped::Broken(e.to_string())),
+            Err(e) => return Some(StreamEnd::Interrupted(e.to_string())),
         };
         for body in ready {
-            if let Some(stopped) = self.deliver(body).await {
-                return Some(stopped);
+            if let Some(end) = self.deliver(body).await {
+                return Some(end);
             }
         }
         None
     }
 
-    async fn deliver(&mut self, body: FrameBody) -> Option<Stopped> {
+    async fn deliver(&mut self, body: FrameBody) -> Option<StreamEnd> {
         let (part, last) = match body {
-            FrameBody::Refused(refusal) => return Some(Stopped::Refused(refusal)),
+            FrameBody::Refused(refusal) => return Some(StreamEnd::Refused(refusal)),
             FrameBody::Token(text) => {
-                self.had.push(text.clone());
-                (Delivered::Token(text), false)
+                self.delivered_tokens.push(text.clone());
+                (ResponsePart::Token(text), false)
             }
-            FrameBody::Body(body) => (Delivered::Body(body), true),
+            FrameBody::Body(body) => (ResponsePart::Body(body), true),
             FrameBody::Finished { adapter, version } => {
-                if let Some(refusal) = self.check_ran(&adapter, version) {
-                    return Some(Stopped::Refused(refusal));
+                if let Some(refusal) = self.check_version(&adapter, version) {
+                    return Some(StreamEnd::Refused(refusal));
                 }
-                (Delivered::Finished { adapter, version }, true)
+                (ResponsePart::Finished { adapter, version }, true)
             }
         };
         match self.caller.send(part).await {
-            Err(_) => Some(Stopped::CallerGone),
-            Ok(()) if last => Some(Stopped::Whole),
+            Err(_) => Some(StreamEnd::CallerDisconnected),
+            Ok(()) if last => Some(StreamEnd::Complete),
             Ok(()) => None,
         }
     }
 
     /// an answer of another version is an error and never an answer
-    fn check_ran(&self, adapter: &str, version: u32) -> Option<Refusal> {
+    fn check_version(&self, adapter: &str, version: u32) -> Option<Refusal> {
         match &self.job.work {
             Work::Generate(work) if work.adapter == adapter && work.version == version => None,
             _ => {
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        attempt::Attempt, repeatable_attempt::run_repeatable, reserved_attempt::run_reserved,
-        Delivered, Job,
+        attempt::Attempt, repeatable_attempt::run_repeatable, reserved_attempt::run_reserved, Job,
+        ResponsePart,
     },
     crate::{app::Shared, control::EntryEvent},
     chalkcart_coordination::{
@@ -15,45 +15,45 @@
 };
 
 /// refusals because of overload that are followed by another try
-const MAX_OVERLOADS: u32 = 1;
+const MAX_OVERLOAD_RETRIES: u32 = 1;
 /// when to come back if no target serves what is asked
-const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// brings a request to a target, and to another one if that is safe
 pub struct Dispatcher {
     shared: Arc<Shared>,
     job: Job,
     /// id of the request over all tries
-    request: RequestId,
-    caller: mpsc::Sender<Delivered>,
+    original_id: RequestId,
+    caller: mpsc::Sender<ResponsePart>,
     /// tokens that the caller has
-    had: Vec<String>,
+    delivered_tokens: Vec<String>,
     /// an attempt may have run
     may_have_run: bool,
     /// targets that failed
-    failed: Vec<BoxName>,
+    failed_targets: Vec<BoxName>,
     /// refusals because of overload
-    overloads: u32,
+    overload_refusals: u32,
 }
 
 impl Dispatcher {
-    pub fn new(shared: Arc<Shared>, job: Job, caller: mpsc::Sender<Delivered>) -> Self {
+    pub fn new(shared: Arc<Shared>, job: Job, caller: mpsc::Sender<ResponsePart>) -> Self {
         Self {
             shared,
-            request: job.request.clone(),
+            original_id: job.request_id.clone(),
             job,
             caller,
-            had: Vec::new(),
+            delivered_tokens: Vec::new(),
             may_have_run: false,
-            failed: Vec::new(),
-            overloads: 0,
+            failed_targets: Vec::new(),
+            overload_refusals: 0,
         }
     }
 
     /// deliver the whole answer, or give the final word on the request
     pub async fn run(mut self) -> Result<(), Refusal> {
         self.shared.control.send(EntryEvent::RequestArrived);
-        match self.job.reserved.clone() {
+        match self.job.reserved_id.clone() {
             Some(id) => self.run_reserved(&id).await,
             None => self.run_repeatable().await,
         }
@@ -74,7 +74,7 @@
             listed.name,
             listed.addr,
             &self.caller,
-            &mut self.had,
+            &mut self.delivered_tokens,
         );
         run_reserved(attempt).await
     }
@@ -84,23 +84,23 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            let Err(refusal) = self.try_once().await else {
+            let Err(refusal) = self.try_next_target().await else {
                 return Ok(());
             };
             self.may_have_run |= refusal.outcome != Outcome::NotRun;
             if !self.should_retry(&refusal).await {
-                return Err(self.final_word(refusal));
+                return Err(self.final_refusal(refusal));
             }
-            log::debug!("traffic: {} again after: {refusal}", self.job.request);
+            log::debug!("traffic: {} again after: {refusal}", self.job.request_id);
             if refusal.reason != Reason::Overloaded {
-                let pause = backoff.delay(tries, rand::random());
-                sleep(pause.min(self.job.remaining())).await;
+                let delay = backoff.delay(tries, rand::random());
+                sleep(delay.min(self.job.remaining())).await;
             }
         }
     }
 
     /// `NOT_RUN` must be true of all attempts together
-    fn final_word(&self, mut refusal: Refusal) -> Refusal {
+    fn final_refusal(&self, mut refusal: Refusal) -> Refusal {
         if self.may_have_run {
             refusal.outcome = Outcome::MayHaveRun;
         }
@@ -110,38 +110,38 @@
     async fn should_retry(&mut self, refusal: &Refusal) -> bool {
         // one other target is asked at once; more would feed the overload
         // and keep the caller from its answer
-        self.overloads += u32::from(refusal.reason == Reason::Overloaded);
-        if self.overloads > MAX_OVERLOADS {
+        self.overload_refusals += u32::from(refusal.reason == Reason::Overloaded);
+        if self.overload_refusals > MAX_OVERLOAD_RETRIES {
             return false;
         }
         let attempt = FailedAttempt {
             refusal,
-            reserved: self.job.reserved.is_some(),
+            reserved: self.job.reserved_id.is_some(),
             remaining: self.job.remaining(),
         };
         may_retry(&attempt) && self.shared.control.try_take_retry().await
     }
 
-    async fn try_once(&mut self) -> Result<(), Refusal> {
+    async fn try_next_target(&mut self) -> Result<(), Refusal> {
         // each try has its own id, so that a target never takes a new try
         // for a copy of an earlier one
-        self.job.request = format!("{}-{}", self.request, self.failed.len());
-        let ask = RouteRequest {
-            requirement: self.job.need.clone(),
+        self.job.request_id = format!("{}-{}", self.original_id, self.failed_targets.len());
+        let request = RouteRequest {
+            requirement: self.job.requirement.clone(),
             tokens: self.job.work.tokens(),
-            excluded: self.failed.clone(),
+            excluded: self.failed_targets.clone(),
         };
-        let Some(route) = self.shared.control.route(ask).await else {
+        let Some(route) = self.shared.control.route(request).await else {
             let name = &self.shared.settings.name;
             let refusal = Refusal::not_run(Step::Routing, name, Reason::NoTarget);
-            return Err(refusal.with_retry_after(NO_TARGET_RETRY));
+            return Err(refusal.with_retry_after(NO_TARGET_RETRY_AFTER));
         };
         let target = route.target.clone();
         let result = self.try_target(route).await;
         self.shared
             .control
             .send(EntryEvent::RequestEnded(target.clone()));
-        self.failed.push(target);
+        self.failed_targets.push(target);
         result
     }
 
@@ -152,7 +152,7 @@
             route.target,
             route.addr,
             &self.caller,
-            &mut self.had,
+            &mut self.delivered_tokens,
         );
         run_repeatable(attempt).await
     }
--- a/entry/src/traffic/job.rs
+++ b/entry/src/traffic/job.rs
@@ -14,19 +14,19 @@
 /// one request of a caller
 #[derive(Debug, Clone)]
 pub struct Job {
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// set for a request that must not be repeated
-    pub reserved: Option<ReservedId>,
+    pub reserved_id: Option<ReservedId>,
     pub group: GroupName,
     pub class: ClassName,
     pub deadline: Instant,
-    pub need: TargetRequirement,
+    pub requirement: TargetRequirement,
     pub work: Work,
 }
 
 /// a part of an answer, on its way to the caller
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Delivered {
+pub enum ResponsePart {
     Token(String),
     Body(Vec<u8>),
     Finished {
@@ -41,19 +41,23 @@
     }
 
     /// the message for a sidecar, with the tokens that the caller has
-    pub fn order(&self, had: &[String], permit_giver: Option<SocketAddr>) -> WorkOrder {
+    pub fn work_order(
+        &self,
+        delivered_tokens: &[String],
+        permit_issuer: Option<SocketAddr>,
+    ) -> WorkOrder {
         let mut work = self.work.clone();
         if let Work::Generate(work) = &mut work {
-            work.generated = had.to_vec();
+            work.generated = delivered_tokens.to_vec();
         }
         WorkOrder {
-            request: self.request.clone(),
-            reserved: self.reserved.is_some(),
+            request: self.request_id.clone(),
+            reserved: self.reserved_id.is_some(),
             group: self.group.clone(),
             class: self.class.clone(),
             remaining: self.remaining(),
             work,
-            permit_giver,
+            permit_giver: permit_issuer,
         }
     }
 }
--- a/entry/src/traffic/mod.rs
+++ b/entry/src/traffic/mod.rs
@@ -8,5 +8,5 @@
 
 pub use {
     dispatcher::Dispatcher,
-    job::{Delivered, Job},
+    job::{Job, ResponsePart},
 };
--- a/entry/src/traffic/reserved_attempt.rs
+++ b/entry/src/traffic/reserved_attempt.rs
@@ -1,12 +1,12 @@
 use {
-    super::attempt::{Attempt, Stopped},
+    super::attempt::{Attempt, StreamEnd},
     chalkcart_coordination::retry::Backoff,
     chalkcart_protocol::peer::{Outcome, Reason, Refusal, Step},
     chalkcart_transport::client::{ClientError, FrameStream},
 };
 
 /// refused connections after which the target counts as gone
-const MAX_CONNECTS: u32 = 4;
+const MAX_CONNECT_FAILURES: u32 = 4;
 
 /// drive a request with a reserved id to its end at its one target.
 ///
@@ -15,57 +15,59 @@
 /// so this side never says `NOT_RUN`.
 pub async fn run_reserved(mut attempt: Attempt<'_>) -> Result<(), Refusal> {
     let backoff = Backoff::default();
-    let mut connects = 0;
+    let mut connect_failures = 0;
     let mut tries = 0;
     while !attempt.job.remaining().is_zero() {
         tries += 1;
-        let stopped = match attempt.send().await {
+        let end = match attempt.send().await {
             Ok(mut stream) => {
-                connects = 0;
-                read_whole(&mut attempt, &mut stream).await?
+                connect_failures = 0;
+                read_to_end(&mut attempt, &mut stream).await?
             }
             Err(e) => {
-                connects += u32::from(e.proves_not_sent());
-                if connects >= MAX_CONNECTS {
-                    return Err(unreachable(&attempt, &e));
+                connect_failures += u32::from(e.proves_not_sent());
+                if connect_failures >= MAX_CONNECT_FAILURES {
+                    return Err(unreachable_refusal(&attempt, &e));
                 }
-                Some(Stopped::Silent)
+                Some(StreamEnd::Unresponsive)
             }
         };
-        let Some(stopped) = stopped else {
+        let Some(end) = end else {
             return Ok(());
         };
         log::debug!(
-            "traffic: {} at {}: {stopped:?}",
-            attempt.job.request,
+            "traffic: {} at {}: {end:?}",
+            attempt.job.request_id,
             attempt.target
         );
-        attempt.report_silence();
-        attempt.pause(backoff.delay(tries, rand::random())).await;
+        attempt.report_unresponsive();
+        attempt
+            .wait_before_retry(backoff.delay(tries, rand::random()))
+            .await;
     }
     Err(attempt.refusal(Outcome::MayHaveRun, Step::Run, Reason::DeadlinePassed))
 }
 
 /// none if the answer is whole; else why it may go on
-async fn read_whole(
+async fn read_to_end(
     attempt: &mut Attempt<'_>,
     stream: &mut FrameStream,
-) -> Result<Option<Stopped>, Refusal> {
+) -> Result<Option<StreamEnd>, Refusal> {
     match attempt.read(stream).await {
-        Stopped::Whole => Ok(None),
-        Stopped::Refused(refusal) => Err(refusal),
+        StreamEnd::Complete => Ok(None),
+        StreamEnd::Refused(refusal) => Err(refusal),
         // it runs on: the caller may come back through another entry
-        Stopped::CallerGone => {
+        StreamEnd::CallerDisconnected => {
             Err(attempt.refusal(Outcome::MayHaveRun, Step::Stream, Reason::Cancelled))
         }
-        Stopped::DeadlinePassed => {
+        StreamEnd::DeadlinePassed => {
             Err(attempt.refusal(Outcome::MayHaveRun, Step::Run, Reason::DeadlinePassed))
         }
-        stopped @ (Stopped::Broken(_) | Stopped::Silent) => Ok(Some(stopped)),
+        end @ (StreamEnd::Interrupted(_) | StreamEnd::Unresponsive) => Ok(Some(end)),
     }
 }
 
-fn unreachable(attempt: &Attempt<'_>, e: &ClientError) -> Refusal {
+fn unreachable_refusal(attempt: &Attempt<'_>, e: &ClientError) -> Refusal {
     let refusal = attempt.refusal(Outcome::MayHaveRun, Step::Connect, Reason::Unreachable);
     refusal.with_detail(e.to_string())
 }
