--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -1,5 +1,5 @@
 use {
-    super::{admission::Admission, force::wait_in_force},
+    super::{generation_wait::wait_for_generation, request_validator::RequestValidator},
     crate::{app::Shared, control::TargetSummary},
     chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::v1::{
@@ -31,43 +31,43 @@
         Self { shared }
     }
 
-    fn next(
+    fn plan_change(
         &self,
         base: Generation,
         change: &Change,
     ) -> Result<Response<NextConfiguration>, Status> {
-        let admission = Admission::new(&self.shared, "");
-        let configuration = admission.configuration()?;
-        let changed = configuration.plan_change(base, change);
-        let changed = changed.map_err(|e| match e {
+        let validator = RequestValidator::new(&self.shared, "");
+        let configuration = validator.configuration()?;
+        let planned = configuration.plan_change(base, change);
+        let planned = planned.map_err(|e| match e {
             ConfigError::BadValue {
                 key,
                 value,
                 expected,
-            } => admission.bad(&key, &format!("{value}, expected {expected}")),
+            } => validator.invalid_field(&key, &format!("{value}, expected {expected}")),
             e @ ConfigError::StaleBase { .. } => Status::failed_precondition(e.to_string()),
             e @ ConfigError::WrongShard { .. } => Status::internal(e.to_string()),
         })?;
-        let documents = changed.documents.into_iter().map(|d| Document {
+        let documents = planned.documents.into_iter().map(|d| Document {
             key: d.key,
             content: d.content,
         });
         Ok(Response::new(NextConfiguration {
-            generation: changed.generation,
+            generation: planned.generation,
             documents: documents.collect(),
         }))
     }
 
-    fn digest(&self, text: &str) -> Result<WeightsDigest, Status> {
+    fn parse_digest(&self, text: &str) -> Result<WeightsDigest, Status> {
         text.parse().map_err(|e: WeightsDigestError| {
-            Admission::new(&self.shared, "").bad("digest", &e.to_string())
+            RequestValidator::new(&self.shared, "").invalid_field("digest", &e.to_string())
         })
     }
 
     fn check_not_empty(&self, fields: &[(&str, &str)]) -> Result<(), Status> {
-        let admission = Admission::new(&self.shared, "");
+        let validator = RequestValidator::new(&self.shared, "");
         match fields.iter().find(|(_, value)| value.is_empty()) {
-            Some((field, _)) => Err(admission.bad(field, "must not be empty")),
+            Some((field, _)) => Err(validator.invalid_field(field, "must not be empty")),
             None => Ok(()),
         }
     }
@@ -85,7 +85,7 @@
             group: req.group,
             share: req.share,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn set_share(
@@ -98,7 +98,7 @@
             group: req.group,
             share: req.share,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn register_adapter(
@@ -111,9 +111,9 @@
             adapter: req.adapter,
             group: req.group,
             base_model: req.base_model,
-            digest: self.digest(&req.digest)?,
+            digest: self.parse_digest(&req.digest)?,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn add_version(
@@ -124,9 +124,9 @@
         self.check_not_empty(&[("adapter", &req.adapter)])?;
         let change = Change::AddVersion {
             adapter: req.adapter,
-            digest: self.digest(&req.digest)?,
+            digest: self.parse_digest(&req.digest)?,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn retire_version(
@@ -139,7 +139,7 @@
             adapter: req.adapter,
             version: req.version,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn get_status(
@@ -156,10 +156,10 @@
 
     async fn plan(&self, req: Request<PlanRequest>) -> Result<Response<PlanResponse>, Status> {
         let req = req.into_inner();
-        let admission = Admission::new(&self.shared, "");
-        let configuration = admission.configuration()?;
+        let validator = RequestValidator::new(&self.shared, "");
+        let configuration = validator.configuration()?;
         let Some(adapter) = configuration.adapter(&req.adapter) else {
-            return Err(admission.bad("adapter", "not a known adapter"));
+            return Err(validator.invalid_field("adapter", "not a known adapter"));
         };
         let request = RouteRequest {
             requirement: TargetRequirement::Adapter {
@@ -188,7 +188,7 @@
         let req = req.into_inner();
         let wait = Duration::from_millis(u64::from(req.timeout_ms)).min(MAX_WAIT);
         let deadline = clock::now() + wait;
-        let missing = wait_in_force(&self.shared, req.generation, deadline).await;
+        let missing = wait_for_generation(&self.shared, req.generation, deadline).await;
         Ok(Response::new(WaitInForceResponse {
             in_force: missing.is_empty(),
             missing,
--- a/entry/src/rpc/force.rs
+++ b/entry/src/rpc/generation_wait.rs
@@ -12,13 +12,13 @@
 };
 
 /// boxes asked at once
-const ASKED_AT_ONCE: usize = 64;
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+const MAX_CONCURRENT_CALLS: usize = 64;
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// ask all listed boxes until each has the generation in force; give those
 /// that have not by then
-pub async fn wait_in_force(
+pub async fn wait_for_generation(
     shared: &Shared,
     generation: Generation,
     deadline: Instant,
@@ -26,16 +26,16 @@
     let list = shared.active_config.list();
     let mut missing: Vec<FleetBox> = list.boxes.clone();
     loop {
-        let round = stream::iter(missing.clone()).map(|listed| async move {
-            let found = ask_generation(shared, &listed).await;
+        let calls = stream::iter(missing.clone()).map(|listed| async move {
+            let found = fetch_generation(shared, &listed).await;
             (listed, found)
         });
-        let answers: Vec<(FleetBox, Option<Generation>)> =
-            round.buffer_unordered(ASKED_AT_ONCE).collect().await;
-        let lacks = |found: Option<Generation>| found.is_none_or(|g| g < generation);
-        missing = answers
+        let results: Vec<(FleetBox, Option<Generation>)> =
+            calls.buffer_unordered(MAX_CONCURRENT_CALLS).collect().await;
+        let is_missing = |found: Option<Generation>| found.is_none_or(|g| g < generation);
+        missing = results
             .into_iter()
-            .filter(|(_, found)| lacks(*found))
+            .filter(|(_, found)| is_missing(*found))
             .map(|(listed, _)| listed)
             .collect();
         if missing.is_empty() || clock::now() >= deadline {
@@ -43,27 +43,27 @@
             names.sort();
             return names;
         }
-        sleep(ROUND_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask_generation(shared: &Shared, listed: &FleetBox) -> Option<Generation> {
+async fn fetch_generation(shared: &Shared, listed: &FleetBox) -> Option<Generation> {
     if listed.name == shared.settings.name {
         return Some(shared.active_config.generation());
     }
     let peers = &shared.peers;
     if listed.role != Role::Entry {
-        let call = peers.call(listed.addr, path::REPORT, &(), ASK_TIMEOUT);
+        let call = peers.call(listed.addr, path::REPORT, &(), CALL_TIMEOUT);
         let report: Option<TargetReport> = call.await.ok();
         return report.map(|r| r.generation);
     }
-    let ask = SyncRequest {
+    let request = SyncRequest {
         from: shared.settings.name.clone(),
         generation: Generation::MAX,
         list_version: u64::MAX,
         from_sidecar: true,
     };
-    let call = peers.call(listed.addr, path::SYNC, &ask, ASK_TIMEOUT);
-    let answer: Option<SyncResponse> = call.await.ok();
-    answer.map(|a| a.generation)
+    let call = peers.call(listed.addr, path::SYNC, &request, CALL_TIMEOUT);
+    let response: Option<SyncResponse> = call.await.ok();
+    response.map(|r| r.generation)
 }
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -1,5 +1,5 @@
 use {
-    super::admission::Admission,
+    super::request_validator::RequestValidator,
     crate::{
         app::Shared,
         control::EntryEvent,
@@ -27,9 +27,9 @@
 };
 
 /// events held for a slow caller; the rest waits at the sidecar
-const CALLER_WINDOW: usize = 32;
-const MAX_RESERVED: u32 = 1_000;
-const RESERVE_TRIES: usize = 3;
+const EVENT_BUFFER: usize = 32;
+const MAX_RESERVED_IDS: u32 = 1_000;
+const MAX_RESERVE_ATTEMPTS: usize = 3;
 const RESERVE_TIMEOUT: Duration = Duration::from_secs(1);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -43,7 +43,7 @@
         Self { shared }
     }
 
-    fn labels(job: &Job) -> GroupClass {
+    fn metric_labels(job: &Job) -> GroupClass {
         GroupClass {
             group: job.group.clone(),
             class: job.class.clone(),
@@ -54,13 +54,13 @@
         &self,
         requirement: &TargetRequirement,
         count: u32,
-        failed: &mut Vec<String>,
+        failed_targets: &mut Vec<String>,
     ) -> Result<ReserveResponse, Refusal> {
         let name = &self.shared.settings.name;
         let request = RouteRequest {
             requirement: requirement.clone(),
             tokens: u64::from(count),
-            excluded: failed.clone(),
+            excluded: failed_targets.clone(),
         };
         let Some(route) = self.shared.control.route(request).await else {
             return Err(Refusal::not_run(Step::Routing, name, Reason::NoTarget));
@@ -69,25 +69,25 @@
             .control
             .send(EntryEvent::RequestEnded(route.target.clone()));
         let order = ReserveOrder { count };
-        let answer: Result<ReserveAnswer, _> = self
+        let response: Result<ReserveAnswer, _> = self
             .shared
             .peers
             .call(route.addr, path::RESERVE, &order, RESERVE_TIMEOUT)
             .await;
-        match answer {
+        match response {
             Ok(ReserveAnswer::Reserved { ids, valid_for }) => Ok(ReserveResponse {
                 reserved_ids: ids,
                 valid_for_ms: u32::try_from(valid_for.as_millis()).unwrap_or(u32::MAX),
             }),
             Ok(ReserveAnswer::Refused(refusal)) => {
-                failed.push(route.target);
+                failed_targets.push(route.target);
                 Err(refusal)
             }
             Err(e) => {
-                let silent = EntryEvent::TargetUnresponsive(route.target.clone());
-                self.shared.control.send(silent);
+                let event = EntryEvent::TargetUnresponsive(route.target.clone());
+                self.shared.control.send(event);
                 let peer = route.target.clone();
-                failed.push(route.target);
+                failed_targets.push(route.target);
                 // ids that nobody knows can't run
                 let refusal = Refusal::not_run(Step::Reserve, peer, Reason::Unreachable);
                 Err(refusal.with_detail(e.to_string()))
@@ -96,14 +96,14 @@
     }
 
     fn requirement_for(&self, req: &ReserveRequest) -> Result<TargetRequirement, Status> {
-        let admission = Admission::new(&self.shared, "");
-        let configuration = admission.configuration()?;
-        admission.check_group(&configuration, &req.group)?;
+        let validator = RequestValidator::new(&self.shared, "");
+        let configuration = validator.configuration()?;
+        validator.check_group(&configuration, &req.group)?;
         match &req.work {
             Some(Work::Adapter(name)) => {
                 let found = configuration.adapter(name).filter(|a| a.group == req.group);
                 let Some(adapter) = found else {
-                    return Err(admission.bad("adapter", "not an adapter of the group"));
+                    return Err(validator.invalid_field("adapter", "not an adapter of the group"));
                 };
                 Ok(TargetRequirement::Adapter {
                     adapter: adapter.name.to_string(),
@@ -113,9 +113,9 @@
             }
             Some(Work::Service(name)) => match configuration.service(name) {
                 Some(_) => Ok(TargetRequirement::Service(name.clone())),
-                None => Err(admission.bad("service", "not a known service")),
+                None => Err(validator.invalid_field("service", "not a known service")),
             },
-            None => Err(admission.bad("work", "expected an adapter or a service")),
+            None => Err(validator.invalid_field("work", "expected an adapter or a service")),
         }
     }
 }
@@ -130,10 +130,10 @@
     ) -> Result<Response<Self::GenerateStream>, Status> {
         let req = req.into_inner();
         let reserved_id = req.reserved_id.clone();
-        let job = Admission::new(&self.shared, &reserved_id)
-            .generate(req)
+        let job = RequestValidator::new(&self.shared, &reserved_id)
+            .generate_job(req)
             .await?;
-        let (tx, rx) = mpsc::channel(CALLER_WINDOW);
+        let (tx, rx) = mpsc::channel(EVENT_BUFFER);
         tokio::spawn(generate(self.shared.clone(), job, tx));
         Ok(Response::new(ReceiverStream::new(rx)))
     }
@@ -141,17 +141,19 @@
     async fn call(&self, req: Request<CallRequest>) -> Result<Response<CallResponse>, Status> {
         let req = req.into_inner();
         let reserved_id = req.reserved_id.clone();
-        let job = Admission::new(&self.shared, &reserved_id).call(req).await?;
-        let of = Self::labels(&job);
+        let job = RequestValidator::new(&self.shared, &reserved_id)
+            .call_job(req)
+            .await?;
+        let labels = Self::metric_labels(&job);
         let started = clock::now();
-        self.shared.metrics.on_request(&of);
+        self.shared.metrics.on_request(&labels);
         let (tx, mut rx) = mpsc::channel(1);
         let dispatcher = Dispatcher::new(self.shared.clone(), job, tx);
         // the run goes on if this call is dropped, so that its end is known
         let run = tokio::spawn(dispatcher.run());
         let body = rx.recv().await;
-        let ended = run.await.map_err(|e| Status::internal(e.to_string()))?;
-        if let Err(refusal) = ended {
+        let result = run.await.map_err(|e| Status::internal(e.to_string()))?;
+        if let Err(refusal) = result {
             self.shared.metrics.on_refused(&refusal);
             return Err(to_status(&refusal));
         }
@@ -160,8 +162,8 @@
         };
         self.shared
             .metrics
-            .on_first_token(&of, clock::elapsed(started));
-        self.shared.metrics.on_completed(&of);
+            .on_first_token(&labels, clock::elapsed(started));
+        self.shared.metrics.on_completed(&labels);
         Ok(Response::new(CallResponse { body }))
     }
 
@@ -171,18 +173,21 @@
     ) -> Result<Response<ReserveResponse>, Status> {
         let req = req.into_inner();
         let requirement = self.requirement_for(&req)?;
-        if req.count == 0 || req.count > MAX_RESERVED {
-            let admission = Admission::new(&self.shared, "");
-            return Err(admission.bad("count", "expected 1 to 1000"));
+        if req.count == 0 || req.count > MAX_RESERVED_IDS {
+            let validator = RequestValidator::new(&self.shared, "");
+            return Err(validator.invalid_field("count", "expected 1 to 1000"));
         }
-        let mut failed = Vec::new();
+        let mut failed_targets = Vec::new();
         loop {
             match self
-                .reserve_at_target(&requirement, req.count, &mut failed)
+                .reserve_at_target(&requirement, req.count, &mut failed_targets)
                 .await
             {
                 Ok(response) => return Ok(Response::new(response)),
-                Err(refusal) if failed.len() >= RESERVE_TRIES || failed.is_empty() => {
+                Err(refusal)
+                    if failed_targets.len() >= MAX_RESERVE_ATTEMPTS
+                        || failed_targets.is_empty() =>
+                {
                     return Err(to_status(&refusal));
                 }
                 Err(refusal) => log::debug!("rpc: reserve again after: {refusal}"),
@@ -196,10 +201,11 @@
     ) -> Result<Response<CancelResponse>, Status> {
         let text = req.into_inner().reserved_id;
         let id: ReservedId = text.parse().map_err(|_| {
-            Admission::new(&self.shared, &text).bad("reserved_id", "not a reserved id")
+            RequestValidator::new(&self.shared, &text)
+                .invalid_field("reserved_id", "not a reserved id")
         })?;
         let order = CancelOrder { request: text };
-        let answer = match self.shared.control.find_target(id.target).await {
+        let response = match self.shared.control.find_target(id.target).await {
             Some(listed) => {
                 let peers = &self.shared.peers;
                 let call = peers.call(listed.addr, path::CANCEL, &order, CANCEL_TIMEOUT);
@@ -207,7 +213,7 @@
             }
             None => None,
         };
-        let outcome = answer.map_or(PeerOutcome::MayHaveRun, |a: CancelAnswer| a.outcome);
+        let outcome = response.map_or(PeerOutcome::MayHaveRun, |r: CancelAnswer| r.outcome);
         Ok(Response::new(CancelResponse {
             outcome: outcome_code(outcome) as i32,
         }))
@@ -228,13 +234,16 @@
     job: Job,
     caller: mpsc::Sender<Result<GenerateEvent, Status>>,
 ) {
-    let of = InferenceService::labels(&job);
-    shared.metrics.on_request(&of);
+    let labels = InferenceService::metric_labels(&job);
+    shared.metrics.on_request(&labels);
     let (tx, rx) = mpsc::channel(1);
     let dispatcher = Dispatcher::new(shared.clone(), job, tx);
-    let (ended, ()) = tokio::join!(dispatcher.run(), pass_on(&shared, &of, rx, &caller));
-    match ended {
-        Ok(()) => shared.metrics.on_completed(&of),
+    let (result, ()) = tokio::join!(
+        dispatcher.run(),
+        forward_parts(&shared, &labels, rx, &caller)
+    );
+    match result {
+        Ok(()) => shared.metrics.on_completed(&labels),
         Err(refusal) => {
             shared.metrics.on_refused(&refusal);
             // the caller may be gone
@@ -243,14 +252,14 @@
     }
 }
 
-async fn pass_on(
+async fn forward_parts(
     shared: &Shared,
-    of: &GroupClass,
+    labels: &GroupClass,
     mut parts: mpsc::Receiver<ResponsePart>,
     caller: &mpsc::Sender<Result<GenerateEvent, Status>>,
 ) {
-    let mut last = clock::now();
-    let mut count = 0;
+    let mut previous = clock::now();
+    let mut token_count = 0;
     loop {
         let part = tokio::select! {
             part = parts.recv() => part,
@@ -258,19 +267,23 @@
         };
         let event = match part {
             Some(ResponsePart::Token(text)) => {
-                match count {
-                    0 => shared.metrics.on_first_token(of, clock::elapsed(last)),
-                    _ => shared.metrics.on_next_token(of, clock::elapsed(last)),
+                match token_count {
+                    0 => shared
+                        .metrics
+                        .on_first_token(labels, clock::elapsed(previous)),
+                    _ => shared
+                        .metrics
+                        .on_next_token(labels, clock::elapsed(previous)),
                 }
-                last = clock::now();
-                count += 1;
+                previous = clock::now();
+                token_count += 1;
                 Event::Token(Token {
-                    index: count - 1,
+                    index: token_count - 1,
                     text,
                 })
             }
             Some(ResponsePart::Finished { adapter, version }) => Event::Finished(Finished {
-                token_count: count,
+                token_count,
                 adapter,
                 version,
             }),
--- a/entry/src/rpc/mod.rs
+++ b/entry/src/rpc/mod.rs
@@ -1,8 +1,8 @@
 //! the RPCs of callers and operators
 
 mod admin;
-mod admission;
-mod force;
+mod generation_wait;
 mod inference;
+mod request_validator;
 
 pub use {admin::AdminService, inference::InferenceService};
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/request_validator.rs
@@ -22,20 +22,20 @@
 /// bytes of a prompt or a body
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// when to come back to an entry that is not ready
-const NOT_READY_RETRY: Duration = Duration::from_millis(500);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// what can be said of a request that was refused here.
 ///
 /// With a reserved id an earlier copy may have run through another entry, so
 /// only the target may say `NOT_RUN`.
 #[derive(Clone, Copy)]
-pub struct Admission<'a> {
+pub struct RequestValidator<'a> {
     shared: &'a Shared,
     outcome: Outcome,
 }
 
 /// what each request of a caller says beside its work
-struct Terms {
+struct RequestOptions {
     group: GroupName,
     class: ClassName,
     /// 0 takes the class's own
@@ -44,7 +44,7 @@
     reserved_id: String,
 }
 
-impl<'a> Admission<'a> {
+impl<'a> RequestValidator<'a> {
     pub fn new(shared: &'a Shared, reserved_id: &str) -> Self {
         let outcome = match reserved_id.is_empty() {
             true => Outcome::NotRun,
@@ -53,7 +53,7 @@
         Self { shared, outcome }
     }
 
-    pub fn bad(&self, field: &str, description: &str) -> Status {
+    pub fn invalid_field(&self, field: &str, description: &str) -> Status {
         bad_field(self.outcome, &self.shared.settings.name, field, description)
     }
 
@@ -63,12 +63,12 @@
             let name = &self.shared.settings.name;
             let refusal = Refusal::new(self.outcome, Step::Admission, name, Reason::Leaving)
                 .with_detail("this entry is starting or stopping")
-                .with_retry_after(NOT_READY_RETRY);
+                .with_retry_after(NOT_READY_RETRY_AFTER);
             to_status(&refusal)
         })
     }
 
-    pub fn resolve(
+    pub fn resolve_adapter(
         &self,
         configuration: &Configuration,
         group: &str,
@@ -77,32 +77,33 @@
     ) -> Result<ResolvedAdapter, Status> {
         self.check_group(configuration, group)?;
         let Some(found) = configuration.adapter(adapter) else {
-            return Err(self.bad("adapter", "not a known adapter"));
+            return Err(self.invalid_field("adapter", "not a known adapter"));
         };
         if found.group != group {
-            return Err(self.bad("adapter", "not an adapter of the group"));
+            return Err(self.invalid_field("adapter", "not an adapter of the group"));
         }
         let resolved = configuration.resolve(adapter, version);
-        resolved.ok_or_else(|| self.bad("version", "not a version of the adapter"))
+        resolved.ok_or_else(|| self.invalid_field("version", "not a version of the adapter"))
     }
 
     pub fn check_group(&self, configuration: &Configuration, group: &str) -> Result<(), Status> {
         match configuration.group(group) {
             Some(_) => Ok(()),
-            None => Err(self.bad("group", "not a known group")),
+            None => Err(self.invalid_field("group", "not a known group")),
         }
     }
 
-    pub async fn generate(&self, req: GenerateRequest) -> Result<Job, Status> {
+    pub async fn generate_job(&self, req: GenerateRequest) -> Result<Job, Status> {
         let configuration = self.configuration()?;
-        let resolved = self.resolve(&configuration, &req.group, &req.adapter, req.version)?;
+        let resolved =
+            self.resolve_adapter(&configuration, &req.group, &req.adapter, req.version)?;
         if req.prompt.is_empty() || req.prompt.len() > MAX_BODY_BYTES {
-            return Err(self.bad("prompt", "expected 1 to 1048576 bytes"));
+            return Err(self.invalid_field("prompt", "expected 1 to 1048576 bytes"));
         }
         if req.max_tokens == 0 || req.max_tokens > MAX_TOKENS {
-            return Err(self.bad("max_tokens", "expected 1 to 8192"));
+            return Err(self.invalid_field("max_tokens", "expected 1 to 8192"));
         }
-        let terms = Terms {
+        let options = RequestOptions {
             group: req.group,
             class: req.class,
             timeout_ms: req.timeout_ms,
@@ -123,23 +124,24 @@
             max_tokens: req.max_tokens,
             generated: Vec::new(),
         });
-        self.job(&configuration, terms, requirement, work).await
+        self.new_job(&configuration, options, requirement, work)
+            .await
     }
 
-    pub async fn call(&self, req: CallRequest) -> Result<Job, Status> {
+    pub async fn call_job(&self, req: CallRequest) -> Result<Job, Status> {
         let configuration = self.configuration()?;
         self.check_group(&configuration, &req.group)?;
         let Some(service) = configuration.service(&req.service) else {
-            return Err(self.bad("service", "not a known service"));
+            return Err(self.invalid_field("service", "not a known service"));
         };
         if req.body.len() > MAX_BODY_BYTES {
-            return Err(self.bad("body", "expected at most 1048576 bytes"));
+            return Err(self.invalid_field("body", "expected at most 1048576 bytes"));
         }
         if !service.repeatable && !req.not_repeatable {
             let expected = "calls of this service must not be repeated: set it";
-            return Err(self.bad("not_repeatable", expected));
+            return Err(self.invalid_field("not_repeatable", expected));
         }
-        let terms = Terms {
+        let options = RequestOptions {
             group: req.group,
             class: req.class,
             timeout_ms: req.timeout_ms,
@@ -151,23 +153,24 @@
             service: req.service,
             body: req.body,
         });
-        self.job(&configuration, terms, requirement, work).await
+        self.new_job(&configuration, options, requirement, work)
+            .await
     }
 
-    async fn job(
+    async fn new_job(
         &self,
         configuration: &Configuration,
-        terms: Terms,
+        options: RequestOptions,
         requirement: TargetRequirement,
         work: Work,
     ) -> Result<Job, Status> {
-        let timeout = self.timeout(configuration, &terms.class, terms.timeout_ms)?;
-        let reserved_id = self.reserved_id(&terms, &requirement).await?;
+        let timeout = self.timeout(configuration, &options.class, options.timeout_ms)?;
+        let reserved_id = self.check_reserved_id(&options, &requirement).await?;
         Ok(Job {
             request_id: request_id(&reserved_id),
             reserved_id,
-            group: terms.group,
-            class: terms.class,
+            group: options.group,
+            class: options.class,
             deadline: clock::now() + timeout,
             requirement,
             work,
@@ -181,7 +184,7 @@
         requested_ms: u32,
     ) -> Result<Duration, Status> {
         let Some(class) = configuration.class(class) else {
-            return Err(self.bad("class", "not a known class"));
+            return Err(self.invalid_field("class", "not a known class"));
         };
         Ok(match requested_ms {
             0 => class.timeout(),
@@ -191,27 +194,29 @@
 
     /// a request that must not be repeated needs an id that binds it to one
     /// target; without one nothing could stop a copy through another entry
-    async fn reserved_id(
+    async fn check_reserved_id(
         &self,
-        terms: &Terms,
+        options: &RequestOptions,
         requirement: &TargetRequirement,
     ) -> Result<Option<ReservedId>, Status> {
-        let reserved_id = terms.reserved_id.as_str();
-        match (terms.not_repeatable, reserved_id.is_empty()) {
+        let reserved_id = options.reserved_id.as_str();
+        match (options.not_repeatable, reserved_id.is_empty()) {
             (false, true) => Ok(None),
-            (true, true) => Err(self.bad("reserved_id", "required: call Reserve first")),
-            (false, false) => Err(self.bad("not_repeatable", "must be set with a reserved id")),
+            (true, true) => Err(self.invalid_field("reserved_id", "required: call Reserve first")),
+            (false, false) => {
+                Err(self.invalid_field("not_repeatable", "must be set with a reserved id"))
+            }
             (true, false) => {
                 let parsed = reserved_id.parse::<ReservedId>();
-                let id = parsed.map_err(|e| self.bad("reserved_id", &e.to_string()))?;
-                self.check_target(&id, requirement).await?;
+                let id = parsed.map_err(|e| self.invalid_field("reserved_id", &e.to_string()))?;
+                self.check_reserved_target(&id, requirement).await?;
                 Ok(Some(id))
             }
         }
     }
 
     /// the id must be of a target that can do the work
-    async fn check_target(
+    async fn check_reserved_target(
         &self,
         id: &ReservedId,
         requirement: &TargetRequirement,
@@ -221,7 +226,7 @@
         };
         match can_serve(&listed.role, requirement) {
             true => Ok(()),
-            false => Err(self.bad("reserved_id", "reserved for other work")),
+            false => Err(self.invalid_field("reserved_id", "reserved for other work")),
         }
     }
 }
