--- a/entry/src/traffic/attempt.rs
+++ b/entry/src/traffic/attempt.rs
@@ -19,29 +19,28 @@
     },
 };
 
-/// the target answers itself at the deadline; its word is awaited this much
-/// longer
+/// Time after the deadline for the target's own deadline refusal to arrive.
 const DEADLINE_GRACE: Duration = Duration::from_millis(150);
-/// frames held while an earlier one is missing
-const MAX_EARLY: usize = 256;
+/// Maximum number of frames buffered while an earlier one is missing.
+const MAX_OUT_OF_ORDER_FRAMES: usize = 256;
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// why reading one stream of frames end
+/// Why reading a stream of frames ended.
 #[derive(Debug)]
 pub enum StreamEnd {
-    /// the whole answer was delivered
+    /// The complete response was delivered.
     Complete,
-    /// the target's final word
+    /// The target refused the request; this is final.
     Refused(Refusal),
-    /// the stream broke; it may be resumed
+    /// The stream was interrupted and may be resumed.
     Interrupted(String),
-    /// no sign of life
+    /// No frame arrived within the silence timeout.
     Unresponsive,
     DeadlinePassed,
     CallerDisconnected,
 }
 
-/// one target's answer to one request, over one or more streams
+/// One request at one target, whose response may take several streams.
 pub struct Attempt<'a> {
     pub shared: &'a Shared,
     pub job: &'a Job,
@@ -49,7 +48,7 @@
     pub addr: SocketAddr,
     assembler: Assembler<FrameBody>,
     caller: &'a mpsc::Sender<ResponsePart>,
-    /// tokens that the caller has, over all attempts
+    /// Tokens delivered to the caller by all attempts.
     delivered_tokens: &'a mut Vec<String>,
 }
 
@@ -67,13 +66,13 @@
             job,
             target,
             addr,
-            assembler: Assembler::new(0, MAX_EARLY),
+            assembler: Assembler::new(0, MAX_OUT_OF_ORDER_FRAMES),
             caller,
             delivered_tokens,
         }
     }
 
-    /// send the request; a reserved one may be sent again to the same target
+    /// Sends the request. A request with a reserved id may be sent to its target again.
     pub async fn send(&self) -> Result<FrameStream, ClientError> {
         let order = self
             .job
@@ -83,7 +82,7 @@
             .await
     }
 
-    /// ask for the rest of a broken stream
+    /// Requests the frames that are missing after an interrupted stream.
     pub async fn resume(&self) -> Result<FrameStream, ClientError> {
         let order = ResumeOrder {
             request: self.job.request_id.clone(),
@@ -94,7 +93,7 @@
             .await
     }
 
-    /// read frames and deliver them until something stops it
+    /// Reads frames and delivers them to the caller until the stream ends.
     pub async fn read(&mut self, stream: &mut FrameStream) -> StreamEnd {
         loop {
             let frame = match self.next_frame(stream).await {
@@ -114,12 +113,12 @@
         }
     }
 
-    /// number of the first frame that was not delivered
+    /// Returns the sequence number of the first frame that was not delivered.
     pub fn next_sequence(&self) -> Sequence {
         self.assembler.next()
     }
 
-    /// stop work that nobody waits for; nothing depends on it
+    /// Cancels the request at the target in the background; failures are ignored.
     pub fn cancel(&self) {
         let (peers, addr) = (self.shared.peers.clone(), self.addr);
         let order = CancelOrder {
@@ -135,18 +134,18 @@
         Refusal::new(outcome, step, &self.target, reason)
     }
 
-    /// tell the routing that the target gives no sign
+    /// Reports to the control thread that the target is unresponsive.
     pub fn report_unresponsive(&self) {
         let event = EntryEvent::TargetUnresponsive(self.target.clone());
         self.shared.control.send(event);
     }
 
-    /// wait before another try, but not past the deadline
+    /// Waits for `delay`, but not past the request's deadline.
     pub async fn wait_before_retry(&self, delay: Duration) {
         sleep(delay.min(self.job.remaining())).await;
     }
 
-    /// an answer's head comes at once from a target that lives
+    /// Limits the wait for a response's head, which a working target sends at once.
     async fn with_response_timeout<F>(&self, call: F) -> Result<FrameStream, ClientError>
     where
         F: std::future::Future<Output = Result<FrameStream, ClientError>>,
@@ -213,7 +212,7 @@
         }
     }
 
-    /// an answer of another version is an error and never an answer
+    /// Returns a refusal if the target ran another adapter or version than requested.
     fn check_version(&self, adapter: &str, version: u32) -> Option<Refusal> {
         match &self.job.work {
             Work::Generate(work) if work.adapter == adapter && work.version == version => None,
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/dispatcher.rs
@@ -14,25 +14,24 @@
     tokio::{sync::mpsc, time::sleep},
 };
 
-/// refusals because of overload that are followed by another try
+/// Retries after a target refused because of overload.
 const MAX_OVERLOAD_RETRIES: u32 = 1;
-/// when to come back if no target serves what is asked
+/// Retry delay for the caller when no target serves the request.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// brings a request to a target, and to another one if that is safe
+/// Sends a request to a target, and retries it on other targets where that is safe.
 pub struct Dispatcher {
     shared: Arc<Shared>,
     job: Job,
-    /// id of the request over all tries
+    /// Id of the request; each attempt appends its number.
     original_id: RequestId,
     caller: mpsc::Sender<ResponsePart>,
-    /// tokens that the caller has
+    /// Tokens delivered to the caller by all attempts.
     delivered_tokens: Vec<String>,
-    /// an attempt may have run
+    /// Whether an attempt may have run.
     may_have_run: bool,
-    /// targets that failed
+    /// Targets that failed and are excluded from routing.
     failed_targets: Vec<BoxName>,
-    /// refusals because of overload
     overload_refusals: u32,
 }
 
@@ -50,7 +49,7 @@
         }
     }
 
-    /// deliver the whole answer, or give the final word on the request
+    /// Delivers the complete response or returns the final refusal.
     pub async fn run(mut self) -> Result<(), Refusal> {
         self.shared.control.send(EntryEvent::RequestArrived);
         match self.job.reserved_id.clone() {
@@ -61,7 +60,7 @@
 
     async fn run_reserved(&mut self, id: &ReservedId) -> Result<(), Refusal> {
         let Some(listed) = self.shared.control.find_target(id.target.clone()).await else {
-            // another entry may know the target, and have sent it there
+            // Another entry may know the target and have sent the request there.
             return Err(Refusal::may_have_run(
                 Step::Routing,
                 &self.shared.settings.name,
@@ -91,7 +90,10 @@
             if !self.should_retry(&refusal).await {
                 return Err(self.final_refusal(refusal));
             }
-            log::debug!("traffic: {} again after: {refusal}", self.job.request_id);
+            log::debug!(
+                "traffic: {} is retried after: {refusal}",
+                self.job.request_id
+            );
             if refusal.reason != Reason::Overloaded {
                 let delay = backoff.delay(tries, rand::random());
                 sleep(delay.min(self.job.remaining())).await;
@@ -99,7 +101,7 @@
         }
     }
 
-    /// `NOT_RUN` must be true of all attempts together
+    /// Replaces the outcome by `MAY_HAVE_RUN` if any attempt may have run.
     fn final_refusal(&self, mut refusal: Refusal) -> Refusal {
         if self.may_have_run {
             refusal.outcome = Outcome::MayHaveRun;
@@ -108,8 +110,7 @@
     }
 
     async fn should_retry(&mut self, refusal: &Refusal) -> bool {
-        // one other target is asked at once; more would feed the overload
-        // and keep the caller from its answer
+        // Further retries would add to the overload and delay the caller's response.
         self.overload_refusals += u32::from(refusal.reason == Reason::Overloaded);
         if self.overload_refusals > MAX_OVERLOAD_RETRIES {
             return false;
@@ -123,8 +124,8 @@
     }
 
     async fn try_next_target(&mut self) -> Result<(), Refusal> {
-        // each try has its own id, so that a target never takes a new try
-        // for a copy of an earlier one
+        // Each attempt has its own id, so that a target never takes a new attempt for a
+        // duplicate of an earlier one.
         self.job.request_id = format!("{}-{}", self.original_id, self.failed_targets.len());
         let request = RouteRequest {
             requirement: self.job.requirement.clone(),
--- a/entry/src/traffic/job.rs
+++ b/entry/src/traffic/job.rs
@@ -11,11 +11,11 @@
     },
 };
 
-/// one request of a caller
+/// A validated request of a caller.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub request_id: RequestId,
-    /// set for a request that must not be repeated
+    /// Set for a request that must run at most once.
     pub reserved_id: Option<ReservedId>,
     pub group: GroupName,
     pub class: ClassName,
@@ -24,7 +24,7 @@
     pub work: Work,
 }
 
-/// a part of an answer, on its way to the caller
+/// A part of a response, to be delivered to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponsePart {
     Token(String),
@@ -40,7 +40,7 @@
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// the message for a sidecar, with the tokens that the caller has
+    /// Returns the message for a sidecar, with the tokens that the caller already has.
     pub fn work_order(
         &self,
         delivered_tokens: &[String],
--- a/entry/src/traffic/mod.rs
+++ b/entry/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! requests on their way to a target and back
+//! Sends requests to targets and delivers their responses to callers.
 
 mod attempt;
 mod dispatcher;
--- a/entry/src/traffic/repeatable_attempt.rs
+++ b/entry/src/traffic/repeatable_attempt.rs
@@ -5,18 +5,18 @@
     std::time::Duration,
 };
 
-/// asks for the rest of a stream, until one is answered
+/// Maximum number of resume requests until one succeeds.
 const MAX_RESUMES: u32 = 6;
-/// answered resumes in a row that brought no new frame
+/// Maximum number of successive resumed streams without a new frame.
 const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 6;
 const RESUME_DELAY: Duration = Duration::from_millis(30);
-/// refused connections after which the target's process counts as gone
+/// Failed connections after which the target's process is considered down.
 const MAX_CONNECT_FAILURES: u32 = 2;
 
-/// drive one try of repeatable work at one target to its end.
+/// Runs repeatable work at one target until it completes or fails.
 ///
-/// A broken stream is resumed; only when that fails is the work left to
-/// another target, since it may then run twice.
+/// An interrupted stream is resumed first, because a retry on another target may run the
+/// work twice.
 pub async fn run_repeatable(mut attempt: Attempt<'_>) -> Result<(), Refusal> {
     let mut stream = match attempt.send().await {
         Ok(stream) => stream,
@@ -59,7 +59,7 @@
     }
 }
 
-/// nobody waits for the target's answer any more
+/// Cancels the request at the target and returns a refusal with this reason.
 fn cancel_with(attempt: &Attempt<'_>, step: Step, reason: Reason) -> Refusal {
     attempt.cancel();
     attempt.refusal(Outcome::MayHaveRun, step, reason)
@@ -74,14 +74,14 @@
     refusal.with_detail(e.to_string())
 }
 
-/// ask for the rest of the stream a few times
+/// Tries to resume the stream, up to `MAX_RESUMES` times.
 async fn resume(attempt: &Attempt<'_>) -> Option<FrameStream> {
     let mut connect_failures = 0;
     for resume_count in 1..=MAX_RESUMES {
         match attempt.resume().await {
             Ok(stream) => return Some(stream),
             Err(e) => {
-                log::debug!("traffic: no resume: {e}");
+                log::debug!("traffic: resume failed: {e}");
                 connect_failures += u32::from(e.proves_not_sent());
             }
         }
--- a/entry/src/traffic/reserved_attempt.rs
+++ b/entry/src/traffic/reserved_attempt.rs
@@ -5,14 +5,14 @@
     chalkcart_transport::client::{ClientError, FrameStream},
 };
 
-/// refused connections after which the target counts as gone
+/// Failed connections after which the target is considered down.
 const MAX_CONNECT_FAILURES: u32 = 4;
 
-/// drive a request with a reserved id to its end at its one target.
+/// Runs a request with a reserved id at the only target that may run it.
 ///
-/// Sending the id again is safe: the target joins the copy to the first
-/// one's answer or refuses it. Without the target's word nothing is known,
-/// so this side never says `NOT_RUN`.
+/// Sending the request again is safe: the target attaches the duplicate to the running
+/// request or refuses it. Only the target can know that a request did not run, so the entry
+/// never reports `NOT_RUN` itself.
 pub async fn run_reserved(mut attempt: Attempt<'_>) -> Result<(), Refusal> {
     let backoff = Backoff::default();
     let mut connect_failures = 0;
@@ -48,7 +48,7 @@
     Err(attempt.refusal(Outcome::MayHaveRun, Step::Run, Reason::DeadlinePassed))
 }
 
-/// none if the answer is whole; else why it may go on
+/// Returns `None` if the response is complete, or why the stream ended if it may be retried.
 async fn read_to_end(
     attempt: &mut Attempt<'_>,
     stream: &mut FrameStream,
@@ -56,7 +56,7 @@
     match attempt.read(stream).await {
         StreamEnd::Complete => Ok(None),
         StreamEnd::Refused(refusal) => Err(refusal),
-        // it runs on: the caller may come back through another entry
+        // The request keeps running: the caller may send it again through another entry.
         StreamEnd::CallerDisconnected => {
             Err(attempt.refusal(Outcome::MayHaveRun, Step::Stream, Reason::Cancelled))
         }
