--- a/entry/src/control/control_thread.rs
+++ b/entry/src/control/control_thread.rs
@@ -5,7 +5,7 @@
     std::{sync::mpsc, thread},
 };
 
-/// start the control thread; it ends when the last handle is gone
+/// Starts the control thread, which ends when the last handle is dropped.
 pub fn start(mut control: EntryControl) -> Result<ControlHandle> {
     let (tx, rx) = mpsc::channel();
     let run = move || {
--- a/entry/src/control/entry_control.rs
+++ b/entry/src/control/entry_control.rs
@@ -10,7 +10,7 @@
     std::time::{Duration, Instant},
 };
 
-/// the control state of an entry
+/// The state of an entry that only the control thread accesses.
 pub struct EntryControl {
     targets: TargetTable,
     budget: RetryBudget,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// decide on one event; an asker that is gone is no concern
+    /// Handles an event. A reply is dropped if its receiver is gone.
     pub fn handle(&mut self, event: EntryEvent, now: Instant) {
         match event {
             EntryEvent::RequestArrived => self.budget.on_request(),
--- a/entry/src/control/events.rs
+++ b/entry/src/control/events.rs
@@ -9,7 +9,7 @@
     tokio::sync::oneshot,
 };
 
-/// one target, for operators
+/// The state of a target, for operators.
 #[derive(Debug, Clone)]
 pub struct TargetSummary {
     pub listed: FleetBox,
@@ -19,15 +19,14 @@
     pub report_age: Option<Duration>,
 }
 
-/// what happens to an entry; questions carry where the answer goes
+/// An event for the control thread. Requests carry the channel for their reply.
 pub enum EntryEvent {
-    /// a request came in
     RequestArrived,
     Route {
         request: RouteRequest,
         reply: oneshot::Sender<Option<Route>>,
     },
-    /// where a target with a reserved id listens
+    /// Looks up a target by its name, for a reserved id.
     FindTarget {
         target: BoxName,
         reply: oneshot::Sender<Option<FleetBox>>,
@@ -36,9 +35,9 @@
         reply: oneshot::Sender<bool>,
     },
     ReportReceived(TargetReport),
-    /// a target gave no sign of life
+    /// A target sent no frame in time or could not be reached.
     TargetUnresponsive(BoxName),
-    /// an attempt at a target is over
+    /// An attempt at this target ended.
     RequestEnded(BoxName),
     ListUpdated(Arc<FleetList>),
     StoreLimitsUpdated {
--- a/entry/src/control/handle.rs
+++ b/entry/src/control/handle.rs
@@ -7,10 +7,10 @@
     tokio::sync::oneshot,
 };
 
-/// when a permit's asker comes back if the control thread is gone
-const PERMIT_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay for a permit request if the control thread is gone.
+const PERMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// the traffic threads' way to the control thread
+/// Sends events and requests to the control thread.
 #[derive(Clone)]
 pub struct ControlHandle {
     events: mpsc::Sender<EntryEvent>,
@@ -21,7 +21,7 @@
         Self { events }
     }
     pub fn send(&self, event: EntryEvent) {
-        // the control thread ends only with the process
+        // Sending fails only if the control thread has ended, which it does with the process.
         let _ = self.events.send(event);
     }
     pub async fn route(&self, request: RouteRequest) -> Option<Route> {
@@ -47,7 +47,7 @@
             .request(|reply| EntryEvent::Permit { request, reply })
             .await;
         response.unwrap_or(PermitResponse::Wait {
-            retry_after: PERMIT_RETRY,
+            retry_after: PERMIT_RETRY_AFTER,
         })
     }
     pub async fn plan(&self, request: RouteRequest) -> Vec<Route> {
--- a/entry/src/control/mod.rs
+++ b/entry/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! the one thread that owns what this entry knows of the targets
+//! The control thread, which owns the entry's table of targets, its retry budget and the load
+//! permits that it issues.
 
 mod control_thread;
 mod entry_control;
