--- a/entry/src/config/active_config.rs
+++ b/entry/src/config/active_config.rs
@@ -11,9 +11,9 @@
     tokio::sync::Mutex,
 };
 
-/// the configuration in force and the newest list of boxes.
+/// The configuration in force and the newest list of boxes.
 ///
-/// Readers never wait; offers are judged one at a time.
+/// Readers never block; offers are handled one at a time.
 #[derive(Default)]
 pub struct ActiveConfig {
     in_force: ArcSwapOption<Configuration>,
@@ -32,7 +32,7 @@
         self.list.load_full()
     }
 
-    /// take a newer list; false if it is not newer
+    /// Replaces the list if the offered one is newer; returns whether it was.
     pub fn offer_list(&self, list: FleetList) -> bool {
         let current = self.list.load();
         if list.version <= current.version {
@@ -42,19 +42,20 @@
         true
     }
 
-    /// put a higher generation in force, with the shards that differ
+    /// Puts an offered root in force if its generation is higher, after fetching the shards
+    /// that differ.
     pub async fn offer(
         &self,
         root: Root,
         source: &dyn ShardSource,
     ) -> Result<OfferDecision, ConfigOfferError> {
-        let _one_at_a_time = self.offers.lock().await;
+        let _guard = self.offers.lock().await;
         let current = self.in_force.load_full();
-        let verdict = decide_offer(current.as_ref().map(|c| c.root().as_ref()), &root);
-        match verdict {
+        let decision = decide_offer(current.as_ref().map(|c| c.root().as_ref()), &root);
+        match decision {
             OfferDecision::Accept => {}
             OfferDecision::Conflict => return Err(ConfigOfferError::Conflict(root.generation)),
-            OfferDecision::Unchanged | OfferDecision::Stale { .. } => return Ok(verdict),
+            OfferDecision::Unchanged | OfferDecision::Stale { .. } => return Ok(decision),
         }
         root.check()?;
         let missing = match &current {
@@ -63,14 +64,14 @@
         };
         let mut shards = Vec::with_capacity(missing.len());
         for index in missing {
-            let shard = source.shard(index, &root.shards[index]).await?;
+            let shard = source.fetch(index, &root.shards[index]).await?;
             shards.push((index, shard));
         }
-        self.put_in_force(current, root, shards)?;
+        self.activate(current, root, shards)?;
         Ok(OfferDecision::Accept)
     }
 
-    fn put_in_force(
+    fn activate(
         &self,
         current: Option<Arc<Configuration>>,
         root: Root,
--- a/entry/src/config/config_watcher.rs
+++ b/entry/src/config/config_watcher.rs
@@ -15,24 +15,27 @@
     tokio::time::sleep,
 };
 
-/// how often a peer is asked, and the list read by watchers
-const PERIOD: Duration = Duration::from_secs(1);
-/// how long one watch of the platform's root lasts
-const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// pause after a failed watch
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between polls of peers, and between a watcher's reads of the list of boxes.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the platform holds a long poll for a newer root.
+const WATCH_HOLD: Duration = Duration::from_secs(5);
+/// Delay after a failed long poll of the platform.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
-/// without a word from a watcher for this long, the platform is read
-const WATCHER_PATIENCE: Duration = Duration::from_secs(3);
-/// peers that a starting process asks
-const PEERS_AT_START: usize = 8;
-/// rounds in which no listed peer answers before the platform is trusted
-/// alone
-const START_ROUNDS_ALONE: u32 = 10;
-/// pause between two rounds of the start
-const START_PAUSE: Duration = Duration::from_millis(300);
+/// Time without a response from a watcher after which the platform is read directly.
+const WATCHER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of peers polled in each round at startup.
+const STARTUP_PEERS: usize = 8;
+/// Startup rounds without a response from any known peer after which the platform alone is
+/// trusted.
+const MAX_STARTUP_ROUNDS_ALONE: u32 = 10;
+/// Delay between two startup rounds.
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// keeps the configuration and the list up to date
+/// Keeps the configuration and the list of boxes up to date.
+///
+/// The watchers of an availability zone read the platform; the other entries of the zone poll
+/// a watcher, and the platform only when no watcher responds.
 #[derive(Clone)]
 pub struct ConfigWatcher {
     shared: Arc<Shared>,
@@ -49,69 +52,70 @@
         }
     }
 
-    /// get a first configuration, then follow for ever
+    /// Obtains a first configuration, then watches for newer ones until the process ends.
     pub async fn run(self) {
-        self.start().await;
+        self.load_initial().await;
         self.shared.set_synced();
         let watching = self.clone();
         tokio::spawn(async move { watching.watch_platform().await });
-        self.ask_peers().await;
+        self.poll_peers().await;
     }
 
-    /// ask peers beside the platform, so that a platform that lags can't
-    /// bring back what the fleet has left behind
-    async fn start(&self) {
+    /// Obtains the first configuration from the platform and from peers, so that a stale
+    /// platform can't restore a generation that the fleet has already replaced.
+    async fn load_initial(&self) {
         let mut rounds_alone = 0;
         loop {
             self.read_list().await;
             let from_platform = self.platform.watch_root(0, Duration::ZERO).await;
-            let (mut offers, answered) = self.offers_of_peers().await;
-            let is_alone = answered == 0 && !self.some_peers(1).is_empty();
+            let (mut offers, response_count) = self.peer_offers().await;
+            let is_alone = response_count == 0 && !self.sample_peers(1).is_empty();
             rounds_alone += u32::from(is_alone);
             if let Ok(Some(root)) = from_platform {
                 offers.push((root, self.platform_shards()));
             }
-            if !is_alone || rounds_alone >= START_ROUNDS_ALONE {
+            if !is_alone || rounds_alone >= MAX_STARTUP_ROUNDS_ALONE {
                 self.offer_highest(offers).await;
             }
             if self.active_config().generation() > 0 {
                 return;
             }
-            sleep(START_PAUSE).await;
+            sleep(STARTUP_RETRY_DELAY).await;
         }
     }
 
     async fn offer_highest(&self, mut offers: Vec<(Root, Box<dyn ShardSource>)>) {
-        // the sort keeps peers before the platform under one generation
+        // The sort is stable, so peers stay before the platform within a generation.
         offers.sort_by_key(|(root, _)| std::cmp::Reverse(root.generation));
         for (root, source) in offers {
             self.offer(root, source.as_ref()).await;
         }
     }
 
-    /// roots that peers have in force, and how many peers answered
-    async fn offers_of_peers(&self) -> (Vec<(Root, Box<dyn ShardSource>)>, usize) {
-        let peers = self.some_peers(PEERS_AT_START);
-        let answers = join_all(peers.iter().map(|peer| self.ask(*peer))).await;
-        let answered = answers.iter().flatten().count();
+    /// Returns the roots that peers have in force, and how many peers responded.
+    async fn peer_offers(&self) -> (Vec<(Root, Box<dyn ShardSource>)>, usize) {
+        let peers = self.sample_peers(STARTUP_PEERS);
+        let responses = join_all(peers.iter().map(|peer| self.request_sync(*peer))).await;
+        let response_count = responses.iter().flatten().count();
         let mut offers = Vec::new();
-        for (peer, answer) in peers.into_iter().zip(answers) {
-            let Some(answer) = answer else { continue };
-            if let Some(list) = answer.list {
-                self.take_list(list);
+        for (peer, response) in peers.into_iter().zip(responses) {
+            let Some(response) = response else { continue };
+            if let Some(list) = response.list {
+                self.apply_list(list);
             }
-            if let Some(root) = answer.root {
+            if let Some(root) = response.root {
                 offers.push((root, self.peer_shards(peer)));
             }
         }
-        (offers, answered)
+        (offers, response_count)
     }
 
-    /// each second: one peer is asked; watchers read the list as well
-    async fn ask_peers(&self) {
-        let mut watcher_heard = clock::now();
+    /// Polls a watcher, or any peer if this entry is a watcher itself. Watchers also read the
+    /// list of boxes.
+    async fn poll_peers(&self) {
+        let mut watcher_responded_at = clock::now();
         loop {
-            sleep(PERIOD).await;
+            sleep(POLL_INTERVAL).await;
             let watchers = self.watchers();
             let is_watcher = watchers
                 .iter()
@@ -122,12 +126,12 @@
                 continue;
             }
             if self.sync_with_watcher(&watchers).await {
-                watcher_heard = clock::now();
+                watcher_responded_at = clock::now();
             } else {
                 self.sync_with_any().await;
             }
-            if clock::elapsed(watcher_heard) > WATCHER_PATIENCE {
-                log::warn!("config: no watcher answers, the platform is read");
+            if clock::elapsed(watcher_responded_at) > WATCHER_TIMEOUT {
+                log::warn!("config: no watcher responds; reading the platform directly");
                 self.read_list().await;
                 self.read_root(Duration::ZERO).await;
             }
@@ -141,9 +145,9 @@
                 .iter()
                 .any(|(name, _)| *name == self.shared.settings.name);
             if !is_watcher && !watchers.is_empty() {
-                sleep(PERIOD).await;
-            } else if !self.read_root(WATCH_WAIT).await {
-                sleep(WATCH_PAUSE).await;
+                sleep(POLL_INTERVAL).await;
+            } else if !self.read_root(WATCH_HOLD).await {
+                sleep(WATCH_RETRY_DELAY).await;
             }
         }
     }
@@ -157,57 +161,62 @@
     }
 
     async fn sync_with_any(&self) {
-        if let Some(peer) = self.some_peers(1).first() {
+        if let Some(peer) = self.sample_peers(1).first() {
             self.sync(*peer).await;
         }
     }
 
     async fn sync(&self, peer: SocketAddr) -> bool {
-        let Some(answer) = self.ask(peer).await else {
+        let Some(response) = self.request_sync(peer).await else {
             return false;
         };
-        if let Some(list) = answer.list {
-            self.take_list(list);
+        if let Some(list) = response.list {
+            self.apply_list(list);
         }
-        if let Some(root) = answer.root {
+        if let Some(root) = response.root {
             self.offer(root, self.peer_shards(peer).as_ref()).await;
         }
         true
     }
 
-    async fn ask(&self, peer: SocketAddr) -> Option<SyncResponse> {
-        let ask = SyncRequest {
+    async fn request_sync(&self, peer: SocketAddr) -> Option<SyncResponse> {
+        let request = SyncRequest {
             from: self.shared.settings.name.clone(),
             generation: self.active_config().generation(),
             list_version: self.active_config().list().version,
             from_sidecar: false,
         };
-        let answer = self.peers.call(peer, path::SYNC, &ask, SYNC_TIMEOUT).await;
-        if let Err(e) = &answer {
-            log::debug!("config: peer did not answer: {e}");
+        let response = self
+            .peers
+            .call(peer, path::SYNC, &request, SYNC_TIMEOUT)
+            .await;
+        if let Err(e) = &response {
+            log::debug!("config: no response from a peer: {e}");
         }
-        answer.ok()
+        response.ok()
     }
 
     async fn read_list(&self) {
         match self.platform.boxes().await {
-            Ok(list) => self.take_list(list),
-            Err(e) => log::debug!("config: list not read: {e}"),
+            Ok(list) => self.apply_list(list),
+            Err(e) => log::debug!("config: cannot read the list of boxes: {e}"),
         }
     }
 
+    /// Reads the root from the platform and offers it; returns false on failure.
     async fn read_root(&self, wait: Duration) -> bool {
         let known = self.active_config().generation();
         match self.platform.watch_root(known, wait).await {
             Ok(Some(root)) => self.offer(root, self.platform_shards().as_ref()).await,
             Ok(None) => true,
             Err(e) => {
-                log::debug!("config: root not read: {e}");
+                log::debug!("config: cannot read the root: {e}");
                 false
             }
         }
     }
 
+    /// Offers a root to the active configuration; returns false if it was rejected.
     async fn offer(&self, root: Root, source: &dyn ShardSource) -> bool {
         let generation = root.generation;
         match self.active_config().offer(root, source).await {
@@ -216,22 +225,25 @@
                 true
             }
             Ok(OfferDecision::Stale { offered }) => {
-                log::warn!("config: generation {offered} offered, a higher one is in force");
+                log::warn!("config: generation {offered} offered; a higher one is in force");
                 false
             }
             Ok(OfferDecision::Unchanged | OfferDecision::Conflict) => true,
             Err(ConfigOfferError::Conflict(generation)) => {
-                log::error!("config: another content under generation {generation} refused");
+                log::error!(
+                    "config: generation {generation} rejected: its content differs from the one \
+                     in force"
+                );
                 false
             }
             Err(e) => {
-                log::warn!("config: generation {generation} not taken: {e}");
+                log::warn!("config: generation {generation} could not be applied: {e}");
                 false
             }
         }
     }
 
-    fn take_list(&self, list: FleetList) {
+    fn apply_list(&self, list: FleetList) {
         if self.active_config().offer_list(list) {
             let list = self.active_config().list();
             log::info!(
@@ -249,9 +261,12 @@
         watchers.iter().map(|b| (b.name.clone(), b.addr)).collect()
     }
 
-    fn some_peers(&self, count: usize) -> Vec<SocketAddr> {
+    /// Returns up to `count` random entries other than this one, from the list of boxes and
+    /// the settings.
+    fn sample_peers(&self, count: usize) -> Vec<SocketAddr> {
         let list = self.active_config().list();
         let own = self.shared.settings.listen;
+
         let listed = list.live_entries().map(|b| b.addr);
         let seeds = self.shared.settings.peers.iter().copied();
         let mut all: Vec<SocketAddr> = listed.chain(seeds).filter(|a| *a != own).collect();
--- a/entry/src/config/errors.rs
+++ b/entry/src/config/errors.rs
@@ -5,7 +5,7 @@
     thiserror::Error,
 };
 
-/// why an offered configuration was not taken
+/// Why an offered configuration was not put in force.
 #[derive(Debug, Error)]
 pub enum ConfigOfferError {
     #[error(transparent)]
@@ -15,7 +15,7 @@
     #[error("shard {index} from a peer: {source}")]
     Peer { index: usize, source: ClientError },
     #[error("peer {peer} no longer has shard {index}")]
-    Gone { index: usize, peer: SocketAddr },
-    #[error("another content under generation {0}")]
+    ShardNotFound { index: usize, peer: SocketAddr },
+    #[error("the offered content of generation {0} differs from the one in force")]
     Conflict(Generation),
 }
--- a/entry/src/config/mod.rs
+++ b/entry/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! the configuration and the list of boxes on this entry: kept, followed,
-//! passed on
+//! The configuration and the list of boxes that this entry uses, and the task that keeps them
+//! up to date.
 
 mod active_config;
 mod config_watcher;
--- a/entry/src/config/shard_source.rs
+++ b/entry/src/config/shard_source.rs
@@ -9,24 +9,24 @@
 
 const SHARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// where missing shards come from
+/// A source of configuration shards.
 #[async_trait]
 pub trait ShardSource: Send + Sync {
-    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError>;
+    async fn fetch(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError>;
 }
 
-/// the platform
+/// Fetches shards from the platform.
 pub struct PlatformShards(pub Arc<dyn ConfigSource>);
 
 #[async_trait]
 impl ShardSource for PlatformShards {
-    async fn shard(&self, index: usize, _: &Digest) -> Result<Shard, ConfigOfferError> {
+    async fn fetch(&self, index: usize, _: &Digest) -> Result<Shard, ConfigOfferError> {
         let shard = self.0.shard(index).await;
         shard.map_err(|source| ConfigOfferError::Platform { index, source })
     }
 }
 
-/// a peer that has the configuration in force
+/// Fetches shards from a peer that has the configuration in force.
 pub struct PeerShards {
     pub peers: PeerClient,
     pub peer: SocketAddr,
@@ -34,17 +34,17 @@
 
 #[async_trait]
 impl ShardSource for PeerShards {
-    async fn shard(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError> {
-        let ask = ShardRequest {
+    async fn fetch(&self, index: usize, digest: &Digest) -> Result<Shard, ConfigOfferError> {
+        let request = ShardRequest {
             index,
             digest: digest.clone(),
         };
-        let answer: Result<ShardResponse, _> = self
+        let response: Result<ShardResponse, _> = self
             .peers
-            .call(self.peer, path::SHARD, &ask, SHARD_TIMEOUT)
+            .call(self.peer, path::SHARD, &request, SHARD_TIMEOUT)
             .await;
-        let answer = answer.map_err(|source| ConfigOfferError::Peer { index, source })?;
-        answer.shard.ok_or(ConfigOfferError::Gone {
+        let response = response.map_err(|source| ConfigOfferError::Peer { index, source })?;
+        response.shard.ok_or(ConfigOfferError::ShardNotFound {
             index,
             peer: self.peer,
         })
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -152,7 +152,12 @@
     cluster.platform.publish(other);
     let added = cluster.add_entry().await?;
     cluster.entries[added].wait_ready().await?;
-    wait_log(&cluster, added, "another content under generation 2").await;
+    wait_log(
+        &cluster,
+        added,
+        "generation 2 rejected: its content differs from the one in force",
+    )
+    .await;
     let root = root_of(&cluster, added).await?;
     assert_eq!(root.groups[0].share, 2);
     Ok(())
@@ -215,7 +220,7 @@
     let mut half = next.clone();
     half.shards = first.shards.clone();
     cluster.platform.publish(half);
-    wait_log(&cluster, 0, "generation 2 not taken").await;
+    wait_log(&cluster, 0, "generation 2 could not be applied").await;
     assert_eq!(generation(&cluster, 0).await?, 1);
     cluster.platform.publish(next);
     cluster.wait_in_force(0, 2).await
