--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -18,10 +18,10 @@
     tonic::{Request, Response, Status},
 };
 
-/// longest wait for a generation
+/// Maximum wait for a generation.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// what operators call
+/// Serves the RPCs of operators.
 pub struct AdminService {
     shared: Arc<Shared>,
 }
@@ -31,6 +31,7 @@
         Self { shared }
     }
 
+    /// Returns the documents that an operator publishes to make this change.
     fn plan_change(
         &self,
         base: Generation,
--- a/entry/src/rpc/generation_wait.rs
+++ b/entry/src/rpc/generation_wait.rs
@@ -11,13 +11,13 @@
     tokio::time::sleep,
 };
 
-/// boxes asked at once
+/// Maximum number of boxes polled at once.
 const MAX_CONCURRENT_CALLS: usize = 64;
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// ask all listed boxes until each has the generation in force; give those
-/// that have not by then
+/// Polls all listed boxes until each has the generation in force or the deadline has passed.
+/// Returns the boxes that don't have it.
 pub async fn wait_for_generation(
     shared: &Shared,
     generation: Generation,
@@ -47,6 +47,7 @@
     }
 }
 
+/// Returns the generation in force on a box, or `None` if it does not respond.
 async fn fetch_generation(shared: &Shared, listed: &FleetBox) -> Option<Generation> {
     if listed.name == shared.settings.name {
         return Some(shared.active_config.generation());
--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -26,14 +26,14 @@
     tonic::{Request, Response, Status},
 };
 
-/// events held for a slow caller; the rest waits at the sidecar
+/// Events buffered for a slow caller; further ones wait at the sidecar.
 const EVENT_BUFFER: usize = 32;
 const MAX_RESERVED_IDS: u32 = 1_000;
 const MAX_RESERVE_ATTEMPTS: usize = 3;
 const RESERVE_TIMEOUT: Duration = Duration::from_secs(1);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// what applications call
+/// Serves the RPCs of applications.
 pub struct InferenceService {
     shared: Arc<Shared>,
 }
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Reserves ids at a target that has not failed yet.
     async fn reserve_at_target(
         &self,
         requirement: &TargetRequirement,
@@ -88,13 +89,14 @@
                 self.shared.control.send(event);
                 let peer = route.target.clone();
                 failed_targets.push(route.target);
-                // ids that nobody knows can't run
+                // No caller has received these ids, so nothing can run under them.
                 let refusal = Refusal::not_run(Step::Reserve, peer, Reason::Unreachable);
                 Err(refusal.with_detail(e.to_string()))
             }
         }
     }
 
+    /// Returns which targets can serve the work that ids are reserved for.
     fn requirement_for(&self, req: &ReserveRequest) -> Result<TargetRequirement, Status> {
         let validator = RequestValidator::new(&self.shared, "");
         let configuration = validator.configuration()?;
@@ -149,7 +151,7 @@
         self.shared.metrics.on_request(&labels);
         let (tx, mut rx) = mpsc::channel(1);
         let dispatcher = Dispatcher::new(self.shared.clone(), job, tx);
-        // the run goes on if this call is dropped, so that its end is known
+        // The request completes even if this call is dropped, so that its outcome is known.
         let run = tokio::spawn(dispatcher.run());
         let body = rx.recv().await;
         let result = run.await.map_err(|e| Status::internal(e.to_string()))?;
@@ -190,7 +192,7 @@
                 {
                     return Err(to_status(&refusal));
                 }
-                Err(refusal) => log::debug!("rpc: reserve again after: {refusal}"),
+                Err(refusal) => log::debug!("rpc: reservation is retried after: {refusal}"),
             }
         }
     }
@@ -228,7 +230,7 @@
     }
 }
 
-/// run a request and pass its tokens on, the final status last
+/// Runs a request and sends its events to the caller, followed by the status if it failed.
 async fn generate(
     shared: Arc<Shared>,
     job: Job,
@@ -246,12 +248,13 @@
         Ok(()) => shared.metrics.on_completed(&labels),
         Err(refusal) => {
             shared.metrics.on_refused(&refusal);
-            // the caller may be gone
+            // The caller may have disconnected.
             let _ = caller.send(Err(to_status(&refusal))).await;
         }
     }
 }
 
+/// Sends the parts of a response to the caller and records token latencies.
 async fn forward_parts(
     shared: &Shared,
     labels: &GroupClass,
--- a/entry/src/rpc/mod.rs
+++ b/entry/src/rpc/mod.rs
@@ -1,4 +1,4 @@
-//! the RPCs of callers and operators
+//! The RPCs of callers and operators.
 
 mod admin;
 mod generation_wait;
--- a/entry/src/rpc/request_validator.rs
+++ b/entry/src/rpc/request_validator.rs
@@ -1,4 +1,4 @@
-//! checks of callers' requests against the configuration
+//! Checks callers' requests against the configuration.
 
 use {
     crate::{app::Shared, traffic::Job},
@@ -17,28 +17,28 @@
     tonic::Status,
 };
 
-/// tokens that one request may ask for
+/// Maximum number of output tokens of a request.
 const MAX_TOKENS: u32 = 8_192;
-/// bytes of a prompt or a body
+/// Maximum size of a prompt or a body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// when to come back to an entry that is not ready
+/// Retry delay for the caller when this entry is not ready.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// what can be said of a request that was refused here.
+/// Checks the requests of a caller and turns them into jobs.
 ///
-/// With a reserved id an earlier copy may have run through another entry, so
-/// only the target may say `NOT_RUN`.
+/// An earlier duplicate of a request with a reserved id may have run through another entry.
+/// Only the target can report `NOT_RUN` for it; here it is rejected with `MAY_HAVE_RUN`.
 #[derive(Clone, Copy)]
 pub struct RequestValidator<'a> {
     shared: &'a Shared,
     outcome: Outcome,
 }
 
-/// what each request of a caller says beside its work
+/// The fields that requests of all kinds have in common.
 struct RequestOptions {
     group: GroupName,
     class: ClassName,
-    /// 0 takes the class's own
+    /// 0 for the timeout of the class.
     timeout_ms: u32,
     not_repeatable: bool,
     reserved_id: String,
@@ -53,10 +53,12 @@
         Self { shared, outcome }
     }
 
+    /// Returns the status for a request that has an invalid field.
     pub fn invalid_field(&self, field: &str, description: &str) -> Status {
         bad_field(self.outcome, &self.shared.settings.name, field, description)
     }
 
+    /// Returns the configuration in force, or an error while this entry is not ready.
     pub fn configuration(&self) -> Result<Arc<Configuration>, Status> {
         let found = self.shared.active_config.configuration();
         found.filter(|_| self.shared.is_ready()).ok_or_else(|| {
@@ -192,8 +194,10 @@
         })
     }
 
-    /// a request that must not be repeated needs an id that binds it to one
-    /// target; without one nothing could stop a copy through another entry
+    /// Returns the reserved id of a request that must run at most once.
+    ///
+    /// The id binds the request to one target, which rejects duplicates sent through other
+    /// entries.
     async fn check_reserved_id(
         &self,
         options: &RequestOptions,
@@ -215,7 +219,7 @@
         }
     }
 
-    /// the id must be of a target that can do the work
+    /// Checks that the target of the reserved id can serve the request.
     async fn check_reserved_target(
         &self,
         id: &ReservedId,
