--- a/entry/src/server/grpc.rs
+++ b/entry/src/server/grpc.rs
@@ -16,13 +16,13 @@
     tower::Service,
 };
 
-/// the tonic services, mounted behind gotham's routes
+/// The tonic services that gotham's routes forward to.
 #[derive(Clone)]
-pub struct Grpc {
+pub struct GrpcRoutes {
     routes: Routes,
 }
 
-impl Grpc {
+impl GrpcRoutes {
     pub fn new(shared: Arc<Shared>) -> Self {
         let inference = InferenceServer::new(InferenceService::new(shared.clone()));
         let admin = AdminServer::new(AdminService::new(shared));
@@ -32,11 +32,11 @@
         }
     }
 
-    /// hand a request over to tonic and its response back to gotham
+    /// Forwards a request to tonic and returns its response to gotham.
     pub async fn serve(mut self, mut state: State) -> HandlerResult {
         let req = take_request(&mut state);
-        let answered: Result<_, Infallible> = self.routes.call(req).await;
-        let reply = match answered {
+        let result: Result<_, Infallible> = self.routes.call(req).await;
+        let reply = match result {
             Ok(response) => response.map(|body| Body::new(body.map_err(io::Error::other))),
             Err(never) => match never {},
         };
@@ -49,7 +49,7 @@
     *req.method_mut() = Method::take_from(state);
     *req.uri_mut() = Uri::take_from(state);
     *req.version_mut() = Version::HTTP_2;
-    // gotham keeps the request's headers for the handlers that follow
+    // gotham needs the headers after this handler, so they are cloned.
     *req.headers_mut() = HeaderMap::borrow_from(state).clone();
     req
 }
--- a/entry/src/server/handlers.rs
+++ b/entry/src/server/handlers.rs
@@ -1,5 +1,5 @@
 use {
-    super::router::GrpcServices,
+    super::router::SharedGrpcRoutes,
     crate::app::Shared,
     chalkcart_protocol::peer::{
         PermitRequest, ShardRequest, ShardResponse, SyncRequest, SyncResponse,
@@ -14,14 +14,14 @@
 };
 
 pub async fn grpc(state: State) -> HandlerResult {
-    let services = SharedData::<GrpcServices>::of(&state);
-    services.get().serve(state).await
+    let routes = SharedData::<SharedGrpcRoutes>::of(&state);
+    routes.get().serve(state).await
 }
 
 pub async fn sync(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<SyncRequest>(&mut state).await {
-        Ok(ask) => message_reply(&answer_sync(&shared, &ask)),
+        Ok(request) => message_reply(&sync_response(&shared, &request)),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
@@ -30,7 +30,7 @@
 pub async fn shard(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<ShardRequest>(&mut state).await {
-        Ok(ask) => message_reply(&answer_shard(&shared, &ask)),
+        Ok(request) => message_reply(&shard_response(&shared, &request)),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
@@ -39,7 +39,7 @@
 pub async fn permit(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<PermitRequest>(&mut state).await {
-        Ok(ask) => message_reply(&shared.control.request_permit(ask).await),
+        Ok(request) => message_reply(&shared.control.request_permit(request).await),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
@@ -49,24 +49,25 @@
     SharedData::of(state)
 }
 
-fn answer_sync(shared: &Shared, ask: &SyncRequest) -> SyncResponse {
+fn sync_response(shared: &Shared, request: &SyncRequest) -> SyncResponse {
     let configuration = shared.active_config.configuration();
-    let newer = configuration.filter(|c| c.generation() > ask.generation);
+    let newer = configuration.filter(|c| c.generation() > request.generation);
     let list = shared.active_config.list();
-    let newer_list = (list.version > ask.list_version).then(|| match ask.from_sidecar {
-        true => entries_of(&list),
+    let newer_list = (list.version > request.list_version).then(|| match request.from_sidecar {
+        true => entries_only(&list),
         false => FleetList::clone(&list),
     });
     SyncResponse {
         generation: shared.active_config.generation(),
-        root: newer.map(|c| root_for(ask, c.root())),
+        root: newer.map(|c| root_for(request, c.root())),
         list: newer_list,
     }
 }
 
-/// sidecars don't look adapters up, and most of a root is digests of shards
-fn root_for(ask: &SyncRequest, root: &Root) -> Root {
-    let shards = match ask.from_sidecar {
+/// Returns the root to send, without the shard digests for sidecars: they make up most of it,
+/// and sidecars don't look up adapters.
+fn root_for(request: &SyncRequest, root: &Root) -> Root {
+    let shards = match request.from_sidecar {
         true => Vec::new(),
         false => root.shards.clone(),
     };
@@ -81,7 +82,7 @@
     }
 }
 
-fn entries_of(list: &FleetList) -> FleetList {
+fn entries_only(list: &FleetList) -> FleetList {
     let entries = list.boxes.iter().filter(|b| b.role == Role::Entry);
     FleetList {
         version: list.version,
@@ -89,10 +90,11 @@
     }
 }
 
-fn answer_shard(shared: &Shared, ask: &ShardRequest) -> ShardResponse {
+fn shard_response(shared: &Shared, request: &ShardRequest) -> ShardResponse {
     let configuration = shared.active_config.configuration();
-    let found = configuration.filter(|c| c.root().shards.get(ask.index) == Some(&ask.digest));
+    let found =
+        configuration.filter(|c| c.root().shards.get(request.index) == Some(&request.digest));
     ShardResponse {
-        shard: found.map(|c| c.shards()[ask.index].to_shard()),
+        shard: found.map(|c| c.shards()[request.index].to_shard()),
     }
 }
--- a/entry/src/server/mod.rs
+++ b/entry/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! what the entry answers to: RPCs, peers, metrics
+//! The entry's server for RPCs, peer messages, metrics and health checks.
 
 mod grpc;
 mod handlers;
--- a/entry/src/server/router.rs
+++ b/entry/src/server/router.rs
@@ -1,5 +1,5 @@
 use {
-    super::{grpc::Grpc, handlers},
+    super::{grpc::GrpcRoutes, handlers},
     crate::app::Shared,
     chalkcart_protocol::peer::path,
     chalkcart_transport::server::{pages, SharedData},
@@ -12,26 +12,24 @@
     std::sync::{Arc, Mutex},
 };
 
-/// gRPC services by their path's first part
 const INFERENCE_PATH: &str = "/chalkcart.v1.Inference/:method";
 const ADMIN_PATH: &str = "/chalkcart.v1.Admin/:method";
 
-/// the gRPC services, shared between connections
-pub struct GrpcServices {
-    services: Mutex<Grpc>,
+/// The gRPC routes, shared between connections.
+pub struct SharedGrpcRoutes {
+    routes: Mutex<GrpcRoutes>,
 }
 
-impl GrpcServices {
-    pub fn get(&self) -> Grpc {
-        let services = self.services.lock();
-        services.unwrap_or_else(|e| e.into_inner()).clone()
+impl SharedGrpcRoutes {
+    pub fn get(&self) -> GrpcRoutes {
+        let routes = self.routes.lock();
+        routes.unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
 
-/// the routes of the entry
 pub fn new_router(shared: Arc<Shared>) -> Router {
-    let grpc = Arc::new(GrpcServices {
-        services: Mutex::new(Grpc::new(shared.clone())),
+    let grpc = Arc::new(SharedGrpcRoutes {
+        routes: Mutex::new(GrpcRoutes::new(shared.clone())),
     });
     let pipeline = new_pipeline()
         .add(StateMiddleware::new(SharedData::new(shared)))
