--- a/entry/src/app/mod.rs
+++ b/entry/src/app/mod.rs
@@ -1,4 +1,4 @@
-//! the running entry
+//! Starts and stops the entry process, and holds its shared state.
 
 mod serve;
 mod shared;
--- a/entry/src/app/serve.rs
+++ b/entry/src/app/serve.rs
@@ -13,7 +13,7 @@
     tokio::sync::watch,
 };
 
-/// run the entry until it is asked to stop
+/// Runs the entry until it receives a stop signal.
 pub fn serve(settings: Settings) -> Result<()> {
     let (name, log) = (settings.name.clone(), settings.log.clone());
     run_process(&name, &log, settings.threads, run(settings))
--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// what the threads of an entry share
+/// The state shared by the threads of an entry.
 pub struct Shared {
     pub settings: Settings,
     pub active_config: ActiveConfig,
@@ -43,7 +43,7 @@
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// follow a new configuration
+    /// Reports a new configuration to the metrics and its store limits to the control thread.
     pub fn on_configuration(&self) {
         let Some(configuration) = self.active_config.configuration() else {
             return;
@@ -56,7 +56,8 @@
         });
     }
 
-    /// the entry that gives load permits, as this one sees the fleet
+    /// Returns the address of the entry that issues load permits, by this entry's list of
+    /// boxes.
     pub fn permit_issuer(&self) -> Option<SocketAddr> {
         select_permit_issuer(&self.active_config.list()).map(|b| b.addr)
     }
@@ -66,7 +67,8 @@
     fn metrics_text(&self) -> String {
         self.metrics.text()
     }
-    /// has a configuration that was compared with peers, and is not stopping
+    /// Returns whether the configuration was compared with peers and the entry is not stopping.
+
     fn is_ready(&self) -> bool {
         self.synced.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
     }
