--- a/entry/src/conf/ingress_settings.rs
+++ b/entry/src/conf/ingress_settings.rs
@@ -10,69 +10,68 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// the settings file of `chalkcart ingress`
+/// The settings file of `chalkcart ingress`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressSettings {
-    /// the box's name
+    /// Name of the box.
     pub name: BoxName,
     pub zone: ZoneName,
-    /// the region of each availability zone
+    /// Region of each availability zone.
     #[serde(default)]
     pub regions: HashMap<ZoneName, RegionName>,
-    /// for clients
+    /// Listens for clients.
     pub clients: SocketAddr,
-    /// for the platform's question whether this process takes connections
+    /// Listens for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// for operators' tools
+    /// Listens for operators' tools.
     pub metrics: SocketAddr,
-    /// the platform's store
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// port at which sidecars listen, on the addresses of their engines
+    /// Port of the sidecars, on the addresses of their engines.
     pub sidecar_port: u16,
-    /// time between SIGTERM and SIGKILL, in s
+    /// Seconds between SIGTERM and SIGKILL.
     pub grace_s: f64,
-    /// repeats for each request of a service, over all entries
+    /// Retries allowed per request of a service, over all entries.
     pub retry_ratio: f64,
-    /// repeats beyond that in a window, over all entries
+    /// Additional retries allowed in each window, over all entries.
     pub retry_extra: f64,
     pub retry_window_s: f64,
-    /// the whole system starts for the first time: no former life of this process has
-    /// used a part of what it may repeat
+    /// Set when the whole system starts for the first time: no previous incarnation of this
+    /// process has used a part of the retry budget.
     #[serde(default)]
     pub first_start: bool,
-    /// a request may begin on the former version of its adapter for this
-    /// long, in ms
+    /// Milliseconds for which a request may still start on the previous version of its adapter.
     pub version_ms: u64,
-    /// a key that was taken away is not used any more after this time, in ms; without
-    /// it, for as long as nothing newer is known
+    /// Milliseconds after which a revoked API key must be rejected; without it, a key is valid
+    /// until its revocation is known.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// whether that holds also on boxes that are cut off
+    /// Whether `revoke_ms` also holds on boxes that are disconnected from the store.
     #[serde(default = "default_revoke_strict")]
     pub revoke_strict: bool,
-    /// in each window of so many s, an account may have (rate x window + burst) x
-    /// (1 + overage) + slack run
+    /// Window of the tenants' quotas in seconds. In each window, at most
+    /// (rate x window + burst) x (1 + overage) + slack requests of an account run.
     #[serde(default = "default_quota_window")]
     pub quota_window_s: f64,
     #[serde(default)]
     pub quota_overage: f64,
     #[serde(default)]
     pub quota_slack: f64,
-    /// a back end that leaves gets no more requests after this time, in ms
+    /// Milliseconds after which a leaving back end gets no more requests.
     pub drain_ms: u64,
-    /// a change of the configuration is in force everywhere after this time, in ms
+    /// Milliseconds after which a configuration change is in force everywhere.
     #[serde(default = "default_config_apply")]
     pub config_apply_ms: u64,
-    /// reading calls that the store answers in a second, to all processes
+    /// Read calls per second that the store allows over all processes.
     pub store_reads_per_s: f64,
-    /// engines from which on this entry hears them by a relay
+    /// Minimum number of engines for which this entry receives their views through relays.
     #[serde(default = "default_relays_from")]
     pub relays_from_engines: usize,
-    /// values that the platform left out, for the log
+    /// Values that the platform left out, for the log.
     #[serde(default)]
     pub defaulted: Vec<String>,
-    /// which mechanisms of decision are at work
+    /// Switches for features of routing and placement.
     #[serde(default)]
     pub mechanisms: FeatureSwitches,
     #[serde(default = "defaults::log")]
@@ -83,7 +82,8 @@
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
-    /// time after which a key that was taken away must not be used on any box
+    /// Returns the time after which a revoked API key must be rejected on every box, or `None`
+    /// if disconnected boxes may go on using it.
     pub fn revoked_within(&self) -> Option<Duration> {
         let bound = self.revoke_ms.filter(|_| self.revoke_strict);
         bound.map(Duration::from_millis)
@@ -124,17 +124,16 @@
     MIN_ENGINES_FOR_RELAYS
 }
 
-/// ms, the shortest time on the pages of the platform's sites
+/// Returns the shortest time that the platform's sites document, in milliseconds.
 fn default_config_apply() -> u64 {
     2_000
 }
 
-/// the careful choice
 fn default_revoke_strict() -> bool {
     true
 }
 
-/// s, as on the pages of the platform's sites
+/// Returns the window that the platform's sites document, in seconds.
 fn default_quota_window() -> f64 {
     8.0
 }
--- a/entry/src/conf/mod.rs
+++ b/entry/src/conf/mod.rs
@@ -1,9 +1,9 @@
-//! the settings of the entry
+//! The settings of the entry.
 
 mod ingress_settings;
 mod settings;
 
 pub use {
     ingress_settings::IngressSettings,
-    settings::{Routing, Settings},
+    settings::{RoutingPolicy, Settings},
 };
--- a/entry/src/conf/settings.rs
+++ b/entry/src/conf/settings.rs
@@ -8,13 +8,13 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// twice the time between two signs of a target
+/// Twice the heartbeat interval of targets.
 const MIN_SILENCE_MS: u64 = 500;
 
-/// how targets are chosen
+/// How targets are selected.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Routing {
+pub enum RoutingPolicy {
     #[default]
     LeastExpectedWait,
     LeastLoaded,
@@ -22,42 +22,42 @@
     Random,
 }
 
-impl From<Routing> for PolicyName {
-    fn from(routing: Routing) -> Self {
-        match routing {
-            Routing::LeastExpectedWait => Self::LeastExpectedWait,
-            Routing::LeastLoaded => Self::LeastLoaded,
-            Routing::PlainHash => Self::PlainHash,
-            Routing::Random => Self::Random,
+impl From<RoutingPolicy> for PolicyName {
+    fn from(policy: RoutingPolicy) -> Self {
+        match policy {
+            RoutingPolicy::LeastExpectedWait => Self::LeastExpectedWait,
+            RoutingPolicy::LeastLoaded => Self::LeastLoaded,
+            RoutingPolicy::PlainHash => Self::PlainHash,
+            RoutingPolicy::Random => Self::Random,
         }
     }
 }
 
-/// the settings file of `chalkcart serve`
+/// The settings file of `chalkcart serve`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// the box's name, as the platform lists it
+    /// Name of the box, as in the platform's list.
     pub name: BoxName,
     pub zone: ZoneName,
-    /// for callers, operators, peers and metrics
+    /// Listens for callers, operators, peers and metrics.
     pub listen: SocketAddr,
-    /// the platform's configuration service and list of boxes
+    /// Address of the platform's configuration service and list of boxes.
     pub platform: SocketAddr,
-    /// entry boxes to ask before the platform's list is known
+    /// Entries to poll before the platform's list is known.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     #[serde(default)]
-    pub routing: Routing,
+    pub routing: RoutingPolicy,
     #[serde(default = "defaults::log")]
     pub log: String,
-    /// longest time that a planned stop waits for requests in flight, in ms
+    /// Milliseconds that a planned stop waits at most for requests in flight.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// a target that gives no sign for this long is taken for lost, in ms
+    /// Milliseconds without a frame after which a target is considered unresponsive.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// threads for traffic
+    /// Number of traffic threads.
     #[serde(default = "defaults::threads")]
     pub threads: usize,
 }
@@ -77,7 +77,8 @@
         check_not_empty("zone", &self.zone, "the availability zone")?;
         check_positive("threads", self.threads as u64)?;
         if self.silence_ms < MIN_SILENCE_MS {
-            let expected = "500 or more: targets send a sign each 250 ms";
+            let expected = "500 or more: targets send a heartbeat every 250 ms";
+
             return Err(SettingsError::value(
                 "silence_ms",
                 self.silence_ms,
