--- a/entry/src/cli/check.rs
+++ b/entry/src/cli/check.rs
@@ -11,10 +11,10 @@
     std::fs,
 };
 
-/// a key that only root documents have
-const ROOT_MARK: &str = "generation";
+/// A key that only root documents have.
+const ROOT_KEY: &str = "generation";
 
-/// a root document, checked like settings
+/// A root document of the configuration, checked like settings.
 #[derive(Deserialize)]
 #[serde(transparent)]
 struct CheckedRoot(Root);
@@ -28,7 +28,7 @@
     }
 }
 
-/// check a settings file or a root document
+/// Checks a settings file or a root document and prints the result.
 pub fn run(program: &Program, matches: &Matches) -> Result<ExitCode> {
     let file = match program.file_argument(&matches.free) {
         Ok(file) => file,
@@ -37,20 +37,20 @@
     let text = fs::read_to_string(&file).with_context(|| file.display().to_string())?;
     let value: serde_json::Value =
         serde_json::from_str(&text).with_context(|| file.display().to_string())?;
-    let (what, checked) = match value.get(ROOT_MARK) {
+    let (document_type, result) = match value.get(ROOT_KEY) {
         Some(_) => (
             "root document",
             settings::parse::<CheckedRoot>(&text).map(|_| ()),
         ),
         None => ("settings", settings::parse::<Settings>(&text).map(|_| ())),
     };
-    match checked {
+    match result {
         Ok(()) => {
-            println!("{}: {what}: good", file.display());
+            println!("{}: {document_type}: good", file.display());
             Ok(ExitCode::Done)
         }
         Err(e) => {
-            println!("{}: {what}: {e}", file.display());
+            println!("{}: {document_type}: {e}", file.display());
             Ok(ExitCode::Failed)
         }
     }
--- a/entry/src/cli/day_causes.rs
+++ b/entry/src/cli/day_causes.rs
@@ -6,30 +6,31 @@
     },
 };
 
-/// a queue at least this long when it was chosen was seen by the entry, in ms
-const QUEUE_SEEN_MS: f64 = 100.0;
+/// Queue time from which the entry is considered to have seen a queue at the engine that it
+/// selected, in milliseconds.
+const MIN_SEEN_QUEUE_MS: f64 = 100.0;
 
-/// what became of a stream, and why
+/// How a stream ended, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
     InTime,
-    /// more of its time went by before it was sent than after
+    /// Late, and it waited longer at the entry than at the engine.
     Waited,
-    /// it stood behind prompts that the entry knew of
+    /// Late because of an engine's queue that the entry knew of.
     QueueSeen,
-    /// it took long at an engine that seemed free
+    /// Late at an engine that seemed to have no queue.
     QueueUnseen,
-    /// its first part was in time, a later one was not
+    /// The first part was in time, but the pause before a later one was too long.
     Paused,
-    /// its back end broke it off
+    /// The back end interrupted the stream.
     Broken,
-    /// its client left, or its time ran out, before the end
-    HeldToTheEnd,
-    /// it was told when to come back
-    Refused,
+    /// The client disconnected or the deadline passed before the end.
+    Unfinished,
+    /// The entry rejected the request.
+    Rejected,
 }
 
-/// the table's columns
+/// The columns of the table.
 const COLUMNS: [(Cause, &str); 8] = [
     (Cause::InTime, "in time"),
     (Cause::Waited, "late: waited here"),
@@ -37,23 +38,23 @@
     (Cause::QueueUnseen, "late: queue unseen"),
     (Cause::Paused, "late: paused"),
     (Cause::Broken, "broken off"),
-    (Cause::HeldToTheEnd, "held to the end"),
-    (Cause::Refused, "refused"),
+    (Cause::Unfinished, "held to the end"),
+    (Cause::Rejected, "refused"),
 ];
 
-/// longest pause that counts as in time where the log does not say, in ms
-const PAUSE_MS: f64 = 250.0;
+/// Longest pause within a stream that is considered in time, in milliseconds.
+const MAX_PAUSE_MS: f64 = 250.0;
 
-/// streams of a day by route and cause
+/// Numbers of streams by route and cause.
 #[derive(Debug, Default)]
 pub struct DayCauses {
     rows: BTreeMap<String, BTreeMap<Cause, u64>>,
 }
 
 impl DayCauses {
-    pub fn of(lines: &[LogLine]) -> Self {
+    pub fn from_lines(lines: &[LogLine]) -> Self {
         let sent = lines.iter().filter(|line| line.is("dispatch", "sent"));
-        // the last send counts
+        // For a request that was retried, the last send is kept.
         let sends: HashMap<&str, &LogLine> = sent.map(|l| (l.text("request"), l)).collect();
         let mut causes = Self::default();
         for line in lines {
@@ -62,35 +63,35 @@
                     .get(line.text("request"))
                     .map(|sent| cause(line, sent))
             } else if line.is("dispatch", "refused") {
-                Some(Cause::Refused)
+                Some(Cause::Rejected)
             } else {
                 None
             };
             if let Some(cause) = cause {
-                causes.count(line.text("route"), cause);
+                causes.add(line.text("route"), cause);
             }
         }
         causes
     }
 
-    fn count(&mut self, route: &str, cause: Cause) {
+    fn add(&mut self, route: &str, cause: Cause) {
         let row = self.rows.entry(route.to_string()).or_default();
         *row.entry(cause).or_default() += 1;
     }
 }
 
-/// the one cause of how a stream ended
+/// Returns how a stream ended, from the lines of its end and of its last send.
 fn cause(ended: &LogLine, sent: &LogLine) -> Cause {
     match ended.text("outcome") {
         "broken" => return Cause::Broken,
         "whole" => {}
-        _ => return Cause::HeldToTheEnd,
+        _ => return Cause::Unfinished,
     }
     let number = |line: &LogLine, key| line.number(key).unwrap_or(0.0);
     let first_ms = number(ended, "first_part_ms");
     let objective_ms = ended.number("objective_ms").unwrap_or(f64::INFINITY);
     if first_ms <= objective_ms {
-        return match number(ended, "longest_pause_ms") > PAUSE_MS {
+        return match number(ended, "longest_pause_ms") > MAX_PAUSE_MS {
             true => Cause::Paused,
             false => Cause::InTime,
         };
@@ -99,13 +100,13 @@
     if waited_ms > first_ms - waited_ms {
         return Cause::Waited;
     }
-    match number(sent, "queue_ms") >= QUEUE_SEEN_MS {
+    match number(sent, "queue_ms") >= MIN_SEEN_QUEUE_MS {
         true => Cause::QueueSeen,
         false => Cause::QueueUnseen,
     }
 }
 
-/// a table in Markdown
+/// Formats the counts as a Markdown table.
 impl Display for DayCauses {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let names = COLUMNS.map(|(_, name)| name);
--- a/entry/src/cli/explain.rs
+++ b/entry/src/cli/explain.rs
@@ -9,7 +9,7 @@
     std::collections::HashSet,
 };
 
-/// fields that stand in front of each printed line
+/// Fields that are printed at the start of a line or left out, not listed at its end.
 const HEAD_FIELDS: &[&str] = &[
     "clock_ms",
     "uptime_ms",
@@ -20,13 +20,13 @@
     "request",
 ];
 
-/// an order about one of these adapters
-fn orders_one_of(line: &LogLine, adapters: &HashSet<String>) -> bool {
+/// Returns whether the line is an order to load or unload one of these adapters.
+fn is_order_for(line: &LogLine, adapters: &HashSet<String>) -> bool {
     let order = line.text("order").rsplit(' ').next();
     order.is_some_and(|adapter| adapters.contains(adapter))
 }
 
-fn print(line: &LogLine, first_ms: i64) -> String {
+fn format_line(line: &LogLine, first_ms: i64) -> String {
     let fields = line.fields.iter();
     let rest = fields.filter(|(key, _)| !HEAD_FIELDS.contains(&key.as_str()));
     let rest: Vec<String> = rest.map(|(key, value)| format!("{key}={value}")).collect();
@@ -40,33 +40,34 @@
     )
 }
 
-/// tell the story of one request, or the causes of a whole day, from the logs of many processes
+/// Explains one request, or counts the streams of a day by cause, from the logs of all
+/// processes.
 pub fn run(program: &Program, matches: &Matches) -> Result<ExitCode> {
     if matches.opt_present("day") {
-        print!("{}", DayCauses::of(&read_lines(&matches.free)?));
+        print!("{}", DayCauses::from_lines(&read_lines(&matches.free)?));
         return Ok(ExitCode::Done);
     }
     let Some((request, files)) = matches.free.split_first() else {
         return Ok(usage_error(program, "expected the request's ID"));
     };
     let lines = read_lines(files)?;
-    let story = story(request, &lines);
-    let Some(first) = story.first() else {
-        eprintln!("{}: no line names {request}", program.name);
+    let related = related_lines(request, &lines);
+    let Some(first) = related.first() else {
+        eprintln!("{}: no log line has the request {request}", program.name);
         return Ok(ExitCode::Failed);
     };
     println!("request {request}; times are since its first line, by each machine's own clock");
-    for line in &story {
-        println!("{}", print(line, first.clock_ms));
+    for line in &related {
+        println!("{}", format_line(line, first.clock_ms));
     }
     Ok(ExitCode::Done)
 }
 
-/// the request's own lines, and the orders about its adapter meanwhile.
+/// Returns the lines of a request and the orders for its adapter during that time.
 ///
-/// Clocks of machines differ, so lines are kept in the order of each process;
-/// processes are merged by their clocks.
-fn story(request: &str, lines: &[LogLine]) -> Vec<LogLine> {
+/// Lines are sorted by the clocks of their machines, which may differ; lines of the same time
+/// stay in the order of the logs.
+fn related_lines(request: &str, lines: &[LogLine]) -> Vec<LogLine> {
     let own: Vec<&LogLine> = lines
         .iter()
         .filter(|l| l.text("request") == request)
@@ -80,15 +81,15 @@
     let (Some(first), Some(last)) = (times.clone().min(), times.max()) else {
         return Vec::new();
     };
-    // what was waited for before the first line was written
+    // The request may have waited for orders given before its first line was logged.
     let waited = own
         .iter()
         .filter_map(|line| line.fields.get("waited_ms")?.as_i64());
     let from = first - waited.max().unwrap_or(0);
     let orders = lines
         .iter()
-        .filter(|line| orders_one_of(line, &adapters) && (from..=last).contains(&line.clock_ms));
-    let mut story: Vec<LogLine> = own.into_iter().chain(orders).cloned().collect();
-    story.sort_by_key(|line| line.clock_ms);
-    story
+        .filter(|line| is_order_for(line, &adapters) && (from..=last).contains(&line.clock_ms));
+    let mut related: Vec<LogLine> = own.into_iter().chain(orders).cloned().collect();
+    related.sort_by_key(|line| line.clock_ms);
+    related
 }
--- a/entry/src/cli/ingress.rs
+++ b/entry/src/cli/ingress.rs
@@ -15,7 +15,7 @@
     std::sync::Arc,
 };
 
-/// serve clients on the platform
+/// Runs the ingress, or only checks its settings.
 pub fn run(program: &Program, matches: &Matches) -> Result<ExitCode> {
     block_sighup()?;
     let file = match settings::file_or_environment(&matches.free) {
@@ -34,8 +34,8 @@
         return Ok(ExitCode::Done);
     }
     let store = Arc::new(PlatformStore::new(settings.store));
-    let follower = SettingsReloader::with_translation(&file, translate);
-    ingress::serve(settings, follower, store, Arc::new(PlatformDialect))?;
+    let reloader = SettingsReloader::with_translation(&file, translate);
+    ingress::serve(settings, reloader, store, Arc::new(PlatformDialect))?;
     Ok(ExitCode::Done)
 }
 
--- a/entry/src/cli/mod.rs
+++ b/entry/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! the command line: `serve`, `check`, and commands that call the RPCs
+//! The command line: commands that run a process, check files, read logs or call the RPCs.
 
 mod check;
 mod day_causes;
--- a/entry/src/cli/remote.rs
+++ b/entry/src/cli/remote.rs
@@ -1,4 +1,4 @@
-//! commands that call a running entry
+//! Commands that call a running entry.
 
 use {
     anyhow::{anyhow, Context, Result},
@@ -88,14 +88,14 @@
             generation,
             timeout_ms,
         };
-        let answer = admin.wait_in_force(req).await?.into_inner();
-        if answer.in_force {
+        let response = admin.wait_in_force(req).await?.into_inner();
+        if response.in_force {
             println!("generation {generation} is in force everywhere");
             return Ok(ExitCode::Done);
         }
         println!(
             "generation {generation} is missing on: {}",
-            answer.missing.join(" ")
+            response.missing.join(" ")
         );
         Ok(ExitCode::Failed)
     })
@@ -119,8 +119,8 @@
                 work: Some(Work::Service(service.clone())),
             };
             let reserved = inference.reserve(req).await?.into_inner();
-            let first = reserved.reserved_ids.into_iter().next();
-            reserved_id = first.ok_or_else(|| anyhow!("no id was reserved"))?;
+            let first_id = reserved.reserved_ids.into_iter().next();
+            reserved_id = first_id.ok_or_else(|| anyhow!("no id was reserved"))?;
             eprintln!("reserved id: {reserved_id}");
         }
         let req = CallRequest {
@@ -132,8 +132,8 @@
             not_repeatable: once,
             reserved_id,
         };
-        let answer = inference.call(req).await?.into_inner();
-        io::stdout().write_all(&answer.body)?;
+        let response = inference.call(req).await?.into_inner();
+        io::stdout().write_all(&response.body)?;
         println!();
         Ok(ExitCode::Done)
     })
@@ -173,9 +173,9 @@
     })
 }
 
-fn block_on<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
+fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(work)
+    runtime.block_on(future)
 }
 
 async fn connect(addr: &str) -> Result<Channel> {
--- a/entry/src/cli/run.rs
+++ b/entry/src/cli/run.rs
@@ -15,119 +15,118 @@
     purpose: "Serve very many LoRA adapters on few engines.",
 };
 
-/// one command of the program
+/// A command of the program.
 struct Command {
-    word: &'static str,
+    name: &'static str,
     program: Program,
-    /// adds the command's own options
-    options: fn(&mut Options),
+    add_options: fn(&mut Options),
     run: fn(&Program, &Matches) -> Result<ExitCode>,
 }
 
 const COMMANDS: &[Command] = &[
     Command {
-        word: "serve",
+        name: "serve",
         program: Program {
             name: "chalkcart serve",
             arguments: "FILE",
             purpose: "Serve an entry box, with the settings in FILE (JSON).",
         },
-        options: |_| {},
+        add_options: |_| {},
         run: serve,
     },
     Command {
-        word: "ingress",
+        name: "ingress",
         program: Program {
             name: "chalkcart ingress",
             arguments: "[FILE]",
             purpose: "Serve clients on the platform, with the settings in FILE (JSON).",
         },
-        options: |options| {
+        add_options: |options| {
             options.optflag("", "check", "check FILE and exit");
         },
         run: ingress::run,
     },
     Command {
-        word: "explain",
+        name: "explain",
         program: Program {
             name: "chalkcart explain",
             arguments: "ID | --day [FILE...]",
-            purpose: "Tell the story of a request, or what became of a day's streams and why, \
-                      from the logs in FILEs, or standard input.",
+            purpose: "Explain a request, or count a day's streams by route and cause, from the \
+                      logs in FILEs or standard input.",
         },
-        options: |options| {
+        add_options: |options| {
             options.optflag("", "day", "count streams by route and cause");
         },
         run: explain::run,
     },
     Command {
-        word: "check",
+        name: "check",
         program: Program {
             name: "chalkcart check",
             arguments: "FILE",
             purpose: "Check FILE: settings of `serve`, or a root document of the configuration.",
         },
-        options: |_| {},
+        add_options: |_| {},
         run: check::run,
     },
     Command {
-        word: "status",
+        name: "status",
         program: Program {
             name: "chalkcart status",
             arguments: "ADDR",
-            purpose: "Print what the entry at ADDR knows of the fleet.",
+            purpose: "Print the state of the fleet as the entry at ADDR knows it.",
         },
-        options: |_| {},
+        add_options: |_| {},
         run: remote::status,
     },
     Command {
-        word: "plan",
+        name: "plan",
         program: Program {
             name: "chalkcart plan",
             arguments: "ADDR ADAPTER VERSION",
             purpose: "Print where a request for an adapter would go.",
         },
-        options: |_| {},
+        add_options: |_| {},
         run: remote::plan,
     },
     Command {
-        word: "wait",
+        name: "wait",
         program: Program {
             name: "chalkcart wait",
             arguments: "ADDR GENERATION",
             purpose: "Wait until a generation is in force on every box.",
         },
-        options: remote::wait_options,
+        add_options: remote::wait_options,
         run: remote::wait,
     },
     Command {
-        word: "call",
+        name: "call",
         program: Program {
             name: "chalkcart call",
             arguments: "ADDR GROUP CLASS SERVICE BODY",
-            purpose: "Call a plain service once and print its answer.",
+            purpose: "Call a plain service once and print its response.",
         },
-        options: remote::call_options,
+        add_options: remote::call_options,
         run: remote::call,
     },
     Command {
-        word: "generate",
+        name: "generate",
         program: Program {
             name: "chalkcart generate",
             arguments: "ADDR GROUP CLASS ADAPTER VERSION PROMPT",
             purpose: "Run a prompt on an adapter and print its tokens.",
         },
-        options: remote::generate_options,
+        add_options: remote::generate_options,
         run: remote::generate,
     },
 ];
 
-/// run the program with its arguments
+/// Runs the program with its arguments and returns its exit code.
 pub fn run(args: &[String]) -> ExitCode {
-    let Some(word) = args.first() else {
+    let Some(name) = args.first() else {
         return usage_error(&MAIN, "expected a command");
     };
-    match word.as_str() {
+    match name.as_str() {
         "-h" | "--help" => {
             print!("{}", main_help());
             return ExitCode::Done;
@@ -138,15 +137,15 @@
         }
         _ => {}
     }
-    match COMMANDS.iter().find(|c| c.word == word) {
+    match COMMANDS.iter().find(|c| c.name == name) {
         Some(command) => run_command(command, &args[1..]),
-        None => usage_error(&MAIN, format!("{word:?} is not a command")),
+        None => usage_error(&MAIN, format!("{name:?} is not a command")),
     }
 }
 
 fn run_command(command: &Command, args: &[String]) -> ExitCode {
     let mut options = Program::options();
-    (command.options)(&mut options);
+    (command.add_options)(&mut options);
     let matches = match options.parse(args) {
         Ok(matches) => matches,
         Err(e) => return usage_error(&command.program, e),
@@ -190,7 +189,7 @@
     for command in COMMANDS {
         text.push_str(&format!(
             "    {:<10}{}\n",
-            command.word, command.program.purpose
+            command.name, command.program.purpose
         ));
     }
     text
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -1,5 +1,5 @@
-//! the entry box's process: callers' and operators' RPCs, admission,
-//! routing, retries, streams; and the operators' command line
+//! The process of an entry box, which serves the RPCs of callers and operators and routes
+//! requests to targets, and the operators' command line.
 
 pub mod app;
 pub mod cli;
--- a/entry/src/main.rs
+++ b/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! the entry box's process, and the operators' command line
+//! The process of an entry box, and the operators' command line.
 
 use std::process;
 
