--- a/entry/tests/command_line.rs
+++ b/entry/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! the command line and the settings of `chalkcart`
+//! The command line and the settings of `chalkcart`.
 
 use {
     anyhow::Result,
@@ -22,15 +22,17 @@
 }
 
 #[test]
-fn help_and_version_of_the_program_and_of_each_command() -> Result<()> {
+fn program_and_each_command_print_help_and_version() -> Result<()> {
     let help = chalkcart(&["--help"])?;
     assert_eq!(help.code, Some(0));
     for command in COMMANDS {
         assert!(help.stdout.contains(command), "{command}");
-        let own = chalkcart(&[command, "--help"])?;
-        assert_eq!(own.code, Some(0), "{command}");
+        let command_help = chalkcart(&[command, "--help"])?;
+        assert_eq!(command_help.code, Some(0), "{command}");
         assert!(
-            own.stdout.contains(&format!("Usage: chalkcart {command}")),
+            command_help
+                .stdout
+                .contains(&format!("Usage: chalkcart {command}")),
             "{command}"
         );
         let version = chalkcart(&[command, "--version"])?;
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn wrong_usage_ends_with_2_and_says_what_was_expected() -> Result<()> {
+fn usage_errors_exit_with_2_and_suggest_help() -> Result<()> {
     let cases: [&[&str]; 6] = [
         &[],
         &["explain"],
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn settings_are_refused_with_the_key_the_value_and_what_was_expected() -> Result<()> {
+fn invalid_settings_are_rejected_with_key_value_and_expectation() -> Result<()> {
     const GOOD: &str =
         r#"{"name":"e","zone":"posta","listen":"127.0.0.1:0","platform":"127.0.0.1:1"}"#;
     assert_eq!(check(GOOD)?.code, Some(0));
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn a_root_document_is_checked_offline() -> Result<()> {
+fn root_documents_are_checked_offline() -> Result<()> {
     let root = r#"{"generation":1,"groups":[{"name":"g","share":1}],"base_models":["b"],
         "classes":[{"name":"c","priority":0,"timeout_ms":1,"age_after_ms":1,"stall_cost":1}],
         "shards":["d"]}"#;
@@ -127,7 +129,7 @@
   "retry_extra":50,"retry_window_s":10,"version_ms":5000,
   "drain_ms":2000,"store_reads_per_s":2000}"#;
 
-/// each wrong value ends with the key, the value and what was expected
+/// An invalid value is rejected with its key and what was expected.
 #[test]
 fn settings_of_the_ingress_are_checked() -> Result<()> {
     let cases = [
@@ -156,10 +158,10 @@
         Ok(ran)
     };
     assert_eq!(check(INGRESS)?.code, Some(0));
-    for (good, bad, said) in cases {
+    for (good, bad, expected) in cases {
         let ran = check(&INGRESS.replace(good, bad))?;
         assert_eq!(ran.code, Some(2), "{bad}");
-        for part in said {
+        for part in expected {
             assert!(ran.stderr.contains(part), "{bad}: {}", ran.stderr);
         }
     }
@@ -178,30 +180,30 @@
 "#;
 
 #[test]
-fn a_request_is_explained_from_its_lines_and_the_orders_it_waited_for() -> Result<()> {
+fn explain_prints_a_request_and_the_orders_it_waited_for() -> Result<()> {
     let file = settings_file(LOG)?;
     let name = file.to_string_lossy().into_owned();
     let ran = chalkcart(&["explain", "r1", &name])?;
     let unknown = chalkcart(&["explain", "r9", &name])?;
     fs::remove_file(file)?;
-    let told: Vec<&str> = ran.stdout.lines().skip(1).collect();
-    assert_eq!(told.len(), 3, "{}", ran.stdout);
+    let lines: Vec<&str> = ran.stdout.lines().skip(1).collect();
+    assert_eq!(lines.len(), 3, "{}", ran.stdout);
     assert!(
-        told[0].contains("load m/a") && told[0].contains("Taken"),
+        lines[0].contains("load m/a") && lines[0].contains("Taken"),
         "{}",
-        told[0]
+        lines[0]
     );
-    assert!(told[1].contains("300 ms"), "{}", told[1]);
+    assert!(lines[1].contains("300 ms"), "{}", lines[1]);
     assert!(
-        told[2].contains("answered") && told[2].contains("status=200"),
+        lines[2].contains("answered") && lines[2].contains("status=200"),
         "{}",
-        told[2]
+        lines[2]
     );
     assert_eq!(unknown.code, Some(1));
     Ok(())
 }
 
-/// how one stream went, as two lines of its entry's log
+/// Returns the two lines that an entry logs for a stream. All times are in milliseconds.
 fn stream(id: &str, outcome: &str, waited: u32, queue: u32, first: u32, pause: u32) -> String {
     format!(
         r#"{{"clock_ms":1,"part":"dispatch","message":"sent","request":"{id}","waited_ms":{waited},"queue_ms":{queue}}}
@@ -211,7 +213,7 @@
 }
 
 #[test]
-fn a_day_is_explained_by_one_cause_a_stream() -> Result<()> {
+fn explain_day_counts_each_stream_under_one_cause() -> Result<()> {
     let lines = [
         stream("a", "whole", 0, 0, 600, 250),
         stream("b", "whole", 500, 900, 700, 0),
