--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -68,7 +68,6 @@
         self.metrics.text()
     }
     /// Returns whether the configuration was compared with peers and the entry is not stopping.
-
     fn is_ready(&self) -> bool {
         self.synced.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
     }
--- a/entry/src/cli/explain.rs
+++ b/entry/src/cli/explain.rs
@@ -28,15 +28,15 @@
 
 fn format_line(line: &LogLine, first_ms: i64) -> String {
     let fields = line.fields.iter();
-    let rest = fields.filter(|(key, _)| !HEAD_FIELDS.contains(&key.as_str()));
-    let rest: Vec<String> = rest.map(|(key, value)| format!("{key}={value}")).collect();
+    let extra = fields.filter(|(key, _)| !HEAD_FIELDS.contains(&key.as_str()));
+    let extra: Vec<String> = extra.map(|(key, value)| format!("{key}={value}")).collect();
     format!(
         "{:>8} ms  {:<20} {}: {}  {}",
         line.clock_ms - first_ms,
         line.text("node"),
         line.text("part"),
         line.text("message"),
-        rest.join(" ")
+        extra.join(" ")
     )
 }
 
--- a/entry/src/config/config_watcher.rs
+++ b/entry/src/config/config_watcher.rs
@@ -34,8 +34,9 @@
 
 /// Keeps the configuration and the list of boxes up to date.
 ///
-/// The watchers of an availability zone read the platform; the other entries of the zone poll
-/// a watcher, and the platform only when no watcher responds.
+/// The watchers of an availability zone read the platform. The other entries of the zone poll
+/// a watcher; while none responds, they poll any peer, and after `WATCHER_TIMEOUT` also read
+/// the platform.
 #[derive(Clone)]
 pub struct ConfigWatcher {
     shared: Arc<Shared>,
