--- a/entry/src/control/events.rs
+++ b/entry/src/control/events.rs
@@ -9,51 +9,50 @@
     tokio::sync::oneshot,
 };
 
-/// one target, for operators
+/// The state of a target, for operators.
 #[derive(Debug, Clone)]
-pub struct TargetRow {
+pub struct TargetSummary {
     pub listed: FleetBox,
-    pub leaving: bool,
-    pub suspect: bool,
+    pub is_leaving: bool,
+    pub is_suspect: bool,
     pub report: Option<TargetReport>,
-    pub heard_ago: Option<Duration>,
+    pub report_age: Option<Duration>,
 }
 
-/// what happens to an entry; questions carry where the answer goes
+/// An event for the control thread. Requests carry the channel for their reply.
 pub enum EntryEvent {
-    /// a request came in
-    Requested,
+    RequestArrived,
     Route {
-        ask: RouteRequest,
-        answer: oneshot::Sender<Option<Route>>,
+        request: RouteRequest,
+        reply: oneshot::Sender<Option<Route>>,
     },
-    /// where a target with a reserved id listens
-    Find {
+    /// Looks up a target by its name, for a reserved id.
+    FindTarget {
         target: BoxName,
-        answer: oneshot::Sender<Option<FleetBox>>,
-    },
-    TakeRetry {
-        answer: oneshot::Sender<bool>,
-    },
-    Reported(TargetReport),
-    /// a target gave no sign of life
-    Silent(BoxName),
-    /// an attempt at a target is over
-    Ended(BoxName),
-    Listed(Arc<FleetList>),
-    StoreLimits {
+        reply: oneshot::Sender<Option<FleetBox>>,
+    },
+    TryTakeRetry {
+        reply: oneshot::Sender<bool>,
+    },
+    ReportReceived(TargetReport),
+    /// A target sent no frame in time or could not be reached.
+    TargetUnresponsive(BoxName),
+    /// An attempt at this target ended.
+    RequestEnded(BoxName),
+    ListUpdated(Arc<FleetList>),
+    StoreLimitsUpdated {
         loads_per_second: u32,
         loads_at_once: u32,
     },
     Permit {
-        ask: PermitRequest,
-        answer: oneshot::Sender<PermitResponse>,
+        request: PermitRequest,
+        reply: oneshot::Sender<PermitResponse>,
     },
     Plan {
-        ask: RouteRequest,
-        answer: oneshot::Sender<Vec<Route>>,
+        request: RouteRequest,
+        reply: oneshot::Sender<Vec<Route>>,
     },
-    Status {
-        answer: oneshot::Sender<Vec<TargetRow>>,
+    TargetSummaries {
+        reply: oneshot::Sender<Vec<TargetSummary>>,
     },
 }
--- a/entry/src/control/mod.rs
+++ b/entry/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! the one thread that owns what this entry knows of the targets
+//! The control thread, which owns the entry's table of targets, its retry budget and the load
+//! permits that it issues.
 
 mod control_thread;
 mod entry_control;
@@ -8,6 +9,6 @@
 pub use {
     control_thread::start,
     entry_control::EntryControl,
-    events::{EntryEvent, TargetRow},
+    events::{EntryEvent, TargetSummary},
     handle::ControlHandle,
 };
--- a/entry/src/rpc/admin.rs
+++ b/entry/src/rpc/admin.rs
@@ -1,6 +1,6 @@
 use {
-    super::{admission::Admission, force::wait_in_force},
-    crate::{app::Shared, control::TargetRow},
+    super::{generation_wait::wait_for_generation, request_validator::RequestValidator},
+    crate::{app::Shared, control::TargetSummary},
     chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::v1::{
         admin_server::Admin, AddVersionRequest, CreateGroupRequest, Document, GetStatusRequest,
@@ -18,10 +18,10 @@
     tonic::{Request, Response, Status},
 };
 
-/// longest wait for a generation
+/// Maximum wait for a generation.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// what operators call
+/// Serves the RPCs of operators.
 pub struct AdminService {
     shared: Arc<Shared>,
 }
@@ -31,43 +31,44 @@
         Self { shared }
     }
 
-    fn next(
+    /// Returns the documents that an operator publishes to make this change.
+    fn plan_change(
         &self,
         base: Generation,
         change: &Change,
     ) -> Result<Response<NextConfiguration>, Status> {
-        let admission = Admission::new(&self.shared, "");
-        let configuration = admission.configuration()?;
-        let changed = configuration.plan_change(base, change);
-        let changed = changed.map_err(|e| match e {
+        let validator = RequestValidator::new(&self.shared, "");
+        let configuration = validator.configuration()?;
+        let planned = configuration.plan_change(base, change);
+        let planned = planned.map_err(|e| match e {
             ConfigError::BadValue {
                 key,
                 value,
                 expected,
-            } => admission.bad(&key, &format!("{value}, expected {expected}")),
+            } => validator.invalid_field(&key, &format!("{value}, expected {expected}")),
             e @ ConfigError::StaleBase { .. } => Status::failed_precondition(e.to_string()),
             e @ ConfigError::WrongShard { .. } => Status::internal(e.to_string()),
         })?;
-        let documents = changed.documents.into_iter().map(|d| Document {
+        let documents = planned.documents.into_iter().map(|d| Document {
             key: d.key,
             content: d.content,
         });
         Ok(Response::new(NextConfiguration {
-            generation: changed.generation,
+            generation: planned.generation,
             documents: documents.collect(),
         }))
     }
 
-    fn digest(&self, text: &str) -> Result<WeightsDigest, Status> {
+    fn parse_digest(&self, text: &str) -> Result<WeightsDigest, Status> {
         text.parse().map_err(|e: WeightsDigestError| {
-            Admission::new(&self.shared, "").bad("digest", &e.to_string())
+            RequestValidator::new(&self.shared, "").invalid_field("digest", &e.to_string())
         })
     }
 
     fn check_filled(&self, fields: &[(&str, &str)]) -> Result<(), Status> {
-        let admission = Admission::new(&self.shared, "");
+        let validator = RequestValidator::new(&self.shared, "");
         match fields.iter().find(|(_, value)| value.is_empty()) {
-            Some((field, _)) => Err(admission.bad(field, "must not be empty")),
+            Some((field, _)) => Err(validator.invalid_field(field, "must not be empty")),
             None => Ok(()),
         }
     }
@@ -85,7 +86,7 @@
             group: req.group,
             share: req.share,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn set_share(
@@ -98,7 +99,7 @@
             group: req.group,
             share: req.share,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn register_adapter(
@@ -111,9 +112,9 @@
             adapter: req.adapter,
             group: req.group,
             base_model: req.base_model,
-            digest: self.digest(&req.digest)?,
+            digest: self.parse_digest(&req.digest)?,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn add_version(
@@ -124,9 +125,9 @@
         self.check_filled(&[("adapter", &req.adapter)])?;
         let change = Change::AddVersion {
             adapter: req.adapter,
-            digest: self.digest(&req.digest)?,
+            digest: self.parse_digest(&req.digest)?,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn retire_version(
@@ -139,29 +140,29 @@
             adapter: req.adapter,
             version: req.version,
         };
-        self.next(req.base_generation, &change)
+        self.plan_change(req.base_generation, &change)
     }
 
     async fn get_status(
         &self,
         _: Request<GetStatusRequest>,
     ) -> Result<Response<GetStatusResponse>, Status> {
-        let rows = self.shared.control.status().await;
+        let targets = self.shared.control.target_summaries().await;
         Ok(Response::new(GetStatusResponse {
             r#box: self.shared.settings.name.clone(),
-            generation: self.shared.keeper.generation(),
-            targets: rows.iter().map(target_status).collect(),
+            generation: self.shared.active_config.generation(),
+            targets: targets.iter().map(target_status).collect(),
         }))
     }
 
     async fn plan(&self, req: Request<PlanRequest>) -> Result<Response<PlanResponse>, Status> {
         let req = req.into_inner();
-        let admission = Admission::new(&self.shared, "");
-        let configuration = admission.configuration()?;
+        let validator = RequestValidator::new(&self.shared, "");
+        let configuration = validator.configuration()?;
         let Some(adapter) = configuration.adapter(&req.adapter) else {
-            return Err(admission.bad("adapter", "not a known adapter"));
+            return Err(validator.invalid_field("adapter", "not a known adapter"));
         };
-        let ask = RouteRequest {
+        let request = RouteRequest {
             requirement: TargetRequirement::Adapter {
                 adapter: adapter.name.to_string(),
                 version: req.version,
@@ -170,7 +171,7 @@
             tokens: 0,
             excluded: Vec::new(),
         };
-        let routes = self.shared.control.plan(ask).await;
+        let routes = self.shared.control.plan(request).await;
         let targets = routes.into_iter().map(|route| PlannedTarget {
             r#box: route.target,
             expected_wait_ms: route.expected_wait.as_millis() as u64,
@@ -188,7 +189,7 @@
         let req = req.into_inner();
         let wait = Duration::from_millis(u64::from(req.timeout_ms)).min(MAX_WAIT);
         let deadline = clock::now() + wait;
-        let missing = wait_in_force(&self.shared, req.generation, deadline).await;
+        let missing = wait_for_generation(&self.shared, req.generation, deadline).await;
         Ok(Response::new(WaitInForceResponse {
             in_force: missing.is_empty(),
             missing,
@@ -196,22 +197,22 @@
     }
 }
 
-fn target_status(row: &TargetRow) -> TargetStatus {
-    let role = match &row.listed.role {
+fn target_status(target: &TargetSummary) -> TargetStatus {
+    let role = match &target.listed.role {
         Role::Entry => "entry".to_string(),
         Role::Engine { base_model } => format!("engine {base_model}"),
         Role::Service { service } => format!("service {service}"),
     };
-    let report = row.report.as_ref();
+    let report = target.report.as_ref();
     TargetStatus {
-        r#box: row.listed.name.clone(),
-        zone: row.listed.zone.clone(),
+        r#box: target.listed.name.clone(),
+        zone: target.listed.zone.clone(),
         role,
-        leaving: row.leaving,
-        suspect: row.suspect,
+        leaving: target.is_leaving,
+        suspect: target.is_suspect,
         queued_tokens: report.map_or(0, |r| r.queued_tokens),
         running: report.map_or(0, |r| r.running),
         generation: report.map_or(0, |r| r.generation),
-        heard_ms_ago: row.heard_ago.map(|ago| ago.as_millis() as u64),
+        heard_ms_ago: target.report_age.map(|age| age.as_millis() as u64),
     }
 }
