--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/admission_exchange.rs
@@ -11,7 +11,7 @@
 const ANSWER_LIMIT: Duration = Duration::from_millis(200);
 
 /// asks the sidecars of limited engines how many requests may be sent there
-pub struct IntakeExchange {
+pub struct AdmissionExchange {
     runtime: Handle,
     control: ControlHandle,
     peers: PeerClient,
@@ -19,7 +19,7 @@
     sidecar_port: u16,
 }
 
-impl IntakeExchange {
+impl AdmissionExchange {
     pub fn new(runtime: Handle, control: ControlHandle, sidecar_port: u16) -> Self {
         Self {
             runtime,
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        crashes::Crashes, figures_board::FiguresBoard, fleet_links::FleetLinks,
-        intake_exchange::IntakeExchange,
+        admission_exchange::AdmissionExchange, crashes::Crashes, figures_board::FiguresBoard,
+        fleet_links::FleetLinks,
     },
     anyhow::{Context, Result},
     arc_swap::ArcSwap,
@@ -125,7 +125,7 @@
 struct ControlLoop {
     dispatcher: Dispatcher,
     links: FleetLinks,
-    intake: IntakeExchange,
+    intake: AdmissionExchange,
     figures: Arc<FiguresBoard>,
     crashes: Arc<Crashes>,
     askers: HashMap<Ticket, oneshot::Sender<Decision>>,
@@ -142,7 +142,7 @@
 pub fn start(
     dispatcher: Dispatcher,
     crashes: Arc<Crashes>,
-    make_links: impl FnOnce(ControlHandle) -> (FleetLinks, IntakeExchange),
+    make_links: impl FnOnce(ControlHandle) -> (FleetLinks, AdmissionExchange),
 ) -> Result<ControlHandle> {
     let (commands, received) = mpsc::channel();
     let figures = Arc::new(FiguresBoard::default());
--- a/entry/src/ingress/mod.rs
+++ b/entry/src/ingress/mod.rs
@@ -2,6 +2,7 @@
 //! to the back ends that the control thread chooses
 
 mod admission;
+mod admission_exchange;
 mod answers;
 mod control;
 mod crash_exchange;
@@ -10,7 +11,6 @@
 mod exchange_log;
 mod figures_board;
 mod fleet_links;
-mod intake_exchange;
 mod observers;
 mod operator_pages;
 mod records;
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -1,10 +1,10 @@
 use {
     super::{
+        admission_exchange::AdmissionExchange,
         control,
         crash_exchange::exchange_crashes,
         crashes::Crashes,
         fleet_links::{FleetLinks, LinkSettings},
-        intake_exchange::IntakeExchange,
         operator_pages,
         records::EntryRecords,
         service::RoutedIngress,
@@ -73,7 +73,7 @@
     let crashes = Arc::new(Crashes::default());
     let control = control::start(dispatcher, crashes.clone(), |control| {
         let sidecar_port = link_settings.sidecar_port;
-        let intake = IntakeExchange::new(runtime.clone(), control.clone(), sidecar_port);
+        let intake = AdmissionExchange::new(runtime.clone(), control.clone(), sidecar_port);
         (FleetLinks::new(link_settings, runtime, control), intake)
     })?;
     let shared = Arc::new(Shared::new(settings, control, crashes, dialect));
