--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        admission_exchange::AdmissionExchange, crashes::Crashes, figures_board::FiguresBoard,
-        fleet_links::FleetLinks,
+        admission_exchange::AdmissionExchange, crashes::Crashes,
+        engine_stats_buffer::EngineStatsBuffer, fleet_links::FleetLinks,
     },
     anyhow::{Context, Result},
     arc_swap::ArcSwap,
@@ -56,7 +56,7 @@
 #[derive(Clone)]
 pub struct ControlHandle {
     commands: mpsc::Sender<Command>,
-    figures: Arc<FiguresBoard>,
+    figures: Arc<EngineStatsBuffer>,
     reach: Arc<AtomicBool>,
     waiting: Arc<AtomicUsize>,
     entries: Arc<AtomicU32>,
@@ -126,7 +126,7 @@
     dispatcher: Dispatcher,
     links: FleetLinks,
     intake: AdmissionExchange,
-    figures: Arc<FiguresBoard>,
+    figures: Arc<EngineStatsBuffer>,
     crashes: Arc<Crashes>,
     askers: HashMap<Ticket, oneshot::Sender<Decision>>,
     last_urgent: Instant,
@@ -145,7 +145,7 @@
     make_links: impl FnOnce(ControlHandle) -> (FleetLinks, AdmissionExchange),
 ) -> Result<ControlHandle> {
     let (commands, received) = mpsc::channel();
-    let figures = Arc::new(FiguresBoard::default());
+    let figures = Arc::new(EngineStatsBuffer::default());
     let reach = Arc::new(AtomicBool::new(true));
     let waiting = Arc::new(AtomicUsize::new(0));
     let entries = Arc::new(AtomicU32::new(0));
--- a/entry/src/ingress/figures_board.rs
+++ b/entry/src/ingress/engine_stats_buffer.rs
@@ -13,11 +13,11 @@
 /// that is due at once, so they wait here until the control thread wakes for
 /// another reason.
 #[derive(Debug, Default)]
-pub struct FiguresBoard {
+pub struct EngineStatsBuffer {
     newest: Mutex<HashMap<BackendId, EngineStats>>,
 }
 
-impl FiguresBoard {
+impl EngineStatsBuffer {
     pub fn put(&self, backend: &BackendId, figures: EngineStats) {
         let mut newest = self.lock();
         match newest.get_mut(backend) {
