--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         admission::{Admission, NotAdmitted},
-        answers::OwnAnswer,
+        local_response::LocalResponse,
         observers::{SendGuard, StreamObserver, WaitGuard},
         service::{find_route, Accepted},
         shared::Shared,
@@ -291,8 +291,8 @@
         }
     }
 
-    fn own(&self) -> OwnAnswer<'_> {
-        OwnAnswer {
+    fn own(&self) -> LocalResponse<'_> {
+        LocalResponse {
             dialect: self.shared.dialect.as_ref(),
             request_id: Some(&self.accepted.head.id),
         }
--- a/entry/src/ingress/answers.rs
+++ b/entry/src/ingress/local_response.rs
@@ -10,12 +10,12 @@
 };
 
 /// an answer of our own to a request whose id may be known
-pub struct OwnAnswer<'a> {
+pub struct LocalResponse<'a> {
     pub dialect: &'a dyn Dialect,
     pub request_id: Option<&'a str>,
 }
 
-impl OwnAnswer<'_> {
+impl LocalResponse<'_> {
     /// a status with one line of text
     pub fn plain(&self, status: StatusCode, line: &str) -> ClientResponse {
         let body = Full::new(Bytes::from(format!("{line}\n")));
--- a/entry/src/ingress/mod.rs
+++ b/entry/src/ingress/mod.rs
@@ -3,7 +3,6 @@
 
 mod admission;
 mod admission_exchange;
-mod answers;
 mod control;
 mod crash_exchange;
 mod crashes;
@@ -11,6 +10,7 @@
 mod exchange;
 mod exchange_log;
 mod fleet_links;
+mod local_response;
 mod observers;
 mod operator_pages;
 mod records;
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         admission::{Caller, Charge, NotAdmitted},
-        answers::OwnAnswer,
         exchange::Exchange,
+        local_response::LocalResponse,
         shared::Shared,
     },
     async_trait::async_trait,
@@ -89,7 +89,7 @@
     /// say why a request goes no further
     fn turn_away(
         &self,
-        own: &OwnAnswer,
+        own: &LocalResponse,
         status: StatusCode,
         line: &str,
         parts: &Parts,
@@ -174,7 +174,7 @@
         let (mut parts, body) = req.into_parts();
         let head = self.shared.dialect.read_request(&parts.headers);
         let id = head.as_ref().ok().map(|head| head.id.clone());
-        let own = OwnAnswer {
+        let own = LocalResponse {
             dialect: self.shared.dialect.as_ref(),
             request_id: id.as_deref(),
         };
