--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -26,7 +26,7 @@
 
 /// why a request with or without a key goes no further
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NotAdmitted {
+pub enum AdmissionError {
     /// what is known may be older than keys may be used for
     #[error("configuration not known to be current")]
     Outdated,
@@ -95,15 +95,15 @@
         table: &RouteTable,
         route: &Route,
         key: Result<ApiKeyDigest, ApiKeyError>,
-    ) -> Result<Option<Caller>, NotAdmitted> {
+    ) -> Result<Option<Caller>, AdmissionError> {
         let Some(accounts) = table.accounts.as_ref().filter(|_| !route.is_public) else {
             return Ok(None);
         };
         if !self.is_current() {
-            return Err(NotAdmitted::Outdated);
+            return Err(AdmissionError::Outdated);
         }
-        let key = key.map_err(NotAdmitted::Key)?;
-        let account = accounts.find(&key).ok_or(NotAdmitted::UnknownKey)?;
+        let key = key.map_err(AdmissionError::Key)?;
+        let account = accounts.find(&key).ok_or(AdmissionError::UnknownKey)?;
         let account = account.clone();
         Ok(Some(Caller { account, key }))
     }
@@ -114,15 +114,15 @@
     ///
     /// # Errors
     /// the key is another's by now, or what is known is too old to say so
-    pub fn admit_again(&self, table: &RouteTable, caller: &Caller) -> Result<(), NotAdmitted> {
+    pub fn admit_again(&self, table: &RouteTable, caller: &Caller) -> Result<(), AdmissionError> {
         if !self.is_current() {
-            return Err(NotAdmitted::Outdated);
+            return Err(AdmissionError::Outdated);
         }
         let accounts = table.accounts.as_ref();
         let known = accounts.and_then(|accounts| accounts.find(&caller.key));
         match known.is_some_and(|account| account.name == caller.account.name) {
             true => Ok(()),
-            false => Err(NotAdmitted::UnknownKey),
+            false => Err(AdmissionError::UnknownKey),
         }
     }
 
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        admission::{Admission, NotAdmitted},
+        admission::{Admission, AdmissionError},
         local_response::LocalResponse,
         observers::{SendGuard, StreamObserver, WaitGuard},
         service::{find_route, Accepted},
@@ -134,7 +134,7 @@
             if let Err(cause) = self.admit_again() {
                 self.decline(&assignment, &cause.to_string());
                 return match cause {
-                    NotAdmitted::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
+                    AdmissionError::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
                     _ => self.own().plain(StatusCode::UNAUTHORIZED, KEY_GONE),
                 };
             }
@@ -245,12 +245,12 @@
     }
 
     /// whether the caller's key is still its own
-    fn admit_again(&self) -> Result<(), NotAdmitted> {
+    fn admit_again(&self) -> Result<(), AdmissionError> {
         let Some(caller) = &self.accepted.caller else {
             return Ok(());
         };
         let table = self.shared.table.load();
-        let table = table.as_ref().ok_or(NotAdmitted::Outdated)?;
+        let table = table.as_ref().ok_or(AdmissionError::Outdated)?;
         self.shared.admission.admit_again(table, caller)
     }
 
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        admission::{Caller, Charge, NotAdmitted},
+        admission::{AdmissionError, Caller, Charge},
         exchange::Exchange,
         local_response::LocalResponse,
         shared::Shared,
@@ -196,8 +196,8 @@
         let caller = self.shared.admission.admit(&table, &route, key);
         let caller = caller.map_err(|cause| {
             let status = match cause {
-                NotAdmitted::Outdated => StatusCode::SERVICE_UNAVAILABLE,
-                NotAdmitted::Key(_) | NotAdmitted::UnknownKey => StatusCode::UNAUTHORIZED,
+                AdmissionError::Outdated => StatusCode::SERVICE_UNAVAILABLE,
+                AdmissionError::Key(_) | AdmissionError::UnknownKey => StatusCode::UNAUTHORIZED,
             };
             self.turn_away(&own, status, &cause.to_string(), &parts)
         })?;
