--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -49,7 +49,7 @@
 const REGIONS_CHANGED: &str = "its allowed regions changed";
 
 /// one request on its way: waits, sends and repeats
-pub struct Exchange {
+pub struct RequestExchange {
     pub(super) shared: Arc<Shared>,
     ticket: Ticket,
     pub(super) accepted: Accepted,
@@ -72,7 +72,7 @@
     TimedOut,
 }
 
-impl Exchange {
+impl RequestExchange {
     pub fn new(shared: Arc<Shared>, accepted: Accepted) -> Self {
         let route = &accepted.route;
         let patience = accepted.head.deadline.unwrap_or(route.timeout);
--- a/entry/src/ingress/exchange_log.rs
+++ b/entry/src/ingress/request_exchange_log.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         admission::Charge,
-        exchange::{elapsed_ms, Exchange},
+        request_exchange::{elapsed_ms, RequestExchange},
     },
     chalkcart_coordination::dispatch::{Assignment, DecisionInputs, RejectionCause},
     chalkcart_transport::clock,
@@ -11,7 +11,7 @@
     std::time::Duration,
 };
 
-impl Exchange {
+impl RequestExchange {
     pub(super) fn log_send(&self, to: &Assignment) {
         let inputs = &to.inputs;
         let route = &self.accepted.route.name;
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         admission::{AdmissionError, Caller, Charge},
-        exchange::Exchange,
         local_response::LocalResponse,
+        request_exchange::RequestExchange,
         shared::Shared,
     },
     async_trait::async_trait,
@@ -73,7 +73,9 @@
         let request = accepted.head.id.clone();
         let route = accepted.route.clone();
         let arrived = accepted.arrived;
-        let response = Exchange::new(self.shared.clone(), accepted).run().await;
+        let response = RequestExchange::new(self.shared.clone(), accepted)
+            .run()
+            .await;
         let status = response.status().as_u16();
         self.shared.metrics.on_answer(&route.name, status);
         log::info!(
