--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -69,12 +69,12 @@
     }
 
     /// whether keys and routes that are not known can be told from new ones
-    pub fn is_current(&self) -> bool {
+    pub fn is_config_current(&self) -> bool {
         self.lease().is_valid(clock::now())
     }
     /// time since the configuration in hand was known to be the newest, in ms; -1
     /// if it never was
-    pub fn age_ms(&self) -> i64 {
+    pub fn config_age_ms(&self) -> i64 {
         let age = self.lease().age(clock::now());
         age.map_or(-1, |age| age.as_millis() as i64)
     }
@@ -99,7 +99,7 @@
         let Some(accounts) = table.accounts.as_ref().filter(|_| !route.is_public) else {
             return Ok(None);
         };
-        if !self.is_current() {
+        if !self.is_config_current() {
             return Err(AdmissionError::Outdated);
         }
         let key = key.map_err(AdmissionError::Key)?;
@@ -114,8 +114,8 @@
     ///
     /// # Errors
     /// the key is another's by now, or what is known is too old to say so
-    pub fn admit_again(&self, table: &RouteTable, caller: &Caller) -> Result<(), AdmissionError> {
-        if !self.is_current() {
+    pub fn revalidate(&self, table: &RouteTable, caller: &Caller) -> Result<(), AdmissionError> {
+        if !self.is_config_current() {
             return Err(AdmissionError::Outdated);
         }
         let accounts = table.accounts.as_ref();
@@ -144,7 +144,7 @@
     }
 
     /// a request came that is to be charged to its account's limit
-    pub fn ask(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
+    pub fn record_request(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
         self.limits()
             .record_request(account.fingerprint, limit, units, now);
--- a/entry/src/ingress/admission_exchange.rs
+++ b/entry/src/ingress/admission_exchange.rs
@@ -30,7 +30,7 @@
     }
 
     /// ask, and tell the control thread what came of it
-    pub fn ask(&self, question: PermitQuery) {
+    pub fn request_permits(&self, question: PermitQuery) {
         let (peers, control) = (self.peers.clone(), self.control.clone());
         let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
@@ -42,7 +42,7 @@
             let answer =
                 peers.call::<_, AdmissionResponse>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
-            control.tell(DispatchEvent::PermitsReceived {
+            control.send_event(DispatchEvent::PermitsReceived {
                 backend: report.backend,
                 requested_at,
                 response: answer,
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        admission_exchange::AdmissionExchange, crashes::Crashes,
-        engine_stats_buffer::EngineStatsBuffer, fleet_links::FleetLinks,
+        admission_exchange::AdmissionExchange, engine_stats_buffer::EngineStatsBuffer,
+        fleet_links::FleetLinks, shared_crash_registry::SharedCrashRegistry,
     },
     anyhow::{Context, Result},
     arc_swap::ArcSwap,
@@ -45,7 +45,7 @@
 
 enum Command {
     Event(DispatchEvent),
-    Ask {
+    Dispatch {
         ticket: Ticket,
         ask: DispatchRequest,
         answer: oneshot::Sender<Decision>,
@@ -56,7 +56,7 @@
 #[derive(Clone)]
 pub struct ControlHandle {
     commands: mpsc::Sender<Command>,
-    figures: Arc<EngineStatsBuffer>,
+    stats: Arc<EngineStatsBuffer>,
     reach: Arc<AtomicBool>,
     waiting: Arc<AtomicUsize>,
     entries: Arc<AtomicU32>,
@@ -64,24 +64,24 @@
 }
 
 impl ControlHandle {
-    pub fn tell(&self, event: DispatchEvent) {
+    pub fn send_event(&self, event: DispatchEvent) {
         // the control thread ends only with the process
         let _ = self.commands.send(Command::Event(event));
     }
     /// whether any back end was heard of lately
-    pub fn reaches_backends(&self) -> bool {
+    pub fn can_reach_backends(&self) -> bool {
         self.reach.load(Ordering::Relaxed)
     }
     /// requests that wait for a back end
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
     /// entries of the fleet, as the sidecars count them
-    pub fn entries(&self) -> u32 {
-        self.counted_entries().unwrap_or(ENTRIES_UNCOUNTED)
+    pub fn entry_count(&self) -> u32 {
+        self.reported_entry_count().unwrap_or(ENTRIES_UNCOUNTED)
     }
     /// the same, none before a sidecar has counted them
-    pub fn counted_entries(&self) -> Option<u32> {
+    pub fn reported_entry_count(&self) -> Option<u32> {
         let counted = self.entries.load(Ordering::Relaxed);
         (counted > 0).then_some(counted)
     }
@@ -92,7 +92,7 @@
     /// ask for a back end; none if the control thread is gone
     pub async fn decide(&self, ticket: Ticket, ask: DispatchRequest) -> Option<Decision> {
         let (answer, answered) = oneshot::channel();
-        let command = Command::Ask {
+        let command = Command::Dispatch {
             ticket,
             ask,
             answer,
@@ -104,17 +104,17 @@
 
 impl ViewSink for ControlHandle {
     fn on_view(&self, engine: SocketAddr, view: EngineView) {
-        self.tell(DispatchEvent::ViewReceived { addr: engine, view });
+        self.send_event(DispatchEvent::ViewReceived { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
-    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
-        self.figures.put(backend, figures);
+    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
+        self.stats.insert(backend, stats);
     }
     fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
-        self.tell(DispatchEvent::ViewLost(backend.clone()));
+        self.send_event(DispatchEvent::ViewLost(backend.clone()));
     }
     fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
-        self.tell(DispatchEvent::DemandSent {
+        self.send_event(DispatchEvent::DemandSent {
             addr: engine,
             is_accepted: is_taken,
         });
@@ -125,10 +125,10 @@
 struct ControlLoop {
     dispatcher: Dispatcher,
     links: FleetLinks,
-    intake: AdmissionExchange,
-    figures: Arc<EngineStatsBuffer>,
-    crashes: Arc<Crashes>,
-    askers: HashMap<Ticket, oneshot::Sender<Decision>>,
+    admission: AdmissionExchange,
+    stats: Arc<EngineStatsBuffer>,
+    crashes: Arc<SharedCrashRegistry>,
+    reply_senders: HashMap<Ticket, oneshot::Sender<Decision>>,
     last_urgent: Instant,
     last_changed: Instant,
     last_all: Instant,
@@ -141,32 +141,32 @@
 /// start the control thread; it ends when the last handle is gone
 pub fn start(
     dispatcher: Dispatcher,
-    crashes: Arc<Crashes>,
+    crashes: Arc<SharedCrashRegistry>,
     make_links: impl FnOnce(ControlHandle) -> (FleetLinks, AdmissionExchange),
 ) -> Result<ControlHandle> {
     let (commands, received) = mpsc::channel();
-    let figures = Arc::new(EngineStatsBuffer::default());
+    let stats = Arc::new(EngineStatsBuffer::default());
     let reach = Arc::new(AtomicBool::new(true));
     let waiting = Arc::new(AtomicUsize::new(0));
     let entries = Arc::new(AtomicU32::new(0));
     let engines = Arc::new(ArcSwap::default());
     let handle = ControlHandle {
         commands,
-        figures: figures.clone(),
+        stats: stats.clone(),
         reach: reach.clone(),
         waiting: waiting.clone(),
         entries: entries.clone(),
         engines: engines.clone(),
     };
     let now = clock::now();
-    let (links, intake) = make_links(handle.clone());
+    let (links, admission) = make_links(handle.clone());
     let mut control = ControlLoop {
         dispatcher,
         links,
-        intake,
-        figures,
+        admission,
+        stats,
         crashes,
-        askers: HashMap::new(),
+        reply_senders: HashMap::new(),
         last_urgent: now,
         last_changed: now,
         last_all: now,
@@ -185,7 +185,7 @@
     fn run(&mut self, received: &mpsc::Receiver<Command>) {
         loop {
             let command = received.recv_timeout(self.next_tick());
-            self.take_figures();
+            self.take_stats();
             match command {
                 Ok(command) => self.handle(command),
                 Err(RecvTimeoutError::Timeout) => self.on_event(DispatchEvent::Tick),
@@ -196,16 +196,13 @@
             let waiting = self.dispatcher.waiting_count();
             self.waiting.store(waiting, Ordering::Relaxed);
             self.send_demands();
-            self.ask_dealers();
+            self.request_permits();
         }
     }
 
-    fn take_figures(&mut self) {
-        for (backend, figures) in self.figures.take() {
-            self.on_event(DispatchEvent::StatsReceived {
-                backend,
-                stats: figures,
-            });
+    fn take_stats(&mut self) {
+        for (backend, stats) in self.stats.take_all() {
+            self.on_event(DispatchEvent::StatsReceived { backend, stats });
         }
     }
 
@@ -220,12 +217,12 @@
     fn handle(&mut self, command: Command) {
         match command {
             Command::Event(event) => self.on_event(event),
-            Command::Ask {
+            Command::Dispatch {
                 ticket,
                 ask,
                 answer,
             } => {
-                self.askers.insert(ticket, answer);
+                self.reply_senders.insert(ticket, answer);
                 self.on_event(DispatchEvent::RequestArrived {
                     ticket,
                     request: ask,
@@ -242,10 +239,10 @@
             DispatchEvent::ListUpdated { .. } | DispatchEvent::ConfigUpdated(_)
         );
         if let DispatchEvent::RequestWithdrawn(ticket) = &event {
-            self.askers.remove(ticket);
+            self.reply_senders.remove(ticket);
         }
         for (ticket, decision) in self.dispatcher.handle(event, clock::now()) {
-            if let Some(answer) = self.askers.remove(&ticket) {
+            if let Some(answer) = self.reply_senders.remove(&ticket) {
                 // an asker that is gone says so by itself
                 let _ = answer.send(decision);
             }
@@ -253,9 +250,10 @@
         self.dispatcher
             .take_requested_loads()
             .iter()
-            .for_each(log_wished);
-        self.crashes.on_served(self.dispatcher.take_completed());
-        self.crashes.on_crashes(self.dispatcher.take_crashes());
+            .for_each(log_requested_load);
+        self.crashes.on_completed(self.dispatcher.take_completed());
+        self.crashes
+            .on_engine_crashes(self.dispatcher.take_crashes());
         if may_change_engines {
             let dispatcher = &self.dispatcher;
             let engines = dispatcher.listed_backends().filter(|b| {
@@ -269,13 +267,15 @@
             let candidates: Vec<RelayCandidate> = candidates.collect();
             let engines = candidates.iter().map(|c| c.engine).collect();
             self.engines.store(Arc::new(engines));
-            self.links.follow(candidates);
+            self.links.set_engines(candidates);
         }
     }
 
-    fn ask_dealers(&mut self) {
+    fn request_permits(&mut self) {
         let questions = self.dispatcher.permit_queries(clock::now());
-        questions.into_iter().for_each(|q| self.intake.ask(q));
+        questions
+            .into_iter()
+            .for_each(|q| self.admission.request_permits(q));
     }
 
     fn demands_due(&self, now: Instant) -> Option<DueDemands> {
@@ -311,7 +311,7 @@
     }
 }
 
-fn log_wished(wished: &RequestedLoad) {
+fn log_requested_load(wished: &RequestedLoad) {
     let backends: Vec<String> = wished.backends.iter().map(ToString::to_string).collect();
     log::info!(
         adapter = wished.adapter.to_string().as_str(),
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -102,7 +102,7 @@
     /// tell what the keeper does not know, or wait for what others tell it
     async fn exchange(&mut self, present: Present) -> Result<(), ClientError> {
         self.changed.mark_unchanged();
-        let (words, told) = self.shared.crashes.words_after(present.told);
+        let (words, told) = self.shared.crashes.reports_since(present.told);
         let is_held = words.is_empty() && present.heard.is_some();
         let wait = if is_held { HELD_FOR } else { Duration::ZERO };
         let ask = CrashRequest {
--- a/entry/src/ingress/fleet_links.rs
+++ b/entry/src/ingress/fleet_links.rs
@@ -49,7 +49,7 @@
     }
 
     /// hear the sidecars of these engines, and of no other
-    pub fn follow(&mut self, engines: Vec<RelayCandidate>) {
+    pub fn set_engines(&mut self, engines: Vec<RelayCandidate>) {
         if !self.wants_relay(engines.len()) {
             self.relay = None;
             self.direct.follow(engines.iter().map(|c| c.engine));
@@ -59,7 +59,7 @@
         let relay = self.relay.get_or_insert_with(|| {
             RelayLink::open(&self.runtime, &self.settings, self.control.clone())
         });
-        relay.follow(engines);
+        relay.set_engines(engines);
     }
 
     fn wants_relay(&self, engines: usize) -> bool {
--- a/entry/src/ingress/local_response.rs
+++ b/entry/src/ingress/local_response.rs
@@ -17,7 +17,7 @@
 
 impl LocalResponse<'_> {
     /// a status with one line of text
-    pub fn plain(&self, status: StatusCode, line: &str) -> ClientResponse {
+    pub fn text(&self, status: StatusCode, line: &str) -> ClientResponse {
         let body = Full::new(Bytes::from(format!("{line}\n")));
         let mut response = Response::new(Either::Left(body));
         *response.status_mut() = status;
@@ -30,17 +30,22 @@
     }
 
     /// the request has not run and never will; it may come again
-    pub fn not_run(&self, line: &str, retry_after: Duration) -> ClientResponse {
-        self.refused(StatusCode::SERVICE_UNAVAILABLE, line, retry_after)
+    pub fn service_unavailable(&self, line: &str, retry_after: Duration) -> ClientResponse {
+        self.with_retry_after(StatusCode::SERVICE_UNAVAILABLE, line, retry_after)
     }
 
     /// the same for a caller that is over its limit
-    pub fn over_limit(&self, line: &str, retry_after: Duration) -> ClientResponse {
-        self.refused(StatusCode::TOO_MANY_REQUESTS, line, retry_after)
+    pub fn too_many_requests(&self, line: &str, retry_after: Duration) -> ClientResponse {
+        self.with_retry_after(StatusCode::TOO_MANY_REQUESTS, line, retry_after)
     }
 
-    fn refused(&self, status: StatusCode, line: &str, retry_after: Duration) -> ClientResponse {
-        let mut response = self.plain(status, line);
+    fn with_retry_after(
+        &self,
+        status: StatusCode,
+        line: &str,
+        retry_after: Duration,
+    ) -> ClientResponse {
+        let mut response = self.text(status, line);
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             response.headers_mut().insert(RETRY_AFTER, value);
--- a/entry/src/ingress/observers.rs
+++ b/entry/src/ingress/observers.rs
@@ -38,7 +38,7 @@
         if !self.has_started {
             self.has_started = true;
             self.control
-                .tell(DispatchEvent::ResponseStarted(self.ticket));
+                .send_event(DispatchEvent::ResponseStarted(self.ticket));
         }
     }
     pub fn end(&mut self, outcome: SendOutcome) {
@@ -46,7 +46,7 @@
             self.has_ended = true;
             let ticket = self.ticket;
             self.control
-                .tell(DispatchEvent::SendEnded { ticket, outcome });
+                .send_event(DispatchEvent::SendEnded { ticket, outcome });
         }
     }
 }
@@ -137,10 +137,11 @@
             return;
         }
         let ticket = self.ticket;
-        self.control.tell(DispatchEvent::RequestWithdrawn(ticket));
+        self.control
+            .send_event(DispatchEvent::RequestWithdrawn(ticket));
         // it may have been decided at the same moment
         let outcome = SendOutcome::Abandoned;
         self.control
-            .tell(DispatchEvent::SendEnded { ticket, outcome });
+            .send_event(DispatchEvent::SendEnded { ticket, outcome });
     }
 }
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -104,7 +104,8 @@
         };
         let mut is_urgent = is_whole;
         for record in heard.records {
-            self.unreadable.note(&record, &self.shared.metrics);
+            self.unreadable
+                .record_if_unreadable(&record, &self.shared.metrics);
             is_urgent |= match &record {
                 Record::Unreadable {
                     subject: RecordSubject::Backend(name),
@@ -120,17 +121,18 @@
         list.is_untold = false;
         list.told = Some(clock::now());
         let told = list.backends.values().cloned().collect();
-        self.shared.set_knows_backends();
+        self.shared.set_has_backend_list();
         self.shared.metrics.on_list(heard.at);
         let version = heard.at;
-        self.shared.control.tell(DispatchEvent::ListUpdated {
+        self.shared.control.send_event(DispatchEvent::ListUpdated {
             version,
             list: told,
         });
     }
 
     fn take_configuration(&self, record: Record) {
-        self.unreadable.note(&record, &self.shared.metrics);
+        self.unreadable
+            .record_if_unreadable(&record, &self.shared.metrics);
         match record {
             Record::Table(table) => {
                 self.shared.admission.lease().on_configuration(true);
@@ -138,7 +140,7 @@
             }
             Record::AdapterVersion { adapter, version } => {
                 let event = DispatchEvent::VersionAnnounced { adapter, version };
-                self.shared.control.tell(event);
+                self.shared.control.send_event(event);
             }
             Record::Zone { .. } => {}
             Record::Unreadable {
@@ -178,7 +180,7 @@
         let zones = known.clone();
         self.shared
             .control
-            .tell(DispatchEvent::ZonesEvacuated(zones));
+            .send_event(DispatchEvent::ZonesEvacuated(zones));
     }
 
     /// a configuration never goes back to an earlier version
@@ -213,7 +215,7 @@
         self.shared.table.store(Some(table.clone()));
         self.shared
             .control
-            .tell(DispatchEvent::ConfigUpdated(table));
+            .send_event(DispatchEvent::ConfigUpdated(table));
     }
 }
 
@@ -232,9 +234,9 @@
     fn pause(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
-            Topic::Backends if self.source.hears_relay() => PAUSE_BY_RELAY,
+            Topic::Backends if self.source.is_relayed() => PAUSE_BY_RELAY,
             Topic::Backends => {
-                let entries = self.shared.control.entries();
+                let entries = self.shared.control.entry_count();
                 self.shared.list_pacing().pause(entries)
             }
         }
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -70,11 +70,11 @@
     }
 
     /// hear the sidecars of these engines, and of no other
-    pub fn follow(&self, engines: Vec<RelayCandidate>) {
+    pub fn set_engines(&self, engines: Vec<RelayCandidate>) {
         self.outbox.set_candidates(engines);
     }
     pub fn send(&self, engine: SocketAddr, demand: AdapterDemand) {
-        self.outbox.put(engine, demand);
+        self.outbox.set_demand(engine, demand);
     }
 }
 
@@ -125,7 +125,7 @@
     async fn use_relay(&mut self, engine: SocketAddr, relay: SocketAddr) -> End {
         let (peers, outbox) = (self.peers.clone(), self.outbox.clone());
         tokio::select! {
-            e = outbox.post_to(&peers, relay) => End::Failed(e),
+            e = outbox.run(&peers, relay) => End::Failed(e),
             end = self.read_from(engine, relay) => end,
         }
     }
--- a/entry/src/ingress/relay_outbox.rs
+++ b/entry/src/ingress/relay_outbox.rs
@@ -66,7 +66,7 @@
     }
 
     /// what is needed of one engine
-    pub fn put(&self, engine: SocketAddr, demand: AdapterDemand) {
+    pub fn set_demand(&self, engine: SocketAddr, demand: AdapterDemand) {
         let mut content = self.content();
         let told = content.demands.get(&engine);
         if told.is_some_and(|told| told.is_equivalent_to(&demand)) {
@@ -78,7 +78,7 @@
     }
 
     /// tell a relay all, then what changes, until it can't be reached
-    pub async fn post_to(&self, peers: &PeerClient, relay: SocketAddr) -> ClientError {
+    pub async fn run(&self, peers: &PeerClient, relay: SocketAddr) -> ClientError {
         let (mut is_whole, mut failed) = (true, 0);
         loop {
             let message = self.take_message(is_whole);
--- a/entry/src/ingress/request_exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -3,7 +3,7 @@
         admission::{Admission, AdmissionError},
         local_response::LocalResponse,
         observers::{SendGuard, StreamObserver, WaitGuard},
-        service::{find_route, Accepted},
+        service::{find_route, AcceptedRequest},
         shared::Shared,
     },
     bytes::Bytes,
@@ -52,7 +52,7 @@
 pub struct RequestExchange {
     pub(super) shared: Arc<Shared>,
     ticket: Ticket,
-    pub(super) accepted: Accepted,
+    pub(super) accepted: AcceptedRequest,
     deadline: Instant,
     pub(super) ask: DispatchRequest,
     /// the table by which its allowed regions are known
@@ -73,7 +73,7 @@
 }
 
 impl RequestExchange {
-    pub fn new(shared: Arc<Shared>, accepted: Accepted) -> Self {
+    pub fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Self {
         let route = &accepted.route;
         let patience = accepted.head.deadline.unwrap_or(route.timeout);
         let deadline = accepted.arrived + patience.min(route.timeout);
@@ -93,7 +93,7 @@
             arrived_at: accepted.arrived,
             deadline,
             tried_backends: Vec::new(),
-            was_rejected_before: shared.has_returned(route, accepted.head.deadline),
+            was_rejected_before: shared.is_client_retry(route, accepted.head.deadline),
             is_load_time_checked: false,
             send_count: 0,
             start_tag: 0,
@@ -135,7 +135,7 @@
                 self.decline(&assignment, &cause.to_string());
                 return match cause {
                     AdmissionError::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
-                    _ => self.own().plain(StatusCode::UNAUTHORIZED, KEY_GONE),
+                    _ => self.own().text(StatusCode::UNAUTHORIZED, KEY_GONE),
                 };
             }
             // they may be others since it began to wait
@@ -155,7 +155,7 @@
                 Attempt::Answered(response) => return response,
                 Attempt::TimedOut => {
                     self.log_attempt(&assignment, "timed_out", None);
-                    return self.own().plain(StatusCode::GATEWAY_TIMEOUT, LATE);
+                    return self.own().text(StatusCode::GATEWAY_TIMEOUT, LATE);
                 }
                 Attempt::NotRun(outcome) => {
                     self.set_may_have_run(self.runs > 0);
@@ -206,8 +206,8 @@
             return failure;
         }
         match self.runs {
-            0 => self.own().not_run(reason, retry_after),
-            _ => self.own().plain(StatusCode::BAD_GATEWAY, reason),
+            0 => self.own().service_unavailable(reason, retry_after),
+            _ => self.own().text(StatusCode::BAD_GATEWAY, reason),
         }
     }
 
@@ -231,13 +231,13 @@
         );
         self.shared.crashes.metrics.refused.inc();
         Some(match self.runs {
-            0 => self.own().plain(StatusCode::BAD_REQUEST, ENDS_ENGINES),
+            0 => self.own().text(StatusCode::BAD_REQUEST, ENDS_ENGINES),
             _ => self.give_up(ENDS_ENGINES, LATE_RETRY),
         })
     }
 
     fn standing(&self) -> RequestVerdict {
-        self.shared.crashes.judge(&self.accepted.digest)
+        self.shared.crashes.verdict(&self.accepted.digest)
     }
     /// whether it may end the engine that runs it, for all that is known
     fn is_suspected(&self) -> bool {
@@ -251,7 +251,7 @@
         };
         let table = self.shared.table.load();
         let table = table.as_ref().ok_or(AdmissionError::Outdated)?;
-        self.shared.admission.admit_again(table, caller)
+        self.shared.admission.revalidate(table, caller)
     }
 
     /// see where it may be served by the configuration in force; says whether that has changed
@@ -423,11 +423,13 @@
             total_ms = elapsed_ms(self.accepted.arrived);
             "backend: says of itself"
         );
-        self.shared.control.tell(DispatchEvent::SignalReceived {
-            backend,
-            signal: word,
-            sent_at: sent,
-        });
+        self.shared
+            .control
+            .send_event(DispatchEvent::SignalReceived {
+                backend,
+                signal: word,
+                sent_at: sent,
+            });
     }
 
     /// count and log what a back end says and this build does not know; never its value
@@ -438,7 +440,7 @@
             .filter(|name| !dialect.knows_in_answers(name))
         {
             let is_named = self.shared.metrics.on_unknown_header(name.as_str());
-            if is_named && self.shared.unknown_headers.is_news(backend, name.as_str()) {
+            if is_named && self.shared.unknown_headers.insert(backend, name.as_str()) {
                 log::warn!(
                     backend = backend.as_str(),
                     born = backend.start_time_ms,
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -3,12 +3,12 @@
         admission_exchange::AdmissionExchange,
         control,
         crash_exchange::exchange_crashes,
-        crashes::Crashes,
         fleet_links::{FleetLinks, LinkSettings},
         operator_pages,
         records::EntryRecords,
         service::RoutedIngress,
         shared::Shared,
+        shared_crash_registry::SharedCrashRegistry,
         store_relays::StoreRelays,
         usage_reports::report_usage,
         zone_source::ZoneSource,
@@ -70,7 +70,7 @@
     let dispatcher = Dispatcher::new(dispatch_settings(&settings));
     let relays = Arc::new(StoreRelays::default());
     let (runtime, link_settings) = (Handle::current(), link_settings(&settings, &relays));
-    let crashes = Arc::new(Crashes::default());
+    let crashes = Arc::new(SharedCrashRegistry::default());
     let control = control::start(dispatcher, crashes.clone(), |control| {
         let sidecar_port = link_settings.sidecar_port;
         let intake = AdmissionExchange::new(runtime.clone(), control.clone(), sidecar_port);
@@ -115,7 +115,7 @@
     let apply = |settings: IngressSettings| {
         store.set_addr(settings.store);
         let tuned = DispatchEvent::SettingsUpdated(dispatch_settings(&settings));
-        shared.control.tell(tuned);
+        shared.control.send_event(tuned);
     };
     if let Err(e) = follower.run(apply).await {
         log::error!("settings: not followed: {e:#}");
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -50,7 +50,7 @@
 }
 
 /// a request that is well formed and has a route
-pub struct Accepted {
+pub struct AcceptedRequest {
     pub parts: Parts,
     pub body: Bytes,
     pub head: RequestHead,
@@ -69,7 +69,7 @@
         Self { shared }
     }
 
-    async fn exchange(&self, accepted: Accepted) -> ClientResponse {
+    async fn exchange(&self, accepted: AcceptedRequest) -> ClientResponse {
         let request = accepted.head.id.clone();
         let route = accepted.route.clone();
         let arrived = accepted.arrived;
@@ -89,7 +89,7 @@
     }
 
     /// say why a request goes no further
-    fn turn_away(
+    fn reject(
         &self,
         own: &LocalResponse,
         status: StatusCode,
@@ -100,14 +100,14 @@
             request = own.request_id.unwrap_or_default(),
             status = status.as_u16(),
             path = parts.uri.path(),
-            configuration_age_ms = self.shared.admission.age_ms(),
+            configuration_age_ms = self.shared.admission.config_age_ms(),
             cause = line;
             "ingress: turned away"
         );
         self.shared.metrics.on_answer("", status.as_u16());
         match status {
-            StatusCode::SERVICE_UNAVAILABLE => own.not_run(line, NOT_CONFIGURED_RETRY),
-            _ => own.plain(status, line),
+            StatusCode::SERVICE_UNAVAILABLE => own.service_unavailable(line, NOT_CONFIGURED_RETRY),
+            _ => own.text(status, line),
         }
     }
 
@@ -117,8 +117,8 @@
         let account = &caller.account;
         if let Some(limit) = &account.limit {
             let units = limit.charge(head.prompt_tokens, head.output_tokens);
-            self.shared.admission.ask(account, limit, units);
-            self.shared.wait_for_keeper(account.fingerprint).await;
+            self.shared.admission.record_request(account, limit, units);
+            self.shared.wait_for_fleet_demand(account.fingerprint).await;
         }
     }
 
@@ -171,7 +171,7 @@
         );
     }
 
-    async fn accept(&self, req: ClientRequest) -> Result<Accepted, ClientResponse> {
+    async fn accept(&self, req: ClientRequest) -> Result<AcceptedRequest, ClientResponse> {
         let arrived = clock::now();
         let (mut parts, body) = req.into_parts();
         let head = self.shared.dialect.read_request(&parts.headers);
@@ -182,17 +182,17 @@
         };
         let Some(table) = self.shared.table.load_full() else {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(self.turn_away(&own, status, "no configuration yet", &parts));
+            return Err(self.reject(&own, status, "no configuration yet", &parts));
         };
         let key = table.accounts.as_ref();
         let key = key.map(|_| self.shared.dialect.take_key(&mut parts.headers));
         let Some(route) = find_route(&table, &parts) else {
             // a route that is new may not be known here yet
-            let (status, line) = match self.shared.admission.is_current() {
+            let (status, line) = match self.shared.admission.is_config_current() {
                 true => (StatusCode::NOT_FOUND, "no such route"),
                 false => (StatusCode::SERVICE_UNAVAILABLE, OUTDATED),
             };
-            return Err(self.turn_away(&own, status, line, &parts));
+            return Err(self.reject(&own, status, line, &parts));
         };
         let key = key.unwrap_or(Err(ApiKeyError::Absent));
         let caller = self.shared.admission.admit(&table, &route, key);
@@ -201,14 +201,14 @@
                 AdmissionError::Outdated => StatusCode::SERVICE_UNAVAILABLE,
                 AdmissionError::Key(_) | AdmissionError::UnknownKey => StatusCode::UNAUTHORIZED,
             };
-            self.turn_away(&own, status, &cause.to_string(), &parts)
+            self.reject(&own, status, &cause.to_string(), &parts)
         })?;
         let body = read_body(body, &table.limits).await;
-        let turned = |(status, line): (_, &str)| self.turn_away(&own, status, line, &parts);
+        let turned = |(status, line): (_, &str)| self.reject(&own, status, line, &parts);
         let body = body.map_err(turned)?;
         let turned = |e: HeadError| {
             let status = StatusCode::BAD_REQUEST;
-            self.turn_away(&own, status, &e.to_string(), &parts)
+            self.reject(&own, status, &e.to_string(), &parts)
         };
         let head = head.map_err(turned)?;
         if let Some(caller) = &caller {
@@ -216,7 +216,7 @@
         }
         let charge = self
             .charge(caller.as_ref(), &head)
-            .map_err(|over| own.over_limit("over limit", over.retry_after))?;
+            .map_err(|over| own.too_many_requests("over limit", over.retry_after))?;
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
         let withheld = self.shared.dialect.withhold(&mut parts.headers);
         if !withheld.is_empty() {
@@ -224,7 +224,7 @@
         }
         let account = caller.as_ref().map_or("", |caller| &caller.account.name);
         let digest = request_digest(&parts, account, &body);
-        Ok(Accepted {
+        Ok(AcceptedRequest {
             parts,
             body,
             head,
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        admission::Admission, control::ControlHandle, crashes::Crashes,
+        admission::Admission, control::ControlHandle, shared_crash_registry::SharedCrashRegistry,
         unknown_headers::UnknownHeaders,
     },
     crate::conf::IngressSettings,
@@ -39,7 +39,7 @@
     pub settings: IngressSettings,
     pub control: ControlHandle,
     /// requests under which engines ended
-    pub crashes: Arc<Crashes>,
+    pub crashes: Arc<SharedCrashRegistry>,
     pub dialect: Arc<dyn Dialect>,
     /// the configuration in force, none before the first was read
     pub table: ArcSwapOption<RouteTable>,
@@ -51,14 +51,14 @@
     next_ticket: AtomicU64,
     /// the longest time that clients of a route wait
     patience: Mutex<HashMap<String, Duration>>,
-    knows_backends: AtomicBool,
+    has_backend_list: AtomicBool,
 }
 
 impl Shared {
     pub fn new(
         settings: IngressSettings,
         control: ControlHandle,
-        crashes: Arc<Crashes>,
+        crashes: Arc<SharedCrashRegistry>,
         dialect: Arc<dyn Dialect>,
     ) -> Self {
         let (within, limits) = (settings.revoked_within(), settings.limits());
@@ -75,7 +75,7 @@
             patience: Mutex::default(),
             started: clock::now(),
             next_ticket: AtomicU64::new(1),
-            knows_backends: AtomicBool::new(false),
+            has_backend_list: AtomicBool::new(false),
         }
     }
 
@@ -84,7 +84,7 @@
     }
     /// whether a request came before, and this is a later try of its client:
     /// then its client waits less than others of the route
-    pub fn has_returned(&self, route: &Route, deadline: Option<Duration>) -> bool {
+    pub fn is_client_retry(&self, route: &Route, deadline: Option<Duration>) -> bool {
         let Some(deadline) = deadline else {
             return false;
         };
@@ -98,15 +98,15 @@
     /// are asked for. A short wait for the keeper's word beats refusing what may run:
     /// after all machines lost power 200 to 500 requests below their limits were refused
     /// without it.
-    pub async fn wait_for_keeper(&self, account: AccountFingerprint) {
+    pub async fn wait_for_fleet_demand(&self, account: AccountFingerprint) {
         while self.settings.mechanisms.shared_limits
             && clock::elapsed(self.started) < FIRST_WORD
-            && !self.knows_asked(account)
+            && !self.knows_fleet_demand(account)
         {
             sleep(LOOK_FOR_KEEPER).await;
         }
     }
-    fn knows_asked(&self, account: AccountFingerprint) -> bool {
+    fn knows_fleet_demand(&self, account: AccountFingerprint) -> bool {
         let limits = self.admission.limits();
         limits.knows_fleet_demand(account, clock::now())
     }
@@ -116,27 +116,27 @@
             store_reads_per_s: self.settings.store_reads_per_s,
         }
     }
-    pub fn set_knows_backends(&self) {
-        self.knows_backends.store(true, Ordering::Relaxed);
+    pub fn set_has_backend_list(&self) {
+        self.has_backend_list.store(true, Ordering::Relaxed);
     }
     /// whether the platform may send clients here
-    fn may_take_clients(&self) -> bool {
+    fn may_accept_clients(&self) -> bool {
         let table = self.table.load();
         let needs_keys = table.as_ref().is_some_and(|t| t.accounts.is_some());
-        if needs_keys && !self.admission.is_current() {
+        if needs_keys && !self.admission.is_config_current() {
             return false;
         }
-        let knows = table.is_some() && self.knows_backends.load(Ordering::Relaxed);
-        knows && self.control.reaches_backends() && *self.phase.borrow() == Phase::Serving
+        let knows = table.is_some() && self.has_backend_list.load(Ordering::Relaxed);
+        knows && self.control.can_reach_backends() && *self.phase.borrow() == Phase::Serving
     }
 }
 
 impl Observed for Shared {
     fn metrics_text(&self) -> String {
-        self.metrics.on_waiting(self.control.waiting());
+        self.metrics.on_waiting(self.control.waiting_count());
         self.metrics.text()
     }
     fn is_ready(&self) -> bool {
-        self.may_take_clients()
+        self.may_accept_clients()
     }
 }
--- a/entry/src/ingress/crashes.rs
+++ b/entry/src/ingress/shared_crash_registry.rs
@@ -14,90 +14,92 @@
 };
 
 /// digests that a line of the log holds at most
-const MOST_LOGGED: usize = 8;
+const MAX_DIGESTS_LOGGED: usize = 8;
 
 /// what this entry knows of requests under which engines ended
-pub struct Crashes {
-    book: Mutex<CrashRegistry>,
-    /// the book's revision
+pub struct SharedCrashRegistry {
+    registry: Mutex<CrashRegistry>,
+    /// the registry's revision
     changed: watch::Sender<u64>,
     pub metrics: CrashMetrics,
 }
 
-impl Default for Crashes {
+impl Default for SharedCrashRegistry {
     fn default() -> Self {
         Self {
-            book: Mutex::default(),
+            registry: Mutex::default(),
             changed: watch::Sender::new(0),
             metrics: CrashMetrics::default(),
         }
     }
 }
 
-impl Crashes {
-    pub fn judge(&self, digest: &RequestDigest) -> RequestVerdict {
-        self.book().verdict(digest, clock::now())
+impl SharedCrashRegistry {
+    pub fn verdict(&self, digest: &RequestDigest) -> RequestVerdict {
+        self.registry().verdict(digest, clock::now())
     }
 
     /// requests were run to their end
-    pub fn on_served(&self, digests: Vec<RequestDigest>) {
+    pub fn on_completed(&self, digests: Vec<RequestDigest>) {
         let now = clock::now();
-        let mut book = self.book();
-        let news = digests.into_iter().filter(|d| book.on_completed(*d, now));
+        let mut registry = self.registry();
+        let news = digests
+            .into_iter()
+            .filter(|d| registry.on_completed(*d, now));
         if news.count() > 0 {
-            self.tell(&book);
+            self.publish(&registry);
         }
     }
 
     /// engines have ended under runs
-    pub fn on_crashes(&self, crashes: Vec<EngineCrash>) {
+    pub fn on_engine_crashes(&self, crashes: Vec<EngineCrash>) {
         let now = clock::now();
         for crash in crashes {
-            let mut book = self.book();
+            let mut registry = self.registry();
             let life = stable_hash(&crash.backend.to_string());
             for run in &crash.runs {
-                book.on_engine_ended(run.digest, life, run.at, now);
+                registry.on_engine_ended(run.digest, life, run.at, now);
             }
-            self.tell(&book);
-            drop(book);
+            self.publish(&registry);
+            drop(registry);
             self.metrics.ended.inc();
             log_crash(&crash, now);
         }
     }
 
     /// Take in what a keeper has heard of others. Gives the revision up to which that keeper
-    /// knows this book, if it knew it up to `told`.
+    /// knows this registry, if it knew it up to `told`.
     pub fn merge(&self, words: &[CrashReport], told: u64) -> u64 {
-        let mut book = self.book();
-        let before = book.revision();
-        if book.merge(words, clock::now()) {
-            self.tell(&book);
+        let mut registry = self.registry();
+        let before = registry.revision();
+        if registry.merge(words, clock::now()) {
+            self.publish(&registry);
         }
         match told == before {
-            true => book.revision(),
+            true => registry.revision(),
             false => told,
         }
     }
     /// what is known beyond a revision, and the revision that this leads to
-    pub fn words_after(&self, revision: u64) -> (Vec<CrashReport>, u64) {
-        self.book().reports_since(revision, clock::now())
+    pub fn reports_since(&self, revision: u64) -> (Vec<CrashReport>, u64) {
+        self.registry().reports_since(revision, clock::now())
     }
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    fn tell(&self, book: &CrashRegistry) {
-        self.metrics.remembered.set(book.len() as i64);
-        self.changed.send_replace(book.revision());
+    fn publish(&self, registry: &CrashRegistry) {
+        self.metrics.remembered.set(registry.len() as i64);
+        self.changed.send_replace(registry.revision());
     }
-    fn book(&self) -> MutexGuard<'_, CrashRegistry> {
+    fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
         // no holder panics halfway through a change
-        self.book.lock().unwrap_or_else(|e| e.into_inner())
+        self.registry.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
 fn log_crash(crash: &EngineCrash, now: Instant) {
-    let digests = crash.runs.iter().take(MOST_LOGGED);
+    let digests = crash.runs.iter().take(MAX_DIGESTS_LOGGED);
     let digests: Vec<String> = digests.map(|run| run.digest.to_string()).collect();
     let first = crash.runs.iter().map(|run| run.at).min().unwrap_or(now);
     log::warn!(
--- a/entry/src/ingress/store_relays.rs
+++ b/entry/src/ingress/store_relays.rs
@@ -32,14 +32,14 @@
     }
 
     /// those that may be asked now, in order
-    pub fn sound(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn available(&self, now: Instant) -> Vec<SocketAddr> {
         let mut failed = self.failed();
         failed.retain(|_, at| now.saturating_duration_since(*at) < REST);
         let ranked = self.ranked.load();
         let sound = ranked.iter().filter(|relay| !failed.contains_key(relay));
         sound.copied().collect()
     }
-    pub fn on_failed(&self, relay: SocketAddr, now: Instant) {
+    pub fn on_failure(&self, relay: SocketAddr, now: Instant) {
         self.failed().insert(relay, now);
     }
 
--- a/entry/src/ingress/unknown_headers.rs
+++ b/entry/src/ingress/unknown_headers.rs
@@ -18,7 +18,7 @@
 
 impl UnknownHeaders {
     /// says whether this life of a back end has said nothing under this name before
-    pub fn is_news(&self, backend: &BackendId, name: &str) -> bool {
+    pub fn insert(&self, backend: &BackendId, name: &str) -> bool {
         // no holder panics halfway through a change
         let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
         if logged.len() >= MOST_LOGGED {
--- a/entry/src/ingress/unreadable_records.rs
+++ b/entry/src/ingress/unreadable_records.rs
@@ -21,7 +21,7 @@
 
 impl UnreadableRecords {
     /// count a record, if it can't be read
-    pub fn note(&self, record: &Record, metrics: &IngressMetrics) {
+    pub fn record_if_unreadable(&self, record: &Record, metrics: &IngressMetrics) {
         let Record::Unreadable {
             key,
             cause,
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -43,7 +43,7 @@
     let now = clock::now();
     let report = {
         let mut limits = shared.admission.limits();
-        limits.set_entry_count(shared.control.counted_entries(), now);
+        limits.set_entry_count(shared.control.reported_entry_count(), now);
         limits.usage_report(now)?
     };
     let engines = shared.control.engines();
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -51,7 +51,7 @@
     relays: Arc<StoreRelays>,
     peers: PeerClient,
     /// the last answer came from a relay
-    hears_relay: AtomicBool,
+    is_relayed: AtomicBool,
     configuration_calls: Mutex<DirectCallPacing>,
     backends_calls: Mutex<DirectCallPacing>,
 }
@@ -69,12 +69,12 @@
             store,
             relays,
             peers: PeerClient::new(),
-            hears_relay: AtomicBool::new(false),
+            is_relayed: AtomicBool::new(false),
         }
     }
 
-    pub fn hears_relay(&self) -> bool {
-        self.hears_relay.load(Ordering::Relaxed)
+    pub fn is_relayed(&self) -> bool {
+        self.is_relayed.load(Ordering::Relaxed)
     }
 
     fn own_calls(&self, topic: Topic) -> MutexGuard<'_, DirectCallPacing> {
@@ -115,7 +115,7 @@
         after: Option<u64>,
         wait: Duration,
     ) -> Option<Watched> {
-        for relay in self.relays.sound(clock::now()) {
+        for relay in self.relays.available(clock::now()) {
             match self.ask_relay(relay, topic, after, wait).await {
                 RelayWord::Heard(heard) => return Some(heard),
                 RelayWord::Stale => {}
@@ -177,7 +177,7 @@
             }
             Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayWord::Stale),
             Err(e) => {
-                self.relays.on_failed(relay, clock::now());
+                self.relays.on_failure(relay, clock::now());
                 (e.to_string(), RelayWord::NoAnswer)
             }
         };
@@ -188,12 +188,12 @@
     /// A relay that says no wire version knows fewer kinds of records, and passes them over:
     /// what it does not know would never come here. It is asked again as one that failed.
     fn on_older_relay(&self, relay: SocketAddr) {
-        self.relays.on_failed(relay, clock::now());
+        self.relays.on_failure(relay, clock::now());
         log::info!(relay = relay.to_string().as_str(); "store: relay of an older build not used");
     }
 
     fn note_source(&self, relay: SocketAddr, topic: Topic, hears: bool, cause: &str) {
-        if self.hears_relay.swap(hears, Ordering::Relaxed) != hears {
+        if self.is_relayed.swap(hears, Ordering::Relaxed) != hears {
             log::info!(relay = relay.to_string().as_str(), topic = format!("{topic:?}").as_str(),
                 by_relay = hears, cause = cause; "store: source changed");
         }
