--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -17,17 +17,17 @@
     thiserror::Error,
 };
 
-/// who asks, by its key
+/// A client that authenticated with an API key.
 #[derive(Debug, Clone)]
 pub struct Caller {
     pub account: Arc<ClientAccount>,
     key: ApiKeyDigest,
 }
 
-/// why a request with or without a key goes no further
+/// The reason why a request was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// what is known may be older than keys may be used for
+    /// The configuration may be older than the bound on the use of revoked keys.
     #[error("configuration not known to be current")]
     Outdated,
     #[error("{0}")]
@@ -36,20 +36,20 @@
     UnknownKey,
 }
 
-/// whether a request may go on: its key, the age of the configuration, and the
-/// limit of its account
+/// Admits requests by their API key, the age of the configuration and the rate limit of their
+/// account.
 pub struct Admission {
     lease: Mutex<ConfigLease>,
     limits: Mutex<AccountLimiter>,
 }
 
 impl Admission {
-    /// `revoked_within` is the time after which a key that was taken away must not
-    /// be used, if there is such a bound
-    pub fn new(entry: &BoxName, revoked_within: Option<Duration>, limits: LimitSettings) -> Self {
+    /// Creates the admission control of an entry. `revocation_bound` is the time after which a
+    /// revoked key must no longer be accepted, if there is such a bound.
+    pub fn new(entry: &BoxName, revocation_bound: Option<Duration>, limits: LimitSettings) -> Self {
         let incarnation = rand::random();
         Self {
-            lease: Mutex::new(ConfigLease::new(revoked_within)),
+            lease: Mutex::new(ConfigLease::new(revocation_bound)),
             limits: Mutex::new(AccountLimiter::new(
                 limits,
                 entry.clone(),
@@ -60,36 +60,39 @@
     }
 
     pub fn lease(&self) -> MutexGuard<'_, ConfigLease> {
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         self.lease.lock().unwrap_or_else(|e| e.into_inner())
     }
+
     pub fn limits(&self) -> MutexGuard<'_, AccountLimiter> {
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         self.limits.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// whether keys and routes that are not known can be told from new ones
+    /// Returns whether the configuration is recent enough to reject unknown keys and routes,
+    /// which might otherwise be newly added ones.
     pub fn is_config_current(&self) -> bool {
         self.lease().is_valid(clock::now())
     }
-    /// time since the configuration in hand was known to be the newest, in ms; -1
-    /// if it never was
+
+    /// Returns the time in ms since the configuration was last known to be current, or -1 if it
+    /// never was.
     pub fn config_age_ms(&self) -> i64 {
         let age = self.lease().age(clock::now());
         age.map_or(-1, |age| age.as_millis() as i64)
     }
 
-    /// ages of the configuration and of the keeper's word on an account's limit
+    /// Returns the age of the configuration and of the fleet-wide usage level of an account.
     pub fn ages(&self, account: AccountFingerprint) -> (Option<Duration>, Option<Duration>) {
         let now = clock::now();
         let configuration = self.lease().age(now);
         (configuration, self.limits().level_age(account, now))
     }
 
-    /// the account that asks, none on a route that needs no key
+    /// Returns the caller that a key belongs to, or `None` on a route that needs no key.
     ///
     /// # Errors
-    /// the key is not known, or what is known is too old to say so
+    /// The key is invalid or unknown, or the configuration is too old to decide.
     pub fn admit(
         &self,
         table: &RouteTable,
@@ -108,12 +111,11 @@
         Ok(Some(Caller { account, key }))
     }
 
-    /// Whether a caller's key still belongs to its account, as far as is known: what was
-    /// known when the request came may have grown too old while it waited, or while the
-    /// machine was suspended.
+    /// Checks that a caller's key still belongs to its account, since the configuration may
+    /// have changed or expired while the request was queued.
     ///
     /// # Errors
-    /// the key is another's by now, or what is known is too old to say so
+    /// The key no longer belongs to the account, or the configuration is too old to decide.
     pub fn revalidate(&self, table: &RouteTable, caller: &Caller) -> Result<(), AdmissionError> {
         if !self.is_config_current() {
             return Err(AdmissionError::Outdated);
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Where a request may be served, by its route and its account as a table has them. One
-    /// that the table lacks is bound as it was before.
+    /// Returns the regions in which a request may be served, by its route and its account in
+    /// `table`. If the table no longer has the account, its previous regions apply.
     pub fn allowed_regions(
         table: &RouteTable,
         route: &Route,
@@ -143,17 +145,17 @@
         route.allowed_regions.intersection(&account.allowed_regions)
     }
 
-    /// a request came that is to be charged to its account's limit
+    /// Counts a request towards the demand of its account.
     pub fn record_request(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
         self.limits()
             .record_request(account.fingerprint, limit, units, now);
     }
 
-    /// charge a request that came to its account's limit
+    /// Charges a request to its account's limit.
     ///
     /// # Errors
-    /// the account is over its limit
+    /// The account is over its limit.
     pub fn charge(
         self: &Arc<Self>,
         account: &ClientAccount,
@@ -172,7 +174,7 @@
     }
 }
 
-/// what a request was charged; given back when it ends without having run
+/// The units charged for a request; refunded on drop unless the request may have run.
 pub struct Charge {
     admission: Arc<Admission>,
     account: AccountFingerprint,
@@ -184,7 +186,9 @@
     pub fn units(&self) -> u64 {
         self.units
     }
-    /// it is sent to a back end, or one has said that it did not run
+
+    /// Set to `true` before a request is sent to a back end, and back to `false` once it is
+    /// certain that the request did not run.
     pub fn set_may_have_run(&mut self, may_have_run: bool) {
         self.may_have_run = may_have_run;
     }
--- a/entry/src/ingress/admission_exchange.rs
+++ b/entry/src/ingress/admission_exchange.rs
@@ -7,15 +7,15 @@
     tokio::runtime::Handle,
 };
 
-/// longest time for a dealer's answer: a permit that comes later is of little use
-const ANSWER_LIMIT: Duration = Duration::from_millis(200);
+/// A permit that arrives later is of little use.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// asks the sidecars of limited engines how many requests may be sent there
+/// Requests permits to send to rate-limited engines from the sidecars that issue them.
 pub struct AdmissionExchange {
     runtime: Handle,
     control: ControlHandle,
     peers: PeerClient,
-    /// port at which sidecars listen, on the addresses of their engines
+    /// Sidecars listen on this port at the addresses of their engines.
     sidecar_port: u16,
 }
 
@@ -29,31 +29,31 @@
         }
     }
 
-    /// ask, and tell the control thread what came of it
-    pub fn request_permits(&self, question: PermitQuery) {
+    /// Sends the query in the background and reports the result to the control thread.
+    pub fn request_permits(&self, query: PermitQuery) {
         let (peers, control) = (self.peers.clone(), self.control.clone());
-        let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
+        let issuer = SocketAddr::new(query.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
             let PermitQuery {
                 report,
                 requested_at,
                 ..
-            } = question;
-            let answer =
-                peers.call::<_, AdmissionResponse>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
-            let answer = answer.await.map_err(|e| no_deal(dealer, &e));
+            } = query;
+            let call =
+                peers.call::<_, AdmissionResponse>(issuer, path::INTAKE, &report, RESPONSE_TIMEOUT);
+            let response = call.await.map_err(|e| permit_error(issuer, &e));
             control.send_event(DispatchEvent::PermitsReceived {
                 backend: report.backend,
                 requested_at,
-                response: answer,
+                response,
             });
         });
     }
 }
 
-fn no_deal(dealer: SocketAddr, e: &ClientError) -> PermitError {
-    log::warn!(dealer = dealer.to_string().as_str(), cause = e.to_string().as_str();
-        "intake: no answer");
+fn permit_error(issuer: SocketAddr, e: &ClientError) -> PermitError {
+    log::warn!(dealer = issuer.to_string().as_str(), cause = e.to_string().as_str();
+        "intake: permit request failed");
     match e.proves_other_build() {
         true => PermitError::Unsupported,
         false => PermitError::NoResponse,
--- a/entry/src/ingress/engine_stats_buffer.rs
+++ b/entry/src/ingress/engine_stats_buffer.rs
@@ -7,11 +7,10 @@
     },
 };
 
-/// the latest stats of each engine that the control thread has not taken in.
+/// Buffers the latest stats of each engine until the control thread reads them.
 ///
-/// Figures come many times a second from each sidecar and change no decision
-/// that is due at once, so they wait here until the control thread wakes for
-/// another reason.
+/// Each sidecar reports stats many times a second, and no pending decision depends on them,
+/// so a new report does not wake the control thread.
 #[derive(Debug, Default)]
 pub struct EngineStatsBuffer {
     latest: Mutex<HashMap<BackendId, EngineStats>>,
@@ -27,13 +26,14 @@
             }
         }
     }
-    /// what came since the last call
+
+    /// Returns the stats received since the last call.
     pub fn take_all(&self) -> HashMap<BackendId, EngineStats> {
         std::mem::take(&mut self.lock())
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, EngineStats>> {
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         self.latest.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/entry/src/ingress/local_response.rs
+++ b/entry/src/ingress/local_response.rs
@@ -9,14 +9,15 @@
     std::time::Duration,
 };
 
-/// an answer of our own to a request whose id may be known
+/// Builds responses that the ingress generates itself, without a back end.
 pub struct LocalResponse<'a> {
     pub dialect: &'a dyn Dialect,
+    /// `None` if the request has no valid id.
     pub request_id: Option<&'a str>,
 }
 
 impl LocalResponse<'_> {
-    /// a status with one line of text
+    /// Returns a plain-text response with one line.
     pub fn text(&self, status: StatusCode, line: &str) -> ClientResponse {
         let body = Full::new(Bytes::from(format!("{line}\n")));
         let mut response = Response::new(Either::Left(body));
@@ -29,12 +30,12 @@
         response
     }
 
-    /// the request has not run and never will; it may come again
+    /// Returns a 503 response for a request that has not run and may be retried.
     pub fn service_unavailable(&self, line: &str, retry_after: Duration) -> ClientResponse {
         self.with_retry_after(StatusCode::SERVICE_UNAVAILABLE, line, retry_after)
     }
 
-    /// the same for a caller that is over its limit
+    /// Returns a 429 response for a caller that exceeds its rate limit.
     pub fn too_many_requests(&self, line: &str, retry_after: Duration) -> ClientResponse {
         self.with_retry_after(StatusCode::TOO_MANY_REQUESTS, line, retry_after)
     }
--- a/entry/src/ingress/mod.rs
+++ b/entry/src/ingress/mod.rs
@@ -1,5 +1,5 @@
-//! the ingress: clients' HTTP requests on routes of the configuration, sent on
-//! to the back ends that the control thread chooses
+//! The ingress proxy: matches clients' HTTP requests against the configured routes and
+//! forwards them to the back ends that the control thread selects.
 
 mod admission;
 mod admission_exchange;
--- a/entry/src/ingress/observers.rs
+++ b/entry/src/ingress/observers.rs
@@ -17,7 +17,8 @@
     },
 };
 
-/// tells the control thread how one send ends, whatever happens to it
+/// Reports the end of one send to the control thread. A send whose guard is dropped without an
+/// outcome counts as abandoned.
 pub struct SendGuard {
     control: ControlHandle,
     ticket: Ticket,
@@ -34,6 +35,7 @@
             has_ended: false,
         }
     }
+
     pub fn start(&mut self) {
         if !self.has_started {
             self.has_started = true;
@@ -41,6 +43,7 @@
                 .send_event(DispatchEvent::ResponseStarted(self.ticket));
         }
     }
+
     pub fn end(&mut self, outcome: SendOutcome) {
         if !self.has_ended {
             self.has_ended = true;
@@ -57,7 +60,7 @@
     }
 }
 
-/// follows a stream that is passed on, to its end
+/// Reports and logs the progress of a stream that is proxied to the client.
 pub struct StreamObserver {
     pub shared: Arc<Shared>,
     pub guard: SendGuard,
@@ -66,7 +69,7 @@
     pub route: Arc<Route>,
     pub backend: BackendId,
     pub arrived: Instant,
-    /// time from arrival to the first part
+    /// Time from the arrival of the request to the first part of the body.
     pub first_part: Option<Duration>,
 }
 
@@ -79,7 +82,7 @@
     }
 
     fn on_end(&mut self, end: PassEnd, longest_pause: Duration) {
-        let (outcome, word) = match end {
+        let (outcome, outcome_name) = match end {
             PassEnd::Whole => (SendOutcome::Answered, "whole"),
             PassEnd::Broken => (SendOutcome::Broken, "broken"),
             PassEnd::TimedOut => (SendOutcome::Abandoned, "timed_out"),
@@ -101,7 +104,7 @@
             route = self.route.name.as_str(),
             backend = self.backend.as_str(),
             born = self.backend.start_time_ms,
-            outcome = word,
+            outcome = outcome_name,
             objective_ms = self.route.target_latency.as_millis() as u64,
             first_part_ms = self.first_part.map_or(-1, |t| t.as_millis() as i64),
             longest_pause_ms = longest_pause.as_millis() as u64,
@@ -111,7 +114,8 @@
     }
 }
 
-/// takes a request back that waits while its client leaves
+/// Withdraws a queued request from the dispatcher if it is dropped before a decision, as when the
+/// client disconnects.
 pub struct WaitGuard {
     control: ControlHandle,
     ticket: Ticket,
@@ -126,6 +130,7 @@
             is_decided: false,
         }
     }
+
     pub fn set_decided(&mut self) {
         self.is_decided = true;
     }
@@ -139,7 +144,7 @@
         let ticket = self.ticket;
         self.control
             .send_event(DispatchEvent::RequestWithdrawn(ticket));
-        // it may have been decided at the same moment
+        // The dispatcher may have assigned it in the meantime.
         let outcome = SendOutcome::Abandoned;
         self.control
             .send_event(DispatchEvent::SendEnded { ticket, outcome });
--- a/entry/src/ingress/request_exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -29,45 +29,45 @@
     },
 };
 
-/// longest time that a connection may take to come up
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// sends of one request, however short each was
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum sends of one request, including those that did not run it.
 const MAX_SENDS: u32 = 4;
-/// when a request comes back whose time here was too short
-const LATE_RETRY: Duration = Duration::from_millis(100);
+/// Retry-After of responses for which the dispatcher gives none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// the word for a request whose time ran out here
+/// Response text for a request whose deadline passed.
 const LATE: &str = "late";
 
-/// the word for a request whose key was taken away while it waited
+/// Response text for a request whose key was revoked while it was queued.
 const KEY_GONE: &str = "key taken away";
 
-/// the word for a request that ends the engines that run it
-const ENDS_ENGINES: &str = "engines ended under this request: it is not run any more";
+/// Response text for a request that is blocked because it crashes engines.
+const BLOCKED: &str = "engines ended under this request: it is not run any more";
 
-/// why a back end that was chosen is not sent a request
+/// Log value for a request that is queued again because its allowed regions changed.
 const REGIONS_CHANGED: &str = "its allowed regions changed";
 
-/// one request on its way: waits, sends and repeats
+/// Handles one client request: queueing, sends and retries.
 pub struct RequestExchange {
     pub(super) shared: Arc<Shared>,
     ticket: Ticket,
     pub(super) accepted: AcceptedRequest,
     deadline: Instant,
-    pub(super) ask: DispatchRequest,
-    /// the table by which its allowed regions are known
-    judged_by: Option<Generation>,
-    /// back ends on which it may have run
+    pub(super) request: DispatchRequest,
+    /// Generation of the configuration that `request.allowed_regions` was computed from.
+    regions_generation: Option<Generation>,
+    /// Number of sends after which the request may have run.
     pub(super) runs: u32,
-    /// what the last back end that failed it said, if it was an answer
+    /// The response of the last back end that failed, if it sent one.
     failure: Option<ClientResponse>,
 }
 
-/// how one send ended
+/// The result of one send.
 enum Attempt {
-    Answered(ClientResponse),
+    /// The response is complete, or its stream has started.
+    Responded(ClientResponse),
     NotRun(SendOutcome),
-    /// it may have run; perhaps the back end's own failure can be passed on
+    /// The request may have run; holds the back end's error response if it sent one.
     Failed(Option<ClientResponse>),
     TimedOut,
 }
@@ -75,10 +75,10 @@
 impl RequestExchange {
     pub fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Self {
         let route = &accepted.route;
-        let patience = accepted.head.deadline.unwrap_or(route.timeout);
-        let deadline = accepted.arrived + patience.min(route.timeout);
+        let client_timeout = accepted.head.deadline.unwrap_or(route.timeout);
+        let deadline = accepted.arrived + client_timeout.min(route.timeout);
         let service = route.pick_service(rand::random());
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             digest: accepted.digest,
             is_crash_suspect: false,
             service: service.cloned().unwrap_or_default(),
@@ -103,17 +103,17 @@
             shared,
             accepted,
             deadline,
-            ask,
-            judged_by: None,
+            request,
+            regions_generation: None,
             runs: 0,
             failure: None,
         }
     }
 
-    /// bring the request to its end
+    /// Processes the request and returns the response to the client.
     pub async fn run(mut self) -> ClientResponse {
-        if let Some(refusal) = self.refusal_of_crashing() {
-            return refusal;
+        if let Some(response) = self.reject_if_blocked() {
+            return response;
         }
         loop {
             let assignment = match self.wait_for_decision().await {
@@ -123,76 +123,82 @@
                     retry_after,
                     inputs,
                 }) => {
-                    self.log_refusal(cause.code(), retry_after, &inputs);
-                    return self.give_up(cause.code(), retry_after);
+                    self.log_rejection(cause.code(), retry_after, &inputs);
+                    return self.final_response(cause.code(), retry_after);
                 }
                 None => {
-                    self.log_refusal(LATE, LATE_RETRY, &DecisionInputs::default());
-                    return self.give_up(LATE, LATE_RETRY);
+                    self.log_rejection(LATE, DEFAULT_RETRY_AFTER, &DecisionInputs::default());
+                    return self.final_response(LATE, DEFAULT_RETRY_AFTER);
                 }
             };
-            if let Err(cause) = self.admit_again() {
-                self.decline(&assignment, &cause.to_string());
+            if let Err(cause) = self.revalidate_key() {
+                self.abandon_assignment(&assignment, &cause.to_string());
                 return match cause {
-                    AdmissionError::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
-                    _ => self.own().text(StatusCode::UNAUTHORIZED, KEY_GONE),
+                    AdmissionError::Outdated => {
+                        self.final_response(&cause.to_string(), DEFAULT_RETRY_AFTER)
+                    }
+                    _ => self
+                        .local_response()
+                        .text(StatusCode::UNAUTHORIZED, KEY_GONE),
                 };
             }
-            // they may be others since it began to wait
-            if self.judge_regions() {
-                self.decline(&assignment, REGIONS_CHANGED);
+            // The allowed regions may have changed while the request was queued.
+            if self.update_allowed_regions() {
+                self.abandon_assignment(&assignment, REGIONS_CHANGED);
                 continue;
             }
-            // what others learnt while it waited
-            if let Some(refusal) = self.refusal_of_crashing() {
-                self.decline(&assignment, ENDS_ENGINES);
-                return refusal;
+            // Other entries may have reported crashes while the request was queued.
+            if let Some(response) = self.reject_if_blocked() {
+                self.abandon_assignment(&assignment, BLOCKED);
+                return response;
             }
-            self.ask.send_count += 1;
+            self.request.send_count += 1;
             self.log_send(&assignment);
             self.set_may_have_run(true);
             match self.attempt(&assignment).await {
-                Attempt::Answered(response) => return response,
+                Attempt::Responded(response) => return response,
                 Attempt::TimedOut => {
                     self.log_attempt(&assignment, "timed_out", None);
-                    return self.own().text(StatusCode::GATEWAY_TIMEOUT, LATE);
+                    return self
+                        .local_response()
+                        .text(StatusCode::GATEWAY_TIMEOUT, LATE);
                 }
                 Attempt::NotRun(outcome) => {
                     self.set_may_have_run(self.runs > 0);
                     self.log_attempt(&assignment, outcome.code(), None);
-                    // a back end that was full, or lacked the adapter, may do later
+                    // A back end that was full or lacked the adapter may accept it later.
                     if outcome == SendOutcome::Unreachable {
-                        self.ask.tried_backends.push(assignment.backend);
+                        self.request.tried_backends.push(assignment.backend);
                     }
                 }
                 Attempt::Failed(failure) => {
                     let status = failure.as_ref().map(|f| f.status());
                     self.log_attempt(&assignment, "failed", status);
                     self.runs += 1;
-                    self.ask.tried_backends.push(assignment.backend);
+                    self.request.tried_backends.push(assignment.backend);
                     self.failure = failure;
                     let may_repeat = self.accepted.route.kind.is_repeatable()
                         && self.runs < self.accepted.route.max_attempts
-                        && !(self.failure.is_none() && self.is_suspected());
+                        && !(self.failure.is_none() && self.is_crash_suspect());
                     if !may_repeat {
-                        return self.give_up("failed", LATE_RETRY);
+                        return self.final_response("failed", DEFAULT_RETRY_AFTER);
                     }
                 }
             }
-            if self.ask.send_count >= MAX_SENDS {
-                return self.give_up("sends", LATE_RETRY);
+            if self.request.send_count >= MAX_SENDS {
+                return self.final_response("sends", DEFAULT_RETRY_AFTER);
             }
         }
     }
 
     async fn wait_for_decision(&mut self) -> Option<Decision> {
-        self.ask.is_crash_suspect = self.is_suspected();
-        self.judge_regions();
+        self.request.is_crash_suspect = self.is_crash_suspect();
+        self.update_allowed_regions();
         let control = &self.shared.control;
         let mut guard = WaitGuard::new(control.clone(), self.ticket);
-        let asked = control.decide(self.ticket, self.ask.clone());
-        let decision = before_deadline(self.deadline, asked).await.ok()??;
-        // one that was made before the machine was suspended comes too late
+        let decision = control.decide(self.ticket, self.request.clone());
+        let decision = before_deadline(self.deadline, decision).await.ok()??;
+        // The decision may have been made before the machine was suspended.
         if clock::now() >= self.deadline {
             return None;
         }
@@ -200,22 +206,24 @@
         Some(decision)
     }
 
-    /// the final answer to a request that no back end answered
-    fn give_up(&mut self, reason: &str, retry_after: Duration) -> ClientResponse {
+    /// Returns the response to a request that no back end has served: the last back end's error
+    /// response if there is one, else 503 if the request has not run and 502 if it may have.
+    fn final_response(&mut self, reason: &str, retry_after: Duration) -> ClientResponse {
         if let Some(failure) = self.failure.take() {
             return failure;
         }
         match self.runs {
-            0 => self.own().service_unavailable(reason, retry_after),
-            _ => self.own().text(StatusCode::BAD_GATEWAY, reason),
+            0 => self
+                .local_response()
+                .service_unavailable(reason, retry_after),
+            _ => self.local_response().text(StatusCode::BAD_GATEWAY, reason),
         }
     }
 
-    /// The final answer to a request that ends the engines that run it: whoever sends it
-    /// again loses time only, so it is not told to come back. This try has not run, unless
-    /// an earlier send of it broke off.
-    fn refusal_of_crashing(&mut self) -> Option<ClientResponse> {
-        let RequestVerdict::Blocked { crashes, age } = self.standing() else {
+    /// Rejects a request that is blocked because it crashes the engines that run it. One that has
+    /// not run gets a 400 response without Retry-After, since a retry would be blocked too.
+    fn reject_if_blocked(&mut self) -> Option<ClientResponse> {
+        let RequestVerdict::Blocked { crashes, age } = self.crash_verdict() else {
             return None;
         };
         log::warn!(
@@ -225,27 +233,29 @@
             account = self.account_name(),
             ended = crashes,
             age_ms = age.as_millis() as u64,
-            sends = self.ask.send_count,
+            sends = self.request.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived);
-            "crashes: request refused"
+            "crashes: request blocked"
         );
         self.shared.crashes.metrics.refused.inc();
         Some(match self.runs {
-            0 => self.own().text(StatusCode::BAD_REQUEST, ENDS_ENGINES),
-            _ => self.give_up(ENDS_ENGINES, LATE_RETRY),
+            0 => self.local_response().text(StatusCode::BAD_REQUEST, BLOCKED),
+            _ => self.final_response(BLOCKED, DEFAULT_RETRY_AFTER),
         })
     }
 
-    fn standing(&self) -> RequestVerdict {
+    fn crash_verdict(&self) -> RequestVerdict {
         self.shared.crashes.verdict(&self.accepted.digest)
     }
-    /// whether it may end the engine that runs it, for all that is known
-    fn is_suspected(&self) -> bool {
-        self.standing() != RequestVerdict::Clear
+
+    /// Returns whether the request may crash the engine that runs it, according to the crash
+    /// registry.
+    fn is_crash_suspect(&self) -> bool {
+        self.crash_verdict() != RequestVerdict::Clear
     }
 
-    /// whether the caller's key is still its own
-    fn admit_again(&self) -> Result<(), AdmissionError> {
+    /// Checks that the caller's key has not been revoked in the meantime.
+    fn revalidate_key(&self) -> Result<(), AdmissionError> {
         let Some(caller) = &self.accepted.caller else {
             return Ok(());
         };
@@ -254,26 +264,26 @@
         self.shared.admission.revalidate(table, caller)
     }
 
-    /// see where it may be served by the configuration in force; says whether that has changed
-    fn judge_regions(&mut self) -> bool {
+    /// Updates the allowed regions from the active configuration; returns whether they changed.
+    fn update_allowed_regions(&mut self) -> bool {
         let Some(table) = self.shared.table.load_full() else {
             return false;
         };
-        if self.judged_by == Some(table.generation) {
+        if self.regions_generation == Some(table.generation) {
             return false;
         }
-        self.judged_by = Some(table.generation);
+        self.regions_generation = Some(table.generation);
         let route = find_route(&table, &self.accepted.parts);
         let route = route.as_ref().unwrap_or(&self.accepted.route);
         let caller = self.accepted.caller.as_ref();
         let allowed = Admission::allowed_regions(&table, route, caller);
-        let has_changed = allowed != self.ask.allowed_regions;
-        self.ask.allowed_regions = allowed;
+        let has_changed = allowed != self.request.allowed_regions;
+        self.request.allowed_regions = allowed;
         has_changed
     }
 
-    /// give a back end back that was chosen for a request which must not run
-    fn decline(&self, to: &Assignment, cause: &str) {
+    /// Tells the dispatcher that the request is not sent to the back end assigned to it.
+    fn abandon_assignment(&self, to: &Assignment, cause: &str) {
         let mut guard = SendGuard::new(self.shared.control.clone(), self.ticket);
         guard.end(SendOutcome::Abandoned);
         log::warn!(
@@ -291,7 +301,7 @@
         }
     }
 
-    fn own(&self) -> LocalResponse<'_> {
+    fn local_response(&self) -> LocalResponse<'_> {
         LocalResponse {
             dialect: self.shared.dialect.as_ref(),
             request_id: Some(&self.accepted.head.id),
@@ -300,12 +310,12 @@
 
     async fn attempt(&self, assignment: &Assignment) -> Attempt {
         let mut guard = SendGuard::new(self.shared.control.clone(), self.ticket);
-        let Some(req) = self.request(assignment) else {
+        let Some(req) = self.build_request(assignment) else {
             return Attempt::Failed(None);
         };
         let sent_at = clock::now();
-        let sent = before_deadline(self.deadline, send(assignment.addr, req, CONNECT_LIMIT));
-        match sent.await {
+        let result = before_deadline(self.deadline, send(assignment.addr, req, CONNECT_TIMEOUT));
+        match result.await {
             Err(_) => Attempt::TimedOut,
             Ok(Err(SendError::NotSent { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
@@ -319,17 +329,23 @@
                 guard.end(SendOutcome::Broken);
                 Attempt::Failed(None)
             }
-            Ok(Ok(answer)) => {
-                let head = self.shared.dialect.read_answer(answer.response.headers());
-                self.note_word(assignment, sent_at, answer.response.status(), &head);
-                self.note_unknown(&assignment.backend, answer.response.headers());
-                self.take_answer(&assignment.backend, head, answer, guard)
+            Ok(Ok(backend_response)) => {
+                let headers = backend_response.response.headers();
+                let head = self.shared.dialect.read_answer(headers);
+                self.report_signals(
+                    assignment,
+                    sent_at,
+                    backend_response.response.status(),
+                    &head,
+                );
+                self.record_unknown_headers(&assignment.backend, headers);
+                self.handle_response(&assignment.backend, head, backend_response, guard)
                     .await
             }
         }
     }
 
-    fn request(&self, assignment: &Assignment) -> Option<Request<Full<Bytes>>> {
+    fn build_request(&self, assignment: &Assignment) -> Option<Request<Full<Bytes>>> {
         let Parts {
             method,
             uri,
@@ -355,18 +371,18 @@
         req.body(Full::new(self.accepted.body.clone())).ok()
     }
 
-    async fn take_answer(
+    async fn handle_response(
         &self,
         backend: &BackendId,
         head: AnswerHead,
-        answer: BackendAnswer,
+        backend_response: BackendAnswer,
         mut guard: SendGuard,
     ) -> Attempt {
-        let status = answer.response.status();
+        let status = backend_response.response.status();
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
         if status == StatusCode::MISDIRECTED_REQUEST {
-            let is_other = head.backend.is_some_and(|name| name != backend.name);
-            let outcome = match is_other {
+            let is_other_backend = head.backend.is_some_and(|name| name != backend.name);
+            let outcome = match is_other_backend {
                 true => SendOutcome::Superseded,
                 false => SendOutcome::Misdirected,
             };
@@ -377,63 +393,71 @@
             guard.end(SendOutcome::Shed);
             return Attempt::NotRun(SendOutcome::Shed);
         }
-        let is_sound = is_ours && !head.encoded && (head.signed || !status.is_success());
-        // these would promise that the request did not run
-        let is_promise = matches!(
+        let is_valid = is_ours && !head.encoded && (head.signed || !status.is_success());
+        // These would tell the client that the request did not run.
+        let means_not_run = matches!(
             status,
             StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::REQUEST_TIMEOUT
         );
-        if !is_sound || is_promise {
+        if !is_valid || means_not_run {
             let request = self.accepted.head.id.as_str();
-            log::info!(request = request; "send: unsound answer {status}");
+            log::info!(request = request; "send: invalid response with status {status}");
             guard.end(SendOutcome::Failed);
             return Attempt::Failed(None);
         }
         match self.accepted.route.kind.is_stream() && status.is_success() {
-            true => self.pass_stream(backend, answer, guard),
-            false => self.collect(answer, guard).await,
+            true => self.proxy_stream(backend, backend_response, guard),
+            false => self.buffer_response(backend_response, guard).await,
         }
     }
 
-    /// tell the dispatcher what a back end says of itself, before its answer ends
-    fn note_word(&self, to: &Assignment, sent: Instant, status: StatusCode, head: &AnswerHead) {
+    /// Reports the signals in a back end's response headers to the dispatcher, before the body is
+    /// complete.
+    fn report_signals(
+        &self,
+        to: &Assignment,
+        sent_at: Instant,
+        status: StatusCode,
+        head: &AnswerHead,
+    ) {
         let backend = to.backend.clone();
-        let is_other = head.backend.as_ref().is_some_and(|n| *n != backend.name);
-        let word = head.own_word(status);
-        // that a limit is no longer named is news, if this is surely its answer
+        let is_other_backend = head.backend.as_ref().is_some_and(|n| *n != backend.name);
+        let signals = head.own_word(status);
+        // A response of this back end without a limit means that its earlier limit is lifted.
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
-        let is_its = is_ours && status != StatusCode::MISDIRECTED_REQUEST;
-        let ends_limit = to.is_limited && is_its;
-        if is_other || (word.is_empty() && !ends_limit) {
+        let is_from_backend = is_ours && status != StatusCode::MISDIRECTED_REQUEST;
+        let lifts_limit = to.is_limited && is_from_backend;
+        if is_other_backend || (signals.is_empty() && !lifts_limit) {
             return;
         }
-        word.codes()
+        signals
+            .codes()
             .for_each(|code| self.shared.metrics.on_backend_word(code));
         log::info!(
             request = self.accepted.head.id.as_str(),
             backend = backend.as_str(),
             born = backend.start_time_ms,
-            leaving = word.is_leaving,
-            rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
-            limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
-            cold_ms = word.slow_start_left.map_or(-1, |left| left.as_millis() as i64),
+            leaving = signals.is_leaving,
+            rest_ms = signals.backoff.map_or(0, |backoff| backoff.as_millis() as u64),
+            limit_per_s = signals.limit.rate().map_or(-1.0, RequestRate::per_s),
+            cold_ms = signals.slow_start_left.map_or(-1, |left| left.as_millis() as i64),
             status = status.as_u16(),
             total_ms = elapsed_ms(self.accepted.arrived);
-            "backend: says of itself"
+            "backend: signals received"
         );
         self.shared
             .control
             .send_event(DispatchEvent::SignalReceived {
                 backend,
-                signal: word,
-                sent_at: sent,
+                signal: signals,
+                sent_at,
             });
     }
 
-    /// count and log what a back end says and this build does not know; never its value
-    fn note_unknown(&self, backend: &BackendId, headers: &HeaderMap) {
+    /// Counts and logs response headers that this build does not know, without their values.
+    fn record_unknown_headers(&self, backend: &BackendId, headers: &HeaderMap) {
         let dialect = &self.shared.dialect;
         for name in headers
             .keys()
@@ -445,13 +469,18 @@
                     backend = backend.as_str(),
                     born = backend.start_time_ms,
                     header = name.as_str();
-                    "backend: says what is not known here"
+                    "backend: unknown response header"
                 );
             }
         }
     }
 
-    fn pass_stream(&self, backend: &BackendId, answer: BackendAnswer, guard: SendGuard) -> Attempt {
+    fn proxy_stream(
+        &self,
+        backend: &BackendId,
+        backend_response: BackendAnswer,
+        guard: SendGuard,
+    ) -> Attempt {
         let observer = StreamObserver {
             shared: self.shared.clone(),
             guard,
@@ -462,14 +491,24 @@
             arrived: self.accepted.arrived,
             first_part: None,
         };
-        let (mut parts, body) = answer.response.into_parts();
+        let (mut parts, body) = backend_response.response.into_parts();
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let body = PassBody::new(body, answer.connection, self.deadline, Box::new(observer));
-        Attempt::Answered(Response::from_parts(parts, Either::Right(body)))
+        let body = PassBody::new(
+            body,
+            backend_response.connection,
+            self.deadline,
+            Box::new(observer),
+        );
+        Attempt::Responded(Response::from_parts(parts, Either::Right(body)))
     }
 
-    async fn collect(&self, answer: BackendAnswer, mut guard: SendGuard) -> Attempt {
-        let (mut parts, body) = answer.response.into_parts();
+    /// Reads the complete body, so that a failed send can still be retried.
+    async fn buffer_response(
+        &self,
+        backend_response: BackendAnswer,
+        mut guard: SendGuard,
+    ) -> Attempt {
+        let (mut parts, body) = backend_response.response.into_parts();
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
         let body = match before_deadline(self.deadline, body.collect()).await {
             Err(_) => return Attempt::TimedOut,
@@ -486,16 +525,16 @@
             return Attempt::Failed(Some(response));
         }
         guard.end(SendOutcome::Answered);
-        let answered = SendOutcome::Answered.code();
-        self.shared.metrics.on_send_ended(answered);
+        let outcome = SendOutcome::Answered.code();
+        self.shared.metrics.on_send_ended(outcome);
         let route = &self.accepted.route.name;
         let after = clock::elapsed(self.accepted.arrived);
         self.shared.metrics.on_first_part(route, after);
-        Attempt::Answered(response)
+        Attempt::Responded(response)
     }
 }
 
-/// ms since a moment, for logs
+/// Returns the time since `since` in ms.
 pub(super) fn elapsed_ms(since: Instant) -> u64 {
     clock::elapsed(since).as_millis() as u64
 }
--- a/entry/src/ingress/request_exchange_log.rs
+++ b/entry/src/ingress/request_exchange_log.rs
@@ -1,4 +1,4 @@
-//! what is logged and counted of a request's waits and sends
+//! Log lines and metrics of a request's sends and rejections.
 
 use {
     super::{
@@ -18,19 +18,19 @@
         let waited = clock::elapsed(self.accepted.arrived);
         self.shared
             .metrics
-            .on_sent(route, waited, self.ask.send_count > 1);
+            .on_sent(route, waited, self.request.send_count > 1);
         log::info!(
             request = self.accepted.head.id.as_str(),
             digest = self.accepted.digest.to_string().as_str(),
             route = self.accepted.route.name.as_str(),
             account = self.account_name(),
             units = self.accepted.charge.as_ref().map_or(0, Charge::units),
-            service = self.ask.service.as_str(),
+            service = self.request.service.as_str(),
             adapter = self.adapter_text().as_str(),
             version = to.version.unwrap_or(0),
             backend = to.backend.as_str(),
             born = to.backend.start_time_ms,
-            send = self.ask.send_count,
+            send = self.request.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived),
             candidates = inputs.candidates,
             holders = inputs.holders,
@@ -49,7 +49,7 @@
         );
     }
 
-    pub(super) fn log_refusal(
+    pub(super) fn log_rejection(
         &self,
         cause: &'static str,
         retry_after: Duration,
@@ -63,12 +63,12 @@
             request = self.accepted.head.id.as_str(),
             route = self.accepted.route.name.as_str(),
             account = self.account_name(),
-            service = self.ask.service.as_str(),
+            service = self.request.service.as_str(),
             adapter = self.adapter_text().as_str(),
-            regions = self.ask.allowed_regions.to_string().as_str(),
+            regions = self.request.allowed_regions.to_string().as_str(),
             cause = cause,
             retry_after_ms = retry_after.as_millis() as u64,
-            sends = self.ask.send_count,
+            sends = self.request.send_count,
             runs = self.runs,
             waited_ms = elapsed_ms(self.accepted.arrived),
             candidates = inputs.candidates,
@@ -97,7 +97,7 @@
             digest = self.accepted.digest.to_string().as_str(),
             backend = at.backend.as_str(),
             born = at.backend.start_time_ms,
-            send = self.ask.send_count,
+            send = self.request.send_count,
             outcome = outcome,
             status = status.map_or(0, |s| s.as_u16()),
             total_ms = elapsed_ms(self.accepted.arrived);
@@ -105,7 +105,7 @@
         );
     }
 
-    /// empty on a route that needs no key
+    /// Returns the name of the caller's account, empty on a route that needs no key.
     pub(super) fn account_name(&self) -> &str {
         let caller = self.accepted.caller.as_ref();
         caller.map_or("", |caller| &caller.account.name)
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -32,34 +32,34 @@
     },
 };
 
-/// when a client comes back to a process that knows no configuration
-const NOT_CONFIGURED_RETRY: Duration = Duration::from_millis(500);
-/// a kept connection may rest for longer than any configuration asks, since
-/// the limit changes while it rests
-const HEAD_LIMIT: Duration = Duration::from_secs(120);
+/// Retry-After of responses sent while the configuration is missing or too old.
+const NOT_CONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Time to receive a request head. Idle keep-alive connections are bound by it too, so it is
+/// longer than any useful idle timeout.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// the word for a process whose configuration may be too old to judge by
+/// Response text while the configuration may be too old to decide by.
 const OUTDATED: &str = "configuration not known to be current";
 
-/// names of withheld headers that a line of the log holds at most
+/// Maximum number of stripped headers named in one log line.
 const MAX_NAMES_LOGGED: usize = 8;
 
-/// answers requests on the routes of the configuration
+/// Serves client requests on the configured routes.
 pub struct RoutedIngress {
     shared: Arc<Shared>,
 }
 
-/// a request that is well formed and has a route
+/// A well-formed, admitted client request with its route.
 pub struct AcceptedRequest {
     pub parts: Parts,
     pub body: Bytes,
     pub head: RequestHead,
-    /// the same for each try of this request
+    /// Equal for all attempts of the same request.
     pub digest: RequestDigest,
     pub route: Arc<Route>,
-    /// none on a route that needs no key
+    /// `None` on a route that needs no key.
     pub caller: Option<Caller>,
-    /// none if the caller is not limited
+    /// `None` if the caller has no rate limit.
     pub charge: Option<Charge>,
     pub arrived: Instant,
 }
@@ -69,7 +69,7 @@
         Self { shared }
     }
 
-    async fn exchange(&self, accepted: AcceptedRequest) -> ClientResponse {
+    async fn process(&self, accepted: AcceptedRequest) -> ClientResponse {
         let request = accepted.head.id.clone();
         let route = accepted.route.clone();
         let arrived = accepted.arrived;
@@ -88,16 +88,16 @@
         response
     }
 
-    /// say why a request goes no further
+    /// Logs and returns the response to a request that is not admitted.
     fn reject(
         &self,
-        own: &LocalResponse,
+        local: &LocalResponse,
         status: StatusCode,
         line: &str,
         parts: &Parts,
     ) -> ClientResponse {
         log::warn!(
-            request = own.request_id.unwrap_or_default(),
+            request = local.request_id.unwrap_or_default(),
             status = status.as_u16(),
             path = parts.uri.path(),
             configuration_age_ms = self.shared.admission.config_age_ms(),
@@ -106,14 +106,16 @@
         );
         self.shared.metrics.on_answer("", status.as_u16());
         match status {
-            StatusCode::SERVICE_UNAVAILABLE => own.service_unavailable(line, NOT_CONFIGURED_RETRY),
-            _ => own.text(status, line),
+            StatusCode::SERVICE_UNAVAILABLE => {
+                local.service_unavailable(line, NOT_CONFIGURED_RETRY_AFTER)
+            }
+            _ => local.text(status, line),
         }
     }
 
-    /// count a request as asked for, and let an entry that has just started hear what
-    /// others are asked for
-    async fn ask(&self, caller: &Caller, head: &RequestHead) {
+    /// Counts a request towards the demand of its account; shortly after the start, also waits
+    /// for the demand of the fleet.
+    async fn record_demand(&self, caller: &Caller, head: &RequestHead) {
         let account = &caller.account;
         if let Some(limit) = &account.limit {
             let units = limit.charge(head.prompt_tokens, head.output_tokens);
@@ -122,7 +124,7 @@
         }
     }
 
-    /// charge a request to the limit of its caller, if that has one
+    /// Charges a request to the rate limit of its caller, if there is one.
     fn charge(
         &self,
         caller: Option<&Caller>,
@@ -134,8 +136,8 @@
         let Some(limit) = &account.limit else {
             return Ok(None);
         };
-        let judged = self.shared.admission.ages(account.fingerprint);
-        self.shared.metrics.on_judged(judged.0, judged.1);
+        let (config_age, level_age) = self.shared.admission.ages(account.fingerprint);
+        self.shared.metrics.on_judged(config_age, level_age);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
@@ -159,15 +161,15 @@
         Err(over)
     }
 
-    /// a client has set what is not its own to set; its request goes on without
-    fn note_withheld(&self, request: &str, names: &[HeaderName]) {
+    /// Logs headers that clients may not set; they were removed from the request.
+    fn record_withheld_headers(&self, request: &str, names: &[HeaderName]) {
         self.shared.metrics.on_withheld(names.len());
         let names = names.iter().take(MAX_NAMES_LOGGED);
         let names: Vec<&str> = names.map(HeaderName::as_str).collect();
         log::info!(
             request = request,
             headers = names.join(",").as_str();
-            "ingress: headers withheld"
+            "ingress: headers removed from the client's request"
         );
     }
 
@@ -176,23 +178,23 @@
         let (mut parts, body) = req.into_parts();
         let head = self.shared.dialect.read_request(&parts.headers);
         let id = head.as_ref().ok().map(|head| head.id.clone());
-        let own = LocalResponse {
+        let local = LocalResponse {
             dialect: self.shared.dialect.as_ref(),
             request_id: id.as_deref(),
         };
         let Some(table) = self.shared.table.load_full() else {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(self.reject(&own, status, "no configuration yet", &parts));
+            return Err(self.reject(&local, status, "no configuration yet", &parts));
         };
         let key = table.accounts.as_ref();
         let key = key.map(|_| self.shared.dialect.take_key(&mut parts.headers));
         let Some(route) = find_route(&table, &parts) else {
-            // a route that is new may not be known here yet
+            // The route may be too new to be known here.
             let (status, line) = match self.shared.admission.is_config_current() {
                 true => (StatusCode::NOT_FOUND, "no such route"),
                 false => (StatusCode::SERVICE_UNAVAILABLE, OUTDATED),
             };
-            return Err(self.reject(&own, status, line, &parts));
+            return Err(self.reject(&local, status, line, &parts));
         };
         let key = key.unwrap_or(Err(ApiKeyError::Absent));
         let caller = self.shared.admission.admit(&table, &route, key);
@@ -201,26 +203,26 @@
                 AdmissionError::Outdated => StatusCode::SERVICE_UNAVAILABLE,
                 AdmissionError::Key(_) | AdmissionError::UnknownKey => StatusCode::UNAUTHORIZED,
             };
-            self.reject(&own, status, &cause.to_string(), &parts)
+            self.reject(&local, status, &cause.to_string(), &parts)
         })?;
         let body = read_body(body, &table.limits).await;
-        let turned = |(status, line): (_, &str)| self.reject(&own, status, line, &parts);
-        let body = body.map_err(turned)?;
-        let turned = |e: HeadError| {
+        let reject = |(status, line): (_, &str)| self.reject(&local, status, line, &parts);
+        let body = body.map_err(reject)?;
+        let reject = |e: HeadError| {
             let status = StatusCode::BAD_REQUEST;
-            self.reject(&own, status, &e.to_string(), &parts)
+            self.reject(&local, status, &e.to_string(), &parts)
         };
-        let head = head.map_err(turned)?;
+        let head = head.map_err(reject)?;
         if let Some(caller) = &caller {
-            self.ask(caller, &head).await;
+            self.record_demand(caller, &head).await;
         }
         let charge = self
             .charge(caller.as_ref(), &head)
-            .map_err(|over| own.too_many_requests("over limit", over.retry_after))?;
+            .map_err(|over| local.too_many_requests("over limit", over.retry_after))?;
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
         let withheld = self.shared.dialect.withhold(&mut parts.headers);
         if !withheld.is_empty() {
-            self.note_withheld(&head.id, &withheld);
+            self.record_withheld_headers(&head.id, &withheld);
         }
         let account = caller.as_ref().map_or("", |caller| &caller.account.name);
         let digest = request_digest(&parts, account, &body);
@@ -241,7 +243,7 @@
 impl IngressService for RoutedIngress {
     async fn answer(&self, req: ClientRequest) -> ClientResponse {
         let mut response = match self.accept(req).await {
-            Ok(accepted) => self.exchange(accepted).await,
+            Ok(accepted) => self.process(accepted).await,
             Err(response) => response,
         };
         if *self.shared.phase.borrow() != Phase::Serving {
@@ -256,7 +258,7 @@
         limits.unwrap_or_else(|| IngressLimits::default().max_header_bytes)
     }
     fn header_timeout(&self) -> Duration {
-        HEAD_LIMIT
+        HEADER_TIMEOUT
     }
 }
 
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -27,21 +27,22 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// a first try's time may be shorter by this much
-const RETURN_MARGIN: Duration = Duration::from_millis(40);
+/// A deadline counts as a retry's only if it is shorter than the route's longest by more than
+/// this, since the deadlines of first attempts vary slightly.
+const RETRY_DETECTION_MARGIN: Duration = Duration::from_millis(40);
 
-/// time from the start in which requests wait for the first word of a keeper
-const FIRST_WORD: Duration = Duration::from_millis(1_200);
-const LOOK_FOR_KEEPER: Duration = Duration::from_millis(20);
+/// Requests wait for the first fleet-wide usage level only this long after the start.
+const STARTUP_WAIT: Duration = Duration::from_millis(1_200);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// what the tasks of the ingress share
+/// State that the tasks of the ingress share.
 pub struct Shared {
     pub settings: IngressSettings,
     pub control: ControlHandle,
-    /// requests under which engines ended
+    /// Requests that were running when engines crashed.
     pub crashes: Arc<SharedCrashRegistry>,
     pub dialect: Arc<dyn Dialect>,
-    /// the configuration in force, none before the first was read
+    /// The active configuration; `None` until the first one has been read.
     pub table: ArcSwapOption<RouteTable>,
     pub admission: Arc<Admission>,
     pub metrics: IngressMetrics,
@@ -49,8 +50,8 @@
     pub phase: watch::Sender<Phase>,
     started: Instant,
     next_ticket: AtomicU64,
-    /// the longest time that clients of a route wait
-    patience: Mutex<HashMap<String, Duration>>,
+    /// The longest client deadline seen on each route, by route name.
+    longest_deadlines: Mutex<HashMap<String, Duration>>,
     has_backend_list: AtomicBool,
 }
 
@@ -61,9 +62,9 @@
         crashes: Arc<SharedCrashRegistry>,
         dialect: Arc<dyn Dialect>,
     ) -> Self {
-        let (within, limits) = (settings.revoked_within(), settings.limits());
+        let (revocation_bound, limits) = (settings.revoked_within(), settings.limits());
         Self {
-            admission: Arc::new(Admission::new(&settings.name, within, limits)),
+            admission: Arc::new(Admission::new(&settings.name, revocation_bound, limits)),
             settings,
             control,
             dialect,
@@ -72,7 +73,7 @@
             unknown_headers: UnknownHeaders::default(),
             crashes,
             phase: watch::Sender::new(Phase::Serving),
-            patience: Mutex::default(),
+            longest_deadlines: Mutex::default(),
             started: clock::now(),
             next_ticket: AtomicU64::new(1),
             has_backend_list: AtomicBool::new(false),
@@ -82,52 +83,61 @@
     pub fn new_ticket(&self) -> Ticket {
         self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
-    /// whether a request came before, and this is a later try of its client:
-    /// then its client waits less than others of the route
+
+    /// Returns whether a request is probably a client's retry.
+    ///
+    /// A retry carries the rest of the client's deadline, so its deadline is shorter than the
+    /// longest one seen on the route.
     pub fn is_client_retry(&self, route: &Route, deadline: Option<Duration>) -> bool {
         let Some(deadline) = deadline else {
             return false;
         };
-        // no holder panics halfway through a change
-        let mut patience = self.patience.lock().unwrap_or_else(|e| e.into_inner());
-        let longest = patience.entry(route.name.clone()).or_default();
+        // No holder panics in the middle of an update.
+        let deadlines = self.longest_deadlines.lock();
+        let mut deadlines = deadlines.unwrap_or_else(|e| e.into_inner());
+        let longest = deadlines.entry(route.name.clone()).or_default();
         *longest = (*longest).max(deadline);
-        deadline + RETURN_MARGIN < *longest
+        deadline + RETRY_DETECTION_MARGIN < *longest
     }
-    /// An entry that has just started does not know what others let run, nor what they
-    /// are asked for. A short wait for the keeper's word beats refusing what may run:
-    /// after all machines lost power 200 to 500 requests below their limits were refused
-    /// without it.
+
+    /// Waits, shortly after the start only, until the fleet's demand for an account is known.
+    ///
+    /// An entry that has just started does not know how much of the account's limit the others
+    /// use, and would reject requests that are below the limit.
     pub async fn wait_for_fleet_demand(&self, account: AccountFingerprint) {
         while self.settings.mechanisms.shared_limits
-            && clock::elapsed(self.started) < FIRST_WORD
+            && clock::elapsed(self.started) < STARTUP_WAIT
             && !self.knows_fleet_demand(account)
         {
-            sleep(LOOK_FOR_KEEPER).await;
+            sleep(STARTUP_POLL_INTERVAL).await;
         }
     }
+
     fn knows_fleet_demand(&self, account: AccountFingerprint) -> bool {
         let limits = self.admission.limits();
         limits.knows_fleet_demand(account, clock::now())
     }
+
     pub fn list_pacing(&self) -> ListPacing {
         ListPacing {
             drain: Duration::from_millis(self.settings.drain_ms),
             store_reads_per_s: self.settings.store_reads_per_s,
         }
     }
+
     pub fn set_has_backend_list(&self) {
         self.has_backend_list.store(true, Ordering::Relaxed);
     }
-    /// whether the platform may send clients here
+
+    /// Returns whether the platform may route clients to this process.
     fn may_accept_clients(&self) -> bool {
         let table = self.table.load();
         let needs_keys = table.as_ref().is_some_and(|t| t.accounts.is_some());
         if needs_keys && !self.admission.is_config_current() {
             return false;
         }
-        let knows = table.is_some() && self.has_backend_list.load(Ordering::Relaxed);
-        knows && self.control.can_reach_backends() && *self.phase.borrow() == Phase::Serving
+        let is_configured = table.is_some() && self.has_backend_list.load(Ordering::Relaxed);
+        is_configured && self.control.can_reach_backends() && *self.phase.borrow() == Phase::Serving
     }
 }
 
--- a/entry/src/ingress/unknown_headers.rs
+++ b/entry/src/ingress/unknown_headers.rs
@@ -6,24 +6,24 @@
     },
 };
 
-/// lives of back ends, with a name each, that are remembered as logged; then all are forgotten
-const MOST_LOGGED: usize = 1_024;
+/// Maximum number of remembered headers; all are forgotten when it is reached.
+const MAX_REMEMBERED: usize = 1_024;
 
-/// Headers of answers that this build does not know, so that a new word of back ends is seen
-/// before something depends on it.
+/// Remembers which unknown response headers have been logged for each back-end incarnation, so that
+/// each is logged only once.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
-    logged: Mutex<HashSet<(BackendId, String)>>,
+    headers: Mutex<HashSet<(BackendId, String)>>,
 }
 
 impl UnknownHeaders {
-    /// says whether this life of a back end has said nothing under this name before
+    /// Records a header; returns whether it is new for this incarnation of the back end.
     pub fn insert(&self, backend: &BackendId, name: &str) -> bool {
-        // no holder panics halfway through a change
-        let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
-        if logged.len() >= MOST_LOGGED {
-            logged.clear();
+        // No holder panics in the middle of an update.
+        let mut headers = self.headers.lock().unwrap_or_else(PoisonError::into_inner);
+        if headers.len() >= MAX_REMEMBERED {
+            headers.clear();
         }
-        logged.insert((backend.clone(), name.to_string()))
+        headers.insert((backend.clone(), name.to_string()))
     }
 }
--- a/testkit/tests/unknown_headers.rs
+++ b/testkit/tests/unknown_headers.rs
@@ -49,10 +49,7 @@
         lines.any(|line| line.contains("answered") && line.contains("\"r-2\""))
     })
     .await;
-    assert_eq!(
-        fleet.log().matches("says what is not known here").count(),
-        1
-    );
+    assert_eq!(fleet.log().matches("unknown response header").count(), 1);
     assert!(!fleet.log().contains(VALUE));
     assert!(!page.contains(VALUE));
     Ok(())
