--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -28,77 +28,84 @@
     tokio::sync::oneshot,
 };
 
-/// longest time between two looks at the requests that wait
+/// Maximum time between two ticks of the dispatcher while requests are queued.
 const TICK: Duration = Duration::from_millis(25);
-/// longest time between two looks while none wait
-const CALM_TICK: Duration = Duration::from_millis(250);
-/// shortest time between two messages to one sidecar
-const URGENT_EVERY: Duration = Duration::from_millis(10);
-/// longest time between two messages to a sidecar whose engine is in use
-const DEMANDS_EVERY: Duration = Duration::from_millis(250);
-/// longest time between two messages to one sidecar
-const ALL_DEMANDS_EVERY: Duration = Duration::from_millis(900);
+/// Maximum time between two ticks of the dispatcher while no request is queued.
+const IDLE_TICK: Duration = Duration::from_millis(250);
+/// Minimum time between two messages to the same sidecar.
+const URGENT_DEMANDS_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum time between two messages to a sidecar whose engine is in use.
+const CHANGED_DEMANDS_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time between two messages to the same sidecar.
+const ALL_DEMANDS_INTERVAL: Duration = Duration::from_millis(900);
 
-/// entries assumed for the pace of calls before a sidecar has counted them: when a
-/// large fleet starts, all of it asks the store at once
-const ENTRIES_UNCOUNTED: u32 = 32;
+/// Entry count assumed for the pacing of store calls until a sidecar reports it: when a large
+/// fleet starts, all its entries call the store at once.
+const ASSUMED_ENTRY_COUNT: u32 = 32;
 
 enum Command {
     Event(DispatchEvent),
     Dispatch {
         ticket: Ticket,
-        ask: DispatchRequest,
-        answer: oneshot::Sender<Decision>,
+        request: DispatchRequest,
+        decision: oneshot::Sender<Decision>,
     },
 }
 
-/// the traffic threads' way to the control thread
+/// Sends commands to the control thread and reads the state that it publishes.
 #[derive(Clone)]
 pub struct ControlHandle {
     commands: mpsc::Sender<Command>,
     stats: Arc<EngineStatsBuffer>,
-    reach: Arc<AtomicBool>,
-    waiting: Arc<AtomicUsize>,
-    entries: Arc<AtomicU32>,
+    can_reach_backends: Arc<AtomicBool>,
+    waiting_count: Arc<AtomicUsize>,
+    entry_count: Arc<AtomicU32>,
     engines: Arc<ArcSwap<Vec<SocketAddr>>>,
 }
 
 impl ControlHandle {
     pub fn send_event(&self, event: DispatchEvent) {
-        // the control thread ends only with the process
+        // The control thread ends only with the process.
         let _ = self.commands.send(Command::Event(event));
     }
-    /// whether any back end was heard of lately
+
+    /// Returns whether any back end was reachable recently.
     pub fn can_reach_backends(&self) -> bool {
-        self.reach.load(Ordering::Relaxed)
+        self.can_reach_backends.load(Ordering::Relaxed)
     }
-    /// requests that wait for a back end
+
+    /// Returns the number of requests queued for a back end.
     pub fn waiting_count(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+        self.waiting_count.load(Ordering::Relaxed)
     }
-    /// entries of the fleet, as the sidecars count them
+
+    /// Returns the number of entries in the fleet, or an assumed one until a sidecar reports it.
     pub fn entry_count(&self) -> u32 {
-        self.reported_entry_count().unwrap_or(ENTRIES_UNCOUNTED)
+        self.reported_entry_count().unwrap_or(ASSUMED_ENTRY_COUNT)
     }
-    /// the same, none before a sidecar has counted them
+
+    /// Returns the number of entries in the fleet as reported by sidecars.
     pub fn reported_entry_count(&self) -> Option<u32> {
-        let counted = self.entries.load(Ordering::Relaxed);
-        (counted > 0).then_some(counted)
+        let count = self.entry_count.load(Ordering::Relaxed);
+        (count > 0).then_some(count)
     }
-    /// engines that are listed
+
+    /// Returns the addresses of the listed engines.
     pub fn engines(&self) -> Arc<Vec<SocketAddr>> {
         self.engines.load_full()
     }
-    /// ask for a back end; none if the control thread is gone
-    pub async fn decide(&self, ticket: Ticket, ask: DispatchRequest) -> Option<Decision> {
-        let (answer, answered) = oneshot::channel();
+
+    /// Queues a request until the dispatcher assigns a back end or rejects it; `None` if the
+    /// control thread has ended.
+    pub async fn decide(&self, ticket: Ticket, request: DispatchRequest) -> Option<Decision> {
+        let (decision, decided) = oneshot::channel();
         let command = Command::Dispatch {
             ticket,
-            ask,
-            answer,
+            request,
+            decision,
         };
         self.commands.send(command).ok()?;
-        answered.await.ok()
+        decided.await.ok()
     }
 }
 
@@ -106,13 +113,16 @@
     fn on_view(&self, engine: SocketAddr, view: EngineView) {
         self.send_event(DispatchEvent::ViewReceived { addr: engine, view });
     }
-    /// figures wait here, without waking the control thread
+
+    /// Buffers the stats without waking the control thread.
     fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
         self.stats.insert(backend, stats);
     }
+
     fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
         self.send_event(DispatchEvent::ViewLost(backend.clone()));
     }
+
     fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
         self.send_event(DispatchEvent::DemandSent {
             addr: engine,
@@ -121,24 +131,25 @@
     }
 }
 
-/// the control thread's own state
+/// State of the control thread.
 struct ControlLoop {
     dispatcher: Dispatcher,
     links: FleetLinks,
     admission: AdmissionExchange,
     stats: Arc<EngineStatsBuffer>,
     crashes: Arc<SharedCrashRegistry>,
-    reply_senders: HashMap<Ticket, oneshot::Sender<Decision>>,
-    last_urgent: Instant,
-    last_changed: Instant,
-    last_all: Instant,
-    reach: Arc<AtomicBool>,
-    waiting: Arc<AtomicUsize>,
-    entries: Arc<AtomicU32>,
+    /// Tasks that wait for the decision on their request.
+    pending_decisions: HashMap<Ticket, oneshot::Sender<Decision>>,
+    last_urgent_demands: Instant,
+    last_changed_demands: Instant,
+    last_all_demands: Instant,
+    can_reach_backends: Arc<AtomicBool>,
+    waiting_count: Arc<AtomicUsize>,
+    entry_count: Arc<AtomicU32>,
     engines: Arc<ArcSwap<Vec<SocketAddr>>>,
 }
 
-/// start the control thread; it ends when the last handle is gone
+/// Starts the control thread, which ends when the last handle is dropped.
 pub fn start(
     dispatcher: Dispatcher,
     crashes: Arc<SharedCrashRegistry>,
@@ -146,16 +157,16 @@
 ) -> Result<ControlHandle> {
     let (commands, received) = mpsc::channel();
     let stats = Arc::new(EngineStatsBuffer::default());
-    let reach = Arc::new(AtomicBool::new(true));
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let entries = Arc::new(AtomicU32::new(0));
+    let can_reach_backends = Arc::new(AtomicBool::new(true));
+    let waiting_count = Arc::new(AtomicUsize::new(0));
+    let entry_count = Arc::new(AtomicU32::new(0));
     let engines = Arc::new(ArcSwap::default());
     let handle = ControlHandle {
         commands,
         stats: stats.clone(),
-        reach: reach.clone(),
-        waiting: waiting.clone(),
-        entries: entries.clone(),
+        can_reach_backends: can_reach_backends.clone(),
+        waiting_count: waiting_count.clone(),
+        entry_count: entry_count.clone(),
         engines: engines.clone(),
     };
     let now = clock::now();
@@ -166,13 +177,13 @@
         admission,
         stats,
         crashes,
-        reply_senders: HashMap::new(),
-        last_urgent: now,
-        last_changed: now,
-        last_all: now,
-        reach,
-        waiting,
-        entries,
+        pending_decisions: HashMap::new(),
+        last_urgent_demands: now,
+        last_changed_demands: now,
+        last_all_demands: now,
+        can_reach_backends,
+        waiting_count,
+        entry_count,
         engines,
     };
     let builder = thread::Builder::new().name("control".to_string());
@@ -191,10 +202,11 @@
                 Err(RecvTimeoutError::Timeout) => self.on_event(DispatchEvent::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            let reaches = self.dispatcher.reaches_backends(clock::now());
-            self.reach.store(reaches, Ordering::Relaxed);
-            let waiting = self.dispatcher.waiting_count();
-            self.waiting.store(waiting, Ordering::Relaxed);
+            let can_reach_backends = self.dispatcher.reaches_backends(clock::now());
+            self.can_reach_backends
+                .store(can_reach_backends, Ordering::Relaxed);
+            let waiting_count = self.dispatcher.waiting_count();
+            self.waiting_count.store(waiting_count, Ordering::Relaxed);
             self.send_demands();
             self.request_permits();
         }
@@ -208,8 +220,8 @@
 
     fn next_tick(&self) -> Duration {
         match self.dispatcher.waiting_count() {
-            0 if !self.dispatcher.has_urgent_demands() => CALM_TICK,
-            0 => URGENT_EVERY,
+            0 if !self.dispatcher.has_urgent_demands() => IDLE_TICK,
+            0 => URGENT_DEMANDS_INTERVAL,
             _ => TICK,
         }
     }
@@ -219,32 +231,29 @@
             Command::Event(event) => self.on_event(event),
             Command::Dispatch {
                 ticket,
-                ask,
-                answer,
+                request,
+                decision,
             } => {
-                self.reply_senders.insert(ticket, answer);
-                self.on_event(DispatchEvent::RequestArrived {
-                    ticket,
-                    request: ask,
-                });
+                self.pending_decisions.insert(ticket, decision);
+                self.on_event(DispatchEvent::RequestArrived { ticket, request });
             }
         }
     }
 
     fn on_event(&mut self, event: DispatchEvent) {
-        // which back ends are engines stands in the configuration, which may
-        // come after the list
+        // The list has the back ends, the configuration says which of them are engines; either
+        // may arrive first.
         let may_change_engines = matches!(
             event,
             DispatchEvent::ListUpdated { .. } | DispatchEvent::ConfigUpdated(_)
         );
         if let DispatchEvent::RequestWithdrawn(ticket) = &event {
-            self.reply_senders.remove(ticket);
+            self.pending_decisions.remove(ticket);
         }
         for (ticket, decision) in self.dispatcher.handle(event, clock::now()) {
-            if let Some(answer) = self.reply_senders.remove(&ticket) {
-                // an asker that is gone says so by itself
-                let _ = answer.send(decision);
+            if let Some(sender) = self.pending_decisions.remove(&ticket) {
+                // A task that was cancelled withdraws its request by itself.
+                let _ = sender.send(decision);
             }
         }
         self.dispatcher
@@ -272,52 +281,53 @@
     }
 
     fn request_permits(&mut self) {
-        let questions = self.dispatcher.permit_queries(clock::now());
-        questions
+        let queries = self.dispatcher.permit_queries(clock::now());
+        queries
             .into_iter()
-            .for_each(|q| self.admission.request_permits(q));
+            .for_each(|query| self.admission.request_permits(query));
     }
 
-    fn demands_due(&self, now: Instant) -> Option<DueDemands> {
-        let passed = |since: Instant| now.saturating_duration_since(since);
-        if passed(self.last_all) >= ALL_DEMANDS_EVERY {
+    fn due_demands(&self, now: Instant) -> Option<DueDemands> {
+        let elapsed = |since: Instant| now.saturating_duration_since(since);
+        if elapsed(self.last_all_demands) >= ALL_DEMANDS_INTERVAL {
             return Some(DueDemands::All);
         }
-        if passed(self.last_changed) >= DEMANDS_EVERY {
+        if elapsed(self.last_changed_demands) >= CHANGED_DEMANDS_INTERVAL {
             return Some(DueDemands::Changed);
         }
         let is_urgent = self.dispatcher.has_urgent_demands();
-        (is_urgent && passed(self.last_urgent) >= URGENT_EVERY).then_some(DueDemands::Urgent)
+        (is_urgent && elapsed(self.last_urgent_demands) >= URGENT_DEMANDS_INTERVAL)
+            .then_some(DueDemands::Urgent)
     }
 
     fn send_demands(&mut self) {
         let now = clock::now();
-        let Some(due) = self.demands_due(now) else {
+        let Some(due) = self.due_demands(now) else {
             return;
         };
-        self.last_urgent = now;
+        self.last_urgent_demands = now;
         if due != DueDemands::Urgent {
-            self.last_changed = now;
+            self.last_changed_demands = now;
         }
         if due == DueDemands::All {
-            self.last_all = now;
-            if let Some(entries) = self.dispatcher.reported_entry_count() {
-                self.entries.store(entries, Ordering::Relaxed);
+            self.last_all_demands = now;
+            if let Some(count) = self.dispatcher.reported_entry_count() {
+                self.entry_count.store(count, Ordering::Relaxed);
             }
         }
         for (engine, demand) in self.dispatcher.demands(due, now) {
-            self.links.send(engine, demand, now);
+            self.links.send_demand(engine, demand, now);
         }
     }
 }
 
-fn log_requested_load(wished: &RequestedLoad) {
-    let backends: Vec<String> = wished.backends.iter().map(ToString::to_string).collect();
+fn log_requested_load(load: &RequestedLoad) {
+    let backends: Vec<String> = load.backends.iter().map(ToString::to_string).collect();
     log::info!(
-        adapter = wished.adapter.to_string().as_str(),
+        adapter = load.adapter.to_string().as_str(),
         backends = backends.join(",").as_str(),
-        cause = wished.cause.code(),
-        waiting = wished.waiting;
+        cause = load.cause.code(),
+        waiting = load.waiting;
         "dispatch: wished"
     );
 }
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -14,52 +14,53 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// Keepers that each entry tells and hears: while one is silent the other goes on. Entries
-/// whose lists differ still share one of two more often than not, and pass on what they
-/// hear by one to the other.
-const KEEPERS: usize = 2;
-/// Time for which a keeper holds a call without news. With the time for its answer it is
-/// 1.8 s until two silent keepers at once are left for the next, of the 3 s within which
-/// each entry must know (the shortest `ContactMs` of the platform's pages).
-const HELD_FOR: Duration = Duration::from_millis(1_500);
-/// longest time for a keeper's answer, beyond what it holds the call for
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// pause before the next keeper is asked
-const RETRY: Duration = Duration::from_millis(20);
-/// time between two looks while no engine is listed
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Number of aggregators that each entry uses at a time, so that one may be unresponsive. Entries
+/// with different engine lists usually still share one of them, and forward the reports of each to
+/// the other.
+const AGGREGATORS: usize = 2;
+/// Maximum time that an aggregator holds a call without new reports. Together with
+/// [`RESPONSE_TIMEOUT`] it bounds the time to leave an unresponsive aggregator, which must be well
+/// below the 3 s within which each entry must learn of a crash.
+const MAX_HOLD: Duration = Duration::from_millis(1_500);
+/// Time for the response of an aggregator in addition to the time that it holds the call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay before the next aggregator is tried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time between two checks while no engine is listed.
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// one of the links by which an entry shares what it knows
+/// Exchanges crash reports with the aggregator of one rank.
 struct CrashLink {
     shared: Arc<Shared>,
-    choice: Arc<Mutex<AggregatorSelector>>,
+    selector: Arc<Mutex<AggregatorSelector>>,
     rank: usize,
     peers: PeerClient,
     changed: watch::Receiver<u64>,
-    present: Option<Present>,
+    current: Option<CurrentAggregator>,
 }
 
-/// the keeper of the moment
+/// The aggregator in use.
 #[derive(Debug, Clone, Copy)]
-struct Present {
+struct CurrentAggregator {
     engine: SocketAddr,
-    /// revision of the own book up to which it knows all
-    told: u64,
-    heard: Option<CrashCursor>,
+    /// Revision of the local registry up to which the aggregator has all reports.
+    sent_revision: u64,
+    /// Position in the aggregator's reports; `None` before its first response.
+    cursor: Option<CrashCursor>,
 }
 
-/// share what this entry knows with all others, until the process ends
+/// Starts the tasks that exchange crash reports with the other entries until the process ends.
 pub fn exchange_crashes(shared: &Arc<Shared>) {
-    let choice = AggregatorSelector::new(AggregatedState::Crashes);
-    let choice = Arc::new(Mutex::new(choice));
-    for rank in 0..KEEPERS {
+    let selector = AggregatorSelector::new(AggregatedState::Crashes);
+    let selector = Arc::new(Mutex::new(selector));
+    for rank in 0..AGGREGATORS {
         let link = CrashLink {
             shared: shared.clone(),
-            choice: choice.clone(),
+            selector: selector.clone(),
             rank,
             peers: PeerClient::new(),
             changed: shared.crashes.subscribe(),
-            present: None,
+            current: None,
         };
         tokio::spawn(link.run());
     }
@@ -68,95 +69,101 @@
 impl CrashLink {
     async fn run(mut self) {
         loop {
-            let Some(present) = self.choose() else {
-                sleep(LOOK_EVERY).await;
+            let Some(current) = self.select_aggregator() else {
+                sleep(IDLE_INTERVAL).await;
                 continue;
             };
-            if let Err(e) = self.exchange(present).await {
-                self.on_no_answer(present, &e);
-                sleep(RETRY).await;
+            if let Err(e) = self.exchange(current).await {
+                self.on_failure(current, &e);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// the keeper to be used now
-    fn choose(&mut self) -> Option<Present> {
+    /// Returns the aggregator to use now.
+    fn select_aggregator(&mut self) -> Option<CurrentAggregator> {
         let engines = self.shared.control.engines();
         let engine = self
-            .choice()
+            .selector()
             .select_ranked(self.rank, &engines, clock::now())?;
-        let kept = self.present.filter(|present| present.engine == engine);
-        let present = kept.unwrap_or_else(|| {
+        let kept = self.current.filter(|current| current.engine == engine);
+        let current = kept.unwrap_or_else(|| {
             log::info!(keeper = engine.to_string().as_str(), rank = self.rank;
-                "crashes: keeper taken");
-            Present {
+                "crashes: aggregator selected");
+            CurrentAggregator {
                 engine,
-                told: 0,
-                heard: None,
+                sent_revision: 0,
+                cursor: None,
             }
         });
-        self.present = Some(present);
-        self.present
+        self.current = Some(current);
+        self.current
     }
 
-    /// tell what the keeper does not know, or wait for what others tell it
-    async fn exchange(&mut self, present: Present) -> Result<(), ClientError> {
+    /// Sends the reports that the aggregator lacks, or waits for reports of other entries.
+    async fn exchange(&mut self, current: CurrentAggregator) -> Result<(), ClientError> {
         self.changed.mark_unchanged();
-        let (words, told) = self.shared.crashes.reports_since(present.told);
-        let is_held = words.is_empty() && present.heard.is_some();
-        let wait = if is_held { HELD_FOR } else { Duration::ZERO };
-        let ask = CrashRequest {
+        let (reports, sent_revision) = self.shared.crashes.reports_since(current.sent_revision);
+        let is_held = reports.is_empty() && current.cursor.is_some();
+        let wait = if is_held { MAX_HOLD } else { Duration::ZERO };
+        let request = CrashRequest {
             entry: self.shared.settings.name.clone(),
-            heard: present.heard,
-            words,
+            heard: current.cursor,
+            words: reports,
             wait_ms: wait.as_millis() as u64,
         };
-        let keeper = SocketAddr::new(present.engine.ip(), self.shared.settings.sidecar_port);
-        let limit = wait + ANSWER_LIMIT;
-        let call = self
-            .peers
-            .call::<_, CrashResponse>(keeper, path::CRASHES, &ask, limit);
-        let answer = tokio::select! {
-            answer = call => answer?,
-            // news of our own go out at once
+        let aggregator = SocketAddr::new(current.engine.ip(), self.shared.settings.sidecar_port);
+        let timeout = wait + RESPONSE_TIMEOUT;
+        let call =
+            self.peers
+                .call::<_, CrashResponse>(aggregator, path::CRASHES, &request, timeout);
+        let response = tokio::select! {
+            response = call => response?,
+            // New local reports are sent at once.
             changed = self.changed.changed(), if is_held => {
-                // an error says that the process ends
+                // The sender is dropped only when the process ends.
                 let _ = changed;
                 return Ok(());
             }
         };
-        self.choice().on_response(present.engine);
-        self.take_in(present, told, answer);
+        self.selector().on_response(current.engine);
+        self.apply_response(current, sent_revision, response);
         Ok(())
     }
 
-    fn take_in(&mut self, before: Present, told: u64, answer: CrashResponse) {
-        let heard = before.heard;
-        let is_other = heard.is_some_and(|heard| heard.keeper != answer.mark.keeper);
-        let told = self.shared.crashes.merge(&answer.words, told);
-        self.present = Some(Present {
-            // one that has started again has forgotten all
-            told: if is_other { 0 } else { told },
-            heard: Some(answer.mark),
+    fn apply_response(
+        &mut self,
+        before: CurrentAggregator,
+        sent_revision: u64,
+        response: CrashResponse,
+    ) {
+        let cursor = before.cursor;
+        let has_restarted = cursor.is_some_and(|cursor| cursor.keeper != response.mark.keeper);
+        let sent_revision = self.shared.crashes.merge(&response.words, sent_revision);
+        self.current = Some(CurrentAggregator {
+            // A restarted aggregator has lost all reports.
+            sent_revision: if has_restarted { 0 } else { sent_revision },
+            cursor: Some(response.mark),
             ..before
         });
     }
 
-    /// A call that was held has cost more time than a second one would be worth.
-    fn on_no_answer(&mut self, present: Present, e: &ClientError) {
-        log::warn!(keeper = present.engine.to_string().as_str(),
-            cause = e.to_string().as_str(); "crashes: no answer");
+    /// Leaves the aggregator after a failed call. One that failed during a held call is not tried
+    /// again at once, since the call has taken too much time already.
+    fn on_failure(&mut self, current: CurrentAggregator, e: &ClientError) {
+        log::warn!(keeper = current.engine.to_string().as_str(),
+            cause = e.to_string().as_str(); "crashes: exchange failed");
         let now = clock::now();
-        match present.heard {
-            _ if e.proves_other_build() => self.choice().on_unsupported(present.engine, now),
-            Some(_) => self.choice().on_timeout(present.engine, now),
-            None => self.choice().on_failure(present.engine, now),
+        match current.cursor {
+            _ if e.proves_other_build() => self.selector().on_unsupported(current.engine, now),
+            Some(_) => self.selector().on_timeout(current.engine, now),
+            None => self.selector().on_failure(current.engine, now),
         }
-        self.present = None;
+        self.current = None;
     }
 
-    fn choice(&self) -> MutexGuard<'_, AggregatorSelector> {
-        // no holder panics halfway through a change
-        self.choice.lock().unwrap_or_else(|e| e.into_inner())
+    fn selector(&self) -> MutexGuard<'_, AggregatorSelector> {
+        // No holder panics in the middle of an update.
+        self.selector.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/entry/src/ingress/fleet_links.rs
+++ b/entry/src/ingress/fleet_links.rs
@@ -8,25 +8,25 @@
     tokio::runtime::Handle,
 };
 
-/// relays are kept until no more than this part of the engines is left that
-/// they were taken for
-const KEPT_DOWN_TO: f64 = 0.5;
+/// Relays stay in use until the number of engines falls to this fraction of the threshold, which
+/// avoids switching back and forth around it.
+const RELAY_RELEASE_RATIO: f64 = 0.5;
 
-/// where an entry stands in the fleet, and how sidecars are reached
+/// Identity of an entry and how it reaches sidecars.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
     pub entry: BoxName,
     pub zone: ZoneName,
-    /// port at which sidecars listen, on the addresses of their engines
+    /// Sidecars listen on this port at the addresses of their engines.
     pub sidecar_port: u16,
-    /// engines from which on relays are used; none if never
+    /// Number of engines from which on relays are used; `None` to never use them.
     pub relays_from_engines: Option<usize>,
-    /// filled in with the relays by which the store is heard
+    /// Set to the relays through which the store may be read.
     pub store_relays: Arc<StoreRelays>,
 }
 
-/// how an entry hears the sidecars of engines: each by a link of its own, or all
-/// by a relay of its zone
+/// Connects an entry to the sidecars of engines: by a direct link to each, or through one relay of
+/// its zone.
 pub struct FleetLinks {
     settings: LinkSettings,
     runtime: Handle,
@@ -48,9 +48,9 @@
         }
     }
 
-    /// hear the sidecars of these engines, and of no other
+    /// Sets the engines whose sidecars are connected.
     pub fn set_engines(&mut self, engines: Vec<RelayCandidate>) {
-        if !self.wants_relay(engines.len()) {
+        if !self.should_use_relay(engines.len()) {
             self.relay = None;
             self.direct.follow(engines.iter().map(|c| c.engine));
             return;
@@ -62,18 +62,18 @@
         relay.set_engines(engines);
     }
 
-    fn wants_relay(&self, engines: usize) -> bool {
+    fn should_use_relay(&self, engines: usize) -> bool {
         let from = self.settings.relays_from_engines;
         from.is_some_and(|from| match &self.relay {
-            Some(_) => engines as f64 > from as f64 * KEPT_DOWN_TO,
+            Some(_) => engines as f64 > from as f64 * RELAY_RELEASE_RATIO,
             None => engines >= from,
         })
     }
 
-    /// tell the sidecar of an engine what is needed of it
-    pub fn send(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
+    /// Sends the adapter demand of an engine to its sidecar.
+    pub fn send_demand(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
         match &mut self.relay {
-            Some(relay) => relay.send(engine, demand),
+            Some(relay) => relay.send_demand(engine, demand),
             None => self.direct.send(engine, demand, now),
         }
     }
--- a/entry/src/ingress/operator_pages.rs
+++ b/entry/src/ingress/operator_pages.rs
@@ -10,7 +10,7 @@
     std::sync::Arc,
 };
 
-/// the platform's question whether clients may be sent here
+/// Builds the router for the platform's readiness check.
 pub fn new_readiness_router(shared: Arc<Shared>) -> Router {
     let path = shared.dialect.readiness_path();
     let middleware = StateMiddleware::new(SharedData::new(shared));
@@ -20,7 +20,7 @@
     })
 }
 
-/// the pages of operators' tools
+/// Builds the router for metrics and health checks.
 pub fn new_metrics_router(shared: Arc<Shared>) -> Router {
     let middleware = StateMiddleware::new(SharedData::new(shared));
     let (chain, pipelines) = single_pipeline(single_middleware(middleware));
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -18,37 +18,35 @@
     },
 };
 
-/// pause after a change of the list that a relay told: news cost no call of the
-/// store, only the time to take them in
-const PAUSE_BY_RELAY: Duration = Duration::from_millis(150);
+/// Delay after a list change from a relay, which costs no store call, only processing time.
+const RELAYED_LIST_DELAY: Duration = Duration::from_millis(150);
 
-/// what engines hold, as listed, is of use only where no sidecar speaks: it is
-/// told to the dispatcher this often, or with a change that matters at once
-const HOLDINGS_EVERY: Duration = Duration::from_secs(2);
+/// Time between reports of the listed weights to the dispatcher, unless another change is reported
+/// earlier. They are used only for engines without a reporting sidecar.
+const WEIGHTS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// takes in what is published, for an entry
+/// Applies the records of the platform's store to an entry.
 pub struct EntryRecords {
     shared: Arc<Shared>,
     source: Arc<ZoneSource>,
-    list: Mutex<List>,
-    /// zones whose back ends are to be sent nothing
+    list: Mutex<BackendList>,
+    /// Zones whose back ends must not get requests.
     evacuated: Mutex<HashSet<ZoneName>>,
     unreadable: UnreadableRecords,
 }
 
-/// the list of back ends
+/// The listed back ends.
 #[derive(Default)]
-struct List {
+struct BackendList {
     backends: BTreeMap<BackendName, Backend>,
-    /// when the dispatcher was told
-    told: Option<Instant>,
-    /// it was not told of the newest holdings
-    is_untold: bool,
+    /// When the list was last reported to the dispatcher.
+    reported_at: Option<Instant>,
+    has_unreported_changes: bool,
 }
 
-impl List {
-    /// take in a record; says whether the dispatcher should hear of it at once
-    fn take_in(&mut self, record: Record) -> bool {
+impl BackendList {
+    /// Applies a record; returns whether the change must be reported at once.
+    fn apply(&mut self, record: Record) -> bool {
         match record {
             Record::Backend(backend) => {
                 let known = self
@@ -64,8 +62,8 @@
         }
     }
 
-    /// A record that can't be read names no back end to use, also where it did before;
-    /// what runs there goes on.
+    /// Marks a back end with an undecodable record as leaving: it gets no new requests, while
+    /// running ones continue. Returns whether the change must be reported at once.
     fn set_unreadable(&mut self, name: &BackendName, before: Option<&Backend>) -> bool {
         if let Some(before) = before {
             self.backends.insert(name.clone(), before.clone());
@@ -79,8 +77,9 @@
     }
 
     fn is_due(&self) -> bool {
-        let told = self.told;
-        self.is_untold && told.is_none_or(|at| clock::elapsed(at) >= HOLDINGS_EVERY)
+        let reported_at = self.reported_at;
+        self.has_unreported_changes
+            && reported_at.is_none_or(|at| clock::elapsed(at) >= WEIGHTS_INTERVAL)
     }
 }
 
@@ -95,15 +94,15 @@
         }
     }
 
-    fn take_backends(&self, heard: Snapshot, is_whole: bool) {
-        // no holder panics halfway through a change
+    fn apply_backends(&self, snapshot: Snapshot, is_complete: bool) {
+        // No holder panics in the middle of an update.
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = match is_whole {
+        let before = match is_complete {
             true => std::mem::take(&mut list.backends),
             false => BTreeMap::new(),
         };
-        let mut is_urgent = is_whole;
-        for record in heard.records {
+        let mut is_urgent = is_complete;
+        for record in snapshot.records {
             self.unreadable
                 .record_if_unreadable(&record, &self.shared.metrics);
             is_urgent |= match &record {
@@ -111,32 +110,32 @@
                     subject: RecordSubject::Backend(name),
                     ..
                 } => list.set_unreadable(name, before.get(name)),
-                _ => list.take_in(record),
+                _ => list.apply(record),
             };
-            list.is_untold = true;
+            list.has_unreported_changes = true;
         }
         if !is_urgent && !list.is_due() {
             return;
         }
-        list.is_untold = false;
-        list.told = Some(clock::now());
-        let told = list.backends.values().cloned().collect();
+        list.has_unreported_changes = false;
+        list.reported_at = Some(clock::now());
+        let backends = list.backends.values().cloned().collect();
         self.shared.set_has_backend_list();
-        self.shared.metrics.on_list(heard.at);
-        let version = heard.at;
+        self.shared.metrics.on_list(snapshot.at);
+        let version = snapshot.at;
         self.shared.control.send_event(DispatchEvent::ListUpdated {
             version,
-            list: told,
+            list: backends,
         });
     }
 
-    fn take_configuration(&self, record: Record) {
+    fn apply_configuration(&self, record: Record) {
         self.unreadable
             .record_if_unreadable(&record, &self.shared.metrics);
         match record {
             Record::Table(table) => {
                 self.shared.admission.lease().on_configuration(true);
-                self.take_table(*table);
+                self.apply_table(*table);
             }
             Record::AdapterVersion { adapter, version } => {
                 let event = DispatchEvent::VersionAnnounced { adapter, version };
@@ -147,19 +146,20 @@
                 subject: RecordSubject::Table,
                 ..
             } => self.shared.admission.lease().on_configuration(false),
-            // counted above
+            // Counted above.
             Record::Unreadable { .. } => {}
             other => log_unexpected(&other),
         }
     }
 
-    /// what is known of zones, from all records of the topic or those that have changed
-    fn take_zones(&self, records: &[Record], is_whole: bool) {
-        // no holder panics halfway through a change
+    /// Updates the evacuated zones from all records of the topic if `is_complete`, else from the
+    /// changed ones.
+    fn apply_zones(&self, records: &[Record], is_complete: bool) {
+        // No holder panics in the middle of an update.
         let known = self.evacuated.lock();
         let mut known = known.unwrap_or_else(PoisonError::into_inner);
         let before = known.clone();
-        if is_whole {
+        if is_complete {
             known.clear();
         }
         for record in records {
@@ -176,15 +176,15 @@
             return;
         }
         let zones: Vec<&str> = known.iter().map(String::as_str).collect();
-        log::info!(zones = zones.join(",").as_str(); "store: zones to be emptied");
+        log::info!(zones = zones.join(",").as_str(); "store: evacuated zones changed");
         let zones = known.clone();
         self.shared
             .control
             .send_event(DispatchEvent::ZonesEvacuated(zones));
     }
 
-    /// a configuration never goes back to an earlier version
-    fn take_table(&self, table: RouteTable) {
+    /// Activates a configuration unless a later generation is active already.
+    fn apply_table(&self, table: RouteTable) {
         let known = self.shared.table.load_full();
         if known.is_some_and(|known| known.generation >= table.generation) {
             return;
@@ -207,7 +207,7 @@
                     steady_per_s = change.bounds.steady_per_s,
                     at_once = change.bounds.burst,
                     in_window = change.bounds.per_window;
-                    "limits: in force"
+                    "limits: limit changed"
                 );
             });
         }
@@ -220,21 +220,22 @@
 }
 
 impl RecordSink for EntryRecords {
-    fn take_in(&self, topic: Topic, heard: Heard, is_whole: bool) {
+    fn take_in(&self, topic: Topic, update: Heard, is_complete: bool) {
         match topic {
-            Topic::Backends => self.take_backends(heard.snapshot, is_whole),
+            Topic::Backends => self.apply_backends(update.snapshot, is_complete),
             Topic::Configuration => {
-                self.take_zones(&heard.snapshot.records, is_whole);
-                let records = heard.snapshot.records.into_iter();
-                records.for_each(|record| self.take_configuration(record));
-                self.shared.admission.lease().on_current(heard.current_at);
+                self.apply_zones(&update.snapshot.records, is_complete);
+                let records = update.snapshot.records.into_iter();
+                records.for_each(|record| self.apply_configuration(record));
+                self.shared.admission.lease().on_current(update.current_at);
             }
         }
     }
+
     fn pause(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
-            Topic::Backends if self.source.is_relayed() => PAUSE_BY_RELAY,
+            Topic::Backends if self.source.is_relayed() => RELAYED_LIST_DELAY,
             Topic::Backends => {
                 let entries = self.shared.control.entry_count();
                 self.shared.list_pacing().pause(entries)
@@ -243,7 +244,7 @@
     }
 }
 
-/// a record that does not belong to its topic, as a relay of another form might tell
+/// Logs a record that does not belong to its topic, as a relay of another version might send.
 fn log_unexpected(record: &Record) {
-    log::error!("store: not of this topic: {record:?}");
+    log::error!("store: unexpected record for this topic: {record:?}");
 }
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -27,16 +27,16 @@
     },
 };
 
-/// a relay speaks each 200 ms at least
-const SILENCE: Duration = Duration::from_millis(700);
-/// pause before the next relay is tried
-const RETRY: Duration = Duration::from_millis(20);
-/// time between two looks whether another relay is to be used
-const REVIEW: Duration = Duration::from_secs(2);
-/// a relay that has not heard a sidecar for this long will not
-const ALL_HEARD_AFTER: Duration = Duration::from_millis(1_500);
-
-/// an entry's link to the relay that it uses; its task ends when it is dropped
+/// A relay sends an update at least every 200 ms.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay before the next relay is tried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time between two checks whether another relay should be used.
+const SELECTION_INTERVAL: Duration = Duration::from_secs(2);
+/// After this time on a new relay, engines that it has not reported are forgotten.
+const COMPLETE_AFTER: Duration = Duration::from_millis(1_500);
+
+/// An entry's link to the relay that it uses. Its task is aborted on drop.
 pub struct RelayLink {
     outbox: Arc<RelayOutbox>,
     store_relays: Arc<StoreRelays>,
@@ -58,7 +58,7 @@
             control,
             peers: PeerClient::new(),
             outbox: outbox.clone(),
-            choice: RelaySelector::new(&settings.entry, &settings.zone),
+            selector: RelaySelector::new(&settings.entry, &settings.zone),
             views: HashMap::new(),
         };
         let task = runtime.spawn(reader.run());
@@ -69,115 +69,120 @@
         }
     }
 
-    /// hear the sidecars of these engines, and of no other
+    /// Sets the engines that the relay is used for.
     pub fn set_engines(&self, engines: Vec<RelayCandidate>) {
         self.outbox.set_candidates(engines);
     }
-    pub fn send(&self, engine: SocketAddr, demand: AdapterDemand) {
+
+    /// Sends the demand of an engine through the relay.
+    pub fn send_demand(&self, engine: SocketAddr, demand: AdapterDemand) {
         self.outbox.set_demand(engine, demand);
     }
 }
 
-/// why a relay is no longer used
-enum End {
+/// The reason why a relay is no longer used.
+enum RelayEnd {
     Failed(ClientError),
-    /// another one is to be used
+    /// Another relay is preferred.
     Outranked,
 }
 
-/// reads the news of one relay after the other
+/// Selects relays and reads their updates.
 struct RelayReader {
     settings: LinkSettings,
     control: ControlHandle,
     peers: PeerClient,
     outbox: Arc<RelayOutbox>,
-    choice: RelaySelector,
-    /// what is known of each engine
+    selector: RelaySelector,
+    /// The latest view of each engine.
     views: HashMap<SocketAddr, EngineView>,
 }
 
 impl RelayReader {
     async fn run(mut self) {
-        let mut present = None;
+        let mut current = None;
         loop {
             let now = clock::now();
             let candidates = self.outbox.candidates();
-            let chosen = self.choice.select(&candidates, present, now);
+            let chosen = self.selector.select(&candidates, current, now);
             let Some(engine) = chosen else {
-                sleep(REVIEW).await;
+                sleep(SELECTION_INTERVAL).await;
                 continue;
             };
-            present = Some(engine);
+            current = Some(engine);
             let relay = SocketAddr::new(engine.ip(), self.settings.sidecar_port);
             log::info!(relay = relay.to_string().as_str(), engines = candidates.len();
-                "links: relay taken");
+                "links: relay selected");
             let end = self.use_relay(engine, relay).await;
-            if let End::Failed(e) = end {
+            if let RelayEnd::Failed(e) = end {
                 log::warn!(relay = relay.to_string().as_str(), cause = e.to_string().as_str();
-                    "links: relay lost");
-                self.choice.on_failure(engine, clock::now());
-                present = None;
-                sleep(RETRY).await;
+                    "links: relay failed");
+                self.selector.on_failure(engine, clock::now());
+                current = None;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn use_relay(&mut self, engine: SocketAddr, relay: SocketAddr) -> End {
+    async fn use_relay(&mut self, engine: SocketAddr, relay: SocketAddr) -> RelayEnd {
         let (peers, outbox) = (self.peers.clone(), self.outbox.clone());
         tokio::select! {
-            e = outbox.run(&peers, relay) => End::Failed(e),
+            e = outbox.run(&peers, relay) => RelayEnd::Failed(e),
             end = self.read_from(engine, relay) => end,
         }
     }
 
-    async fn read_from(&mut self, engine: SocketAddr, relay: SocketAddr) -> End {
+    async fn read_from(&mut self, engine: SocketAddr, relay: SocketAddr) -> RelayEnd {
         let mut updates = match self.open(relay).await {
             Ok(updates) => updates,
-            Err(e) => return End::Failed(e),
+            Err(e) => return RelayEnd::Failed(e),
         };
-        let (since, mut reviewed) = (clock::now(), clock::now());
-        let (mut heard, mut is_first) = (Some(HashSet::new()), true);
+        let (opened_at, mut selected_at) = (clock::now(), clock::now());
+        let (mut reported, mut is_first) = (Some(HashSet::new()), true);
         loop {
             let update = match next_update(&mut updates, relay).await {
                 Ok(update) => update,
-                Err(e) => return End::Failed(e),
+                Err(e) => return RelayEnd::Failed(e),
             };
             if is_first {
                 is_first = false;
                 self.set_store_relays(relay);
             }
-            if let Some(heard) = &mut heard {
-                heard.extend(update.news.iter().map(|news| news.engine));
+            if let Some(reported) = &mut reported {
+                reported.extend(update.news.iter().map(|update| update.engine));
             }
-            update.news.into_iter().for_each(|news| self.take_in(news));
-            if clock::elapsed(since) >= ALL_HEARD_AFTER {
-                heard
+            let updates = update.news.into_iter();
+            updates.for_each(|update| self.apply(update));
+            if clock::elapsed(opened_at) >= COMPLETE_AFTER {
+                reported
                     .take()
                     .into_iter()
-                    .for_each(|heard| self.forget_but(&heard));
+                    .for_each(|reported| self.retain_engines(&reported));
             }
-            if clock::elapsed(reviewed) >= REVIEW {
-                reviewed = clock::now();
+            if clock::elapsed(selected_at) >= SELECTION_INTERVAL {
+                selected_at = clock::now();
                 self.set_store_relays(relay);
                 if self.is_outranked(engine) {
-                    return End::Outranked;
+                    return RelayEnd::Outranked;
                 }
             }
         }
     }
 
     async fn open(&self, relay: SocketAddr) -> Result<MessageStream<RelayUpdate>, ClientError> {
-        let ask = RelayRequest {
+        let request = RelayRequest {
             entry: self.settings.entry.clone(),
         };
-        let stream = self.peers.stream(relay, path::RELAY_VIEWS, &ask);
-        timeout(SILENCE, stream).await.map_err(|_| silent(relay))?
+        let stream = self.peers.stream(relay, path::RELAY_VIEWS, &request);
+        timeout(UPDATE_TIMEOUT, stream)
+            .await
+            .map_err(|_| timeout_error(relay))?
     }
 
-    /// the zone's reader of the store first, then the relay that is heard anyway
+    /// Sets the relays for the store: the zone's store reader first, then the current relay.
     fn set_store_relays(&mut self, relay: SocketAddr) {
         let candidates = self.outbox.candidates();
-        let reader = self.choice.select_store_reader(&candidates, clock::now());
+        let reader = self.selector.select_store_reader(&candidates, clock::now());
         let port = self.settings.sidecar_port;
         let reader = reader.map(|engine| SocketAddr::new(engine.ip(), port));
         let mut ranked: Vec<SocketAddr> = reader.into_iter().collect();
@@ -189,38 +194,41 @@
 
     fn is_outranked(&mut self, engine: SocketAddr) -> bool {
         let candidates = self.outbox.candidates();
-        let chosen = self.choice.select(&candidates, Some(engine), clock::now());
+        let chosen = self
+            .selector
+            .select(&candidates, Some(engine), clock::now());
         chosen != Some(engine)
     }
 
-    fn take_in(&mut self, news: EngineUpdate) {
-        let (engine, age_ms) = (news.engine, news.age_ms);
-        match news.word {
+    fn apply(&mut self, update: EngineUpdate) {
+        let (engine, age_ms) = (update.engine, update.age_ms);
+        match update.word {
             EngineViewState::Silent => self.forget(engine),
             EngineViewState::Unknown | EngineViewState::View(ViewUpdate::Unknown) => {}
-            EngineViewState::View(ViewUpdate::Figures(mut figures)) => {
-                figures.age_ms = age_ms;
+            EngineViewState::View(ViewUpdate::Figures(mut stats)) => {
+                stats.age_ms = age_ms;
                 if let Some(view) = self.views.get(&engine) {
-                    self.control.on_figures(engine, &view.backend, figures);
+                    self.control.on_figures(engine, &view.backend, stats);
                 }
             }
             EngineViewState::View(update) => {
                 let view = self.views.entry(engine).or_default();
                 view.apply(update);
                 view.figures.age_ms = age_ms;
-                let told = view.clone();
-                // told once; the dispatcher remembers
+                let reported = view.clone();
+                // The dispatcher keeps the recently held adapters, so they are reported only once.
                 view.lately.clear();
-                self.control.on_view(engine, told);
+                self.control.on_view(engine, reported);
             }
         }
     }
 
-    /// forget engines of which this relay has heard nothing
-    fn forget_but(&mut self, heard: &HashSet<SocketAddr>) {
-        let unheard = self.views.keys().filter(|engine| !heard.contains(engine));
-        let unheard: Vec<SocketAddr> = unheard.copied().collect();
-        unheard.into_iter().for_each(|engine| self.forget(engine));
+    /// Forgets the engines that are not in `reported`.
+    fn retain_engines(&mut self, reported: &HashSet<SocketAddr>) {
+        let views = self.views.keys();
+        let missing = views.filter(|engine| !reported.contains(engine));
+        let missing: Vec<SocketAddr> = missing.copied().collect();
+        missing.into_iter().for_each(|engine| self.forget(engine));
     }
 
     fn forget(&mut self, engine: SocketAddr) {
@@ -234,13 +242,13 @@
     updates: &mut MessageStream<RelayUpdate>,
     relay: SocketAddr,
 ) -> Result<RelayUpdate, ClientError> {
-    let next = timeout(SILENCE, updates.next()).await;
+    let next = timeout(UPDATE_TIMEOUT, updates.next()).await;
     match next.ok().flatten() {
         Some(update) => update,
-        None => Err(silent(relay)),
+        None => Err(timeout_error(relay)),
     }
 }
 
-fn silent(relay: SocketAddr) -> ClientError {
+fn timeout_error(relay: SocketAddr) -> ClientError {
     ClientError::new(ClientStep::Receive, relay, "silent")
 }
--- a/entry/src/ingress/relay_outbox.rs
+++ b/entry/src/ingress/relay_outbox.rs
@@ -15,113 +15,115 @@
     },
 };
 
-/// a relay forgets an entry that is silent for 3 s
-const SIGN_OF_LIFE: Duration = Duration::from_millis(900);
-const POST_LIMIT: Duration = Duration::from_millis(400);
-/// what comes within this time goes out together
-const GATHERED: Duration = Duration::from_millis(3);
-/// pause before a call that failed is made again
-const RETRY: Duration = Duration::from_millis(50);
-/// calls in a row that may fail before another relay is used
-const MOST_FAILED: u32 = 2;
+/// A relay forgets an entry that sends nothing for 3 s.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
+const POST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Changes within this time are sent in one message.
+const BATCH_DELAY: Duration = Duration::from_millis(3);
+/// Delay before a failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Number of consecutive failed calls after which another relay is selected.
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 
-/// what an entry needs of engines, until its relay has heard it
+/// Holds the adapter demands of an entry and sends them to its relay.
 pub struct RelayOutbox {
     entry: BoxName,
-    content: Mutex<Content>,
+    state: Mutex<OutboxState>,
     changed: Notify,
 }
 
 #[derive(Default)]
-struct Content {
+struct OutboxState {
     candidates: Vec<RelayCandidate>,
     demands: BTreeMap<SocketAddr, AdapterDemand>,
-    /// engines of which the relay has not heard the newest
-    unsaid: BTreeSet<SocketAddr>,
+    /// Engines whose latest demand has not been sent to the relay.
+    unsent: BTreeSet<SocketAddr>,
 }
 
 impl RelayOutbox {
     pub fn new(entry: BoxName) -> Self {
         Self {
             entry,
-            content: Mutex::default(),
+            state: Mutex::default(),
             changed: Notify::new(),
         }
     }
 
-    /// engines that are followed from now on, any of whose sidecars may be the relay
+    /// Sets the engines that demands are sent for; the sidecar of each may be the relay.
     pub fn set_candidates(&self, candidates: Vec<RelayCandidate>) {
-        let mut content = self.content();
-        let followed: HashSet<SocketAddr> = candidates.iter().map(|c| c.engine).collect();
-        let left = content.demands.keys().filter(|e| !followed.contains(e));
-        let left: Vec<SocketAddr> = left.copied().collect();
-        for engine in left {
-            content.demands.remove(&engine);
-            content.unsaid.insert(engine);
+        let mut state = self.state();
+        let engines: HashSet<SocketAddr> = candidates.iter().map(|c| c.engine).collect();
+        let removed = state.demands.keys().filter(|e| !engines.contains(e));
+        let removed: Vec<SocketAddr> = removed.copied().collect();
+        for engine in removed {
+            state.demands.remove(&engine);
+            state.unsent.insert(engine);
         }
-        content.candidates = candidates;
+        state.candidates = candidates;
     }
+
     pub fn candidates(&self) -> Vec<RelayCandidate> {
-        self.content().candidates.clone()
+        self.state().candidates.clone()
     }
 
-    /// what is needed of one engine
+    /// Sets the demand of one engine.
     pub fn set_demand(&self, engine: SocketAddr, demand: AdapterDemand) {
-        let mut content = self.content();
-        let told = content.demands.get(&engine);
-        if told.is_some_and(|told| told.is_equivalent_to(&demand)) {
+        let mut state = self.state();
+        let known = state.demands.get(&engine);
+        if known.is_some_and(|known| known.is_equivalent_to(&demand)) {
             return;
         }
-        content.demands.insert(engine, demand);
-        content.unsaid.insert(engine);
+        state.demands.insert(engine, demand);
+        state.unsent.insert(engine);
         self.changed.notify_one();
     }
 
-    /// tell a relay all, then what changes, until it can't be reached
+    /// Sends all demands to a relay, then the changes, until the relay is unreachable.
     pub async fn run(&self, peers: &PeerClient, relay: SocketAddr) -> ClientError {
-        let (mut is_whole, mut failed) = (true, 0);
+        let (mut is_full, mut failures) = (true, 0);
         loop {
-            let message = self.take_message(is_whole);
+            let message = self.take_message(is_full);
             let posted: Result<bool, _> = peers
-                .call(relay, path::RELAY_DEMANDS, &message, POST_LIMIT)
+                .call(relay, path::RELAY_DEMANDS, &message, POST_TIMEOUT)
                 .await;
-            is_whole = posted.is_err();
+            // The relay may have missed the changes.
+            is_full = posted.is_err();
             match posted {
-                Ok(_) => failed = 0,
-                Err(e) if failed + 1 >= MOST_FAILED => return e,
+                Ok(_) => failures = 0,
+                Err(e) if failures + 1 >= MAX_CONSECUTIVE_FAILURES => return e,
                 Err(_) => {
-                    failed += 1;
-                    sleep(RETRY).await;
+                    failures += 1;
+                    sleep(RETRY_DELAY).await;
                 }
             }
-            if !is_whole {
-                // a time without a change is a sign of life
-                let _ = timeout(SIGN_OF_LIFE, self.changed.notified()).await;
-                sleep(GATHERED).await;
+            if !is_full {
+                // After this time without a change, an empty message is sent as a heartbeat.
+                let _ = timeout(HEARTBEAT_INTERVAL, self.changed.notified()).await;
+                sleep(BATCH_DELAY).await;
             }
         }
     }
 
-    fn take_message(&self, is_whole: bool) -> RelayDemands {
-        let mut content = self.content();
-        let unsaid = std::mem::take(&mut content.unsaid);
-        let engines: Vec<SocketAddr> = match is_whole {
-            true => content.demands.keys().copied().collect(),
-            false => unsaid.into_iter().collect(),
+    fn take_message(&self, is_full: bool) -> RelayDemands {
+        let mut state = self.state();
+        let unsent = std::mem::take(&mut state.unsent);
+        let engines: Vec<SocketAddr> = match is_full {
+            true => state.demands.keys().copied().collect(),
+            false => unsent.into_iter().collect(),
         };
-        let told = engines.into_iter().map(|engine| EngineDemand {
+        let demands = engines.into_iter().map(|engine| EngineDemand {
             engine,
-            demand: content.demands.get(&engine).cloned(),
+            demand: state.demands.get(&engine).cloned(),
         });
         RelayDemands {
             entry: self.entry.clone(),
-            is_whole,
-            engines: told.collect(),
+            is_whole: is_full,
+            engines: demands.collect(),
         }
     }
 
-    fn content(&self) -> MutexGuard<'_, Content> {
-        // no holder panics halfway through a change
-        self.content.lock().unwrap_or_else(|e| e.into_inner())
+    fn state(&self) -> MutexGuard<'_, OutboxState> {
+        // No holder panics in the middle of an update.
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -38,20 +38,20 @@
     tokio::{runtime::Handle, sync::watch, time::timeout},
 };
 
-/// run the ingress until it is asked to stop
+/// Runs the ingress until it receives a stop signal.
 pub fn serve(
     settings: IngressSettings,
-    follower: SettingsReloader,
+    reloader: SettingsReloader,
     store: Arc<dyn MetadataSource>,
     dialect: Arc<dyn Dialect>,
 ) -> Result<()> {
     let (name, log) = (settings.name.clone(), settings.log.clone());
-    run_on_one_thread(&name, &log, run(settings, follower, store, dialect))
+    run_on_one_thread(&name, &log, run(settings, reloader, store, dialect))
 }
 
 async fn run(
     settings: IngressSettings,
-    follower: SettingsReloader,
+    reloader: SettingsReloader,
     store: Arc<dyn MetadataSource>,
     dialect: Arc<dyn Dialect>,
 ) -> Result<()> {
@@ -62,7 +62,7 @@
     );
     if !settings.defaulted.is_empty() {
         let defaulted = settings.defaulted.join(", ");
-        log::warn!("settings: defaults in force: {defaulted}");
+        log::warn!("settings: using defaults for: {defaulted}");
     }
     let clients = server::bind(settings.clients).await?;
     let readiness = server::bind(settings.readiness).await?;
@@ -73,11 +73,11 @@
     let crashes = Arc::new(SharedCrashRegistry::default());
     let control = control::start(dispatcher, crashes.clone(), |control| {
         let sidecar_port = link_settings.sidecar_port;
-        let intake = AdmissionExchange::new(runtime.clone(), control.clone(), sidecar_port);
-        (FleetLinks::new(link_settings, runtime, control), intake)
+        let admission = AdmissionExchange::new(runtime.clone(), control.clone(), sidecar_port);
+        (FleetLinks::new(link_settings, runtime, control), admission)
     })?;
     let shared = Arc::new(Shared::new(settings, control, crashes, dialect));
-    follow_store(&shared, store.clone(), relays);
+    watch_store(&shared, store.clone(), relays);
     exchange_crashes(&shared);
     if shared.settings.mechanisms.shared_limits {
         let sidecar_port = shared.settings.sidecar_port;
@@ -93,9 +93,9 @@
     ));
     let router = operator_pages::new_metrics_router(shared.clone());
     tokio::spawn(server::serve(metrics, router, stopped, Duration::ZERO));
-    tokio::spawn(follow_settings(follower, shared.clone(), store));
+    tokio::spawn(apply_settings_changes(reloader, shared.clone(), store));
     let service = Arc::new(RoutedIngress::new(shared.clone()));
-    let served = tokio::spawn(ingress::serve(clients, service, shared.phase.subscribe()));
+    let server = tokio::spawn(ingress::serve(clients, service, shared.phase.subscribe()));
     log::info!("settings: mechanisms {}", shared.settings.mechanisms);
     log::info!(
         first_start = shared.settings.first_start;
@@ -103,27 +103,28 @@
     );
     let signal = stop_signal().await?;
     log::info!("ingress: drains after {signal}");
-    drain(&shared, served).await
+    drain(&shared, server).await
 }
 
-/// put new settings in force; addresses of its own change at the next start
-async fn follow_settings(
-    follower: SettingsReloader,
+/// Applies new versions of the settings file. Listening addresses change only with a restart.
+async fn apply_settings_changes(
+    reloader: SettingsReloader,
     shared: Arc<Shared>,
     store: Arc<dyn MetadataSource>,
 ) {
     let apply = |settings: IngressSettings| {
         store.set_addr(settings.store);
-        let tuned = DispatchEvent::SettingsUpdated(dispatch_settings(&settings));
-        shared.control.send_event(tuned);
+        let event = DispatchEvent::SettingsUpdated(dispatch_settings(&settings));
+        shared.control.send_event(event);
     };
-    if let Err(e) = follower.run(apply).await {
-        log::error!("settings: not followed: {e:#}");
+    if let Err(e) = reloader.run(apply).await {
+        log::error!("settings: cannot watch for changes: {e:#}");
     }
 }
 
-/// stop being ready, let the balancer notice, and let requests end
-async fn drain(shared: &Shared, served: tokio::task::JoinHandle<()>) -> Result<()> {
+/// Reports the process as not ready, waits for the load balancer to notice, then closes
+/// connections and waits for running requests.
+async fn drain(shared: &Shared, server: tokio::task::JoinHandle<()>) -> Result<()> {
     let times = IngressDrain {
         grace: shared.settings.grace(),
     };
@@ -131,7 +132,7 @@
     tokio::time::sleep(times.close_after()).await;
     shared.phase.send_replace(Phase::Closing);
     let left = times.exit_after().saturating_sub(times.close_after());
-    match timeout(left, served).await {
+    match timeout(left, server).await {
         Ok(joined) => joined.context("join the server")?,
         Err(_) => log::warn!("ingress: requests still run after {left:?}"),
     }
@@ -139,8 +140,8 @@
     Ok(())
 }
 
-/// follow both topics, by the relay of the zone where there is one
-fn follow_store(shared: &Arc<Shared>, store: Arc<dyn MetadataSource>, relays: Arc<StoreRelays>) {
+/// Starts watching both topics of the store, through a relay of the zone if there is one.
+fn watch_store(shared: &Arc<Shared>, store: Arc<dyn MetadataSource>, relays: Arc<StoreRelays>) {
     let relays = match shared.settings.mechanisms.store_by_relay {
         true => relays,
         false => Arc::default(),
@@ -151,12 +152,12 @@
     let source = Arc::new(ZoneSource::new(store, relays, pacing));
     let records = Arc::new(EntryRecords::new(shared.clone(), source.clone()));
     let settings = &shared.settings;
-    let known_within = [
+    let change_delays = [
         (Topic::Configuration, settings.config_apply_ms),
         (Topic::Backends, settings.drain_ms),
     ];
-    for (topic, bound_ms) in known_within {
-        let pacing = WatchPacing::for_change_delay(Duration::from_millis(bound_ms));
+    for (topic, delay_ms) in change_delays {
+        let pacing = WatchPacing::for_change_delay(Duration::from_millis(delay_ms));
         let follower = Follower::new(source.clone(), records.clone(), topic, pacing);
         tokio::spawn(follower.run());
     }
--- a/entry/src/ingress/shared_crash_registry.rs
+++ b/entry/src/ingress/shared_crash_registry.rs
@@ -13,13 +13,13 @@
     tokio::sync::watch,
 };
 
-/// digests that a line of the log holds at most
+/// Maximum number of digests in one log line.
 const MAX_DIGESTS_LOGGED: usize = 8;
 
-/// what this entry knows of requests under which engines ended
+/// The entry's registry of requests that were running when engines crashed.
 pub struct SharedCrashRegistry {
     registry: Mutex<CrashRegistry>,
-    /// the registry's revision
+    /// The registry's revision.
     changed: watch::Sender<u64>,
     pub metrics: CrashMetrics,
 }
@@ -39,26 +39,26 @@
         self.registry().verdict(digest, clock::now())
     }
 
-    /// requests were run to their end
+    /// Records requests that ran to completion.
     pub fn on_completed(&self, digests: Vec<RequestDigest>) {
         let now = clock::now();
         let mut registry = self.registry();
-        let news = digests
+        let changes = digests
             .into_iter()
             .filter(|d| registry.on_completed(*d, now));
-        if news.count() > 0 {
+        if changes.count() > 0 {
             self.publish(&registry);
         }
     }
 
-    /// engines have ended under runs
+    /// Records engine crashes with the requests that were running.
     pub fn on_engine_crashes(&self, crashes: Vec<EngineCrash>) {
         let now = clock::now();
         for crash in crashes {
             let mut registry = self.registry();
-            let life = stable_hash(&crash.backend.to_string());
+            let incarnation = stable_hash(&crash.backend.to_string());
             for run in &crash.runs {
-                registry.on_engine_ended(run.digest, life, run.at, now);
+                registry.on_engine_ended(run.digest, incarnation, run.at, now);
             }
             self.publish(&registry);
             drop(registry);
@@ -67,23 +67,27 @@
         }
     }
 
-    /// Take in what a keeper has heard of others. Gives the revision up to which that keeper
-    /// knows this registry, if it knew it up to `told`.
-    pub fn merge(&self, words: &[CrashReport], told: u64) -> u64 {
+    /// Merges the reports that an aggregator received from other entries.
+    ///
+    /// `sent_revision` is the revision up to which the aggregator has this registry; returns the
+    /// one up to which it has it after the merge.
+    pub fn merge(&self, reports: &[CrashReport], sent_revision: u64) -> u64 {
         let mut registry = self.registry();
         let before = registry.revision();
-        if registry.merge(words, clock::now()) {
+        if registry.merge(reports, clock::now()) {
             self.publish(&registry);
         }
-        match told == before {
+        match sent_revision == before {
             true => registry.revision(),
-            false => told,
+            false => sent_revision,
         }
     }
-    /// what is known beyond a revision, and the revision that this leads to
+
+    /// Returns the reports after `revision`, and the revision that they lead to.
     pub fn reports_since(&self, revision: u64) -> (Vec<CrashReport>, u64) {
         self.registry().reports_since(revision, clock::now())
     }
+
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -92,8 +96,9 @@
         self.metrics.remembered.set(registry.len() as i64);
         self.changed.send_replace(registry.revision());
     }
+
     fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         self.registry.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/entry/src/ingress/store_relays.rs
+++ b/entry/src/ingress/store_relays.rs
@@ -8,13 +8,11 @@
     },
 };
 
-/// a relay that gave no answer is not asked for this long, as one that is left for its
-/// views
-const REST: Duration = Duration::from_secs(5);
+/// A relay that failed is not called for this long.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
 
-/// The relays by which an entry may hear the platform's store, the one to be asked
-/// first at the head: it reads the store for all entries of the zone. Empty while the
-/// entry uses no relay.
+/// The relays through which an entry may read the platform's store, in order of preference. The
+/// first one reads the store for all entries of the zone. Empty while the entry uses no relay.
 #[derive(Debug, Default)]
 pub struct StoreRelays {
     ranked: ArcSwap<Vec<SocketAddr>>,
@@ -27,24 +25,26 @@
             self.ranked.store(Arc::new(ranked));
         }
     }
+
     pub fn is_empty(&self) -> bool {
         self.ranked.load().is_empty()
     }
 
-    /// those that may be asked now, in order
+    /// Returns the relays that may be called now, in order of preference.
     pub fn available(&self, now: Instant) -> Vec<SocketAddr> {
         let mut failed = self.failed();
-        failed.retain(|_, at| now.saturating_duration_since(*at) < REST);
+        failed.retain(|_, at| now.saturating_duration_since(*at) < FAILURE_BACKOFF);
         let ranked = self.ranked.load();
-        let sound = ranked.iter().filter(|relay| !failed.contains_key(relay));
-        sound.copied().collect()
+        let available = ranked.iter().filter(|relay| !failed.contains_key(relay));
+        available.copied().collect()
     }
+
     pub fn on_failure(&self, relay: SocketAddr, now: Instant) {
         self.failed().insert(relay, now);
     }
 
     fn failed(&self) -> MutexGuard<'_, HashMap<SocketAddr, Instant>> {
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         self.failed.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/entry/src/ingress/unreadable_records.rs
+++ b/entry/src/ingress/unreadable_records.rs
@@ -7,20 +7,20 @@
     },
 };
 
-/// keys that are counted each by itself; all further ones are counted as one
-const MOST_KEYS: usize = 256;
-/// the key under which those are counted
+/// Maximum number of keys that are counted separately; further ones are counted as [`OTHERS`].
+const MAX_KEYS: usize = 256;
+/// The key that records beyond [`MAX_KEYS`] are counted under.
 const OTHERS: &str = "(others)";
 
-/// Records that can't be read, which other writers may write anew at any rate: a line for
-/// the first of a key, the second, the fourth and so on, and a count by cause.
+/// Counts and logs records that can't be decoded. Only the first, second, fourth and so on of
+/// each key are logged, since other writers may rewrite such records at any rate.
 #[derive(Debug, Default)]
 pub struct UnreadableRecords {
-    times: Mutex<HashMap<String, u64>>,
+    counts: Mutex<HashMap<String, u64>>,
 }
 
 impl UnreadableRecords {
-    /// count a record, if it can't be read
+    /// Counts and logs a record if it can't be decoded.
     pub fn record_if_unreadable(&self, record: &Record, metrics: &IngressMetrics) {
         let Record::Unreadable {
             key,
@@ -45,14 +45,14 @@
     }
 
     fn count(&self, key: &str) -> u64 {
-        // no holder panics halfway through a change
-        let mut times = self.times.lock().unwrap_or_else(PoisonError::into_inner);
-        let key = match times.contains_key(key) || times.len() < MOST_KEYS {
+        // No holder panics in the middle of an update.
+        let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
+        let key = match counts.contains_key(key) || counts.len() < MAX_KEYS {
             true => key,
             false => OTHERS,
         };
-        let times = times.entry(key.to_string()).or_default();
-        *times += 1;
-        *times
+        let count = counts.entry(key.to_string()).or_default();
+        *count += 1;
+        *count
     }
 }
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -7,37 +7,37 @@
     tokio::time::sleep,
 };
 
-/// longest time for a keeper's answer; the next is asked well before its word ends
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// pause before the next keeper is asked
-const RETRY: Duration = Duration::from_millis(20);
-/// time between two looks while there is nothing to report
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Short enough to try the next aggregator before the last reported level expires.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay before the next aggregator is tried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time between two checks while there is nothing to report.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// tell the keeper of the fleet's sums what accounts used here, and hear what they
-/// may use, until the process ends
+/// Reports the usage of accounts to the aggregator and receives their fleet-wide levels, until the
+/// process ends.
 pub async fn report_usage(shared: Arc<Shared>, sidecar_port: u16) {
     let peers = PeerClient::new();
-    let mut choice = AggregatorSelector::new(AggregatedState::Limits);
-    let mut present = None;
+    let mut selector = AggregatorSelector::new(AggregatedState::Limits);
+    let mut current = None;
     loop {
         let pause =
-            match report_once(&shared, &peers, &mut choice, &mut present, sidecar_port).await {
+            match report_once(&shared, &peers, &mut selector, &mut current, sidecar_port).await {
                 Some(true) => shared.admission.limits().report_interval(clock::now()),
-                Some(false) => RETRY,
-                None => LOOK_EVERY,
+                Some(false) => RETRY_DELAY,
+                None => IDLE_INTERVAL,
             };
         sleep(pause).await;
     }
 }
 
-/// says whether the keeper answered; none if there is nothing to report, or nobody
-/// to report to
+/// Returns whether the aggregator responded, or `None` if there is nothing to report or no
+/// aggregator to report to.
 async fn report_once(
     shared: &Shared,
     peers: &PeerClient,
-    choice: &mut AggregatorSelector,
-    present: &mut Option<SocketAddr>,
+    selector: &mut AggregatorSelector,
+    current: &mut Option<SocketAddr>,
     sidecar_port: u16,
 ) -> Option<bool> {
     let now = clock::now();
@@ -47,29 +47,29 @@
         limits.usage_report(now)?
     };
     let engines = shared.control.engines();
-    let engine = choice.select(&engines, now)?;
-    if *present != Some(engine) {
+    let engine = selector.select(&engines, now)?;
+    if *current != Some(engine) {
         log::info!(keeper = engine.to_string().as_str(), entries = report.entries,
-            accounts = report.accounts.len(); "limits: keeper taken");
-        *present = Some(engine);
+            accounts = report.accounts.len(); "limits: aggregator selected");
+        *current = Some(engine);
     }
-    let keeper = SocketAddr::new(engine.ip(), sidecar_port);
-    let answer = peers.call::<_, UsageResponse>(keeper, path::USAGE, &report, ANSWER_LIMIT);
-    match answer.await {
-        Ok(answer) => {
-            choice.on_response(engine);
+    let aggregator = SocketAddr::new(engine.ip(), sidecar_port);
+    let call = peers.call::<_, UsageResponse>(aggregator, path::USAGE, &report, RESPONSE_TIMEOUT);
+    match call.await {
+        Ok(response) => {
+            selector.on_response(engine);
             let now = clock::now();
             let mut limits = shared.admission.limits();
-            limits.on_response(&report, &answer, now);
+            limits.on_response(&report, &response, now);
             shared
                 .metrics
-                .on_usage_answer(answer.entries, report.entries);
+                .on_usage_answer(response.entries, report.entries);
             Some(true)
         }
         Err(e) => {
             log::warn!(keeper = engine.to_string().as_str(), cause = e.to_string().as_str();
-                "limits: no answer");
-            choice.on_failure(engine, clock::now());
+                "limits: usage report failed");
+            selector.on_failure(engine, clock::now());
             Some(false)
         }
     }
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -26,31 +26,31 @@
     },
 };
 
-/// longest time that a relay may wait for something newer; one that is cut off
-/// silently is noticed after it
-const RELAYED_WAIT: Duration = Duration::from_millis(1_000);
-/// time for the answer of a relay beyond its wait
-const RELAY_SLACK: Duration = Duration::from_millis(300);
-
-/// wire versions from which on a relay passes on all that is read here of a topic
-const CONFIGURATION_SINCE: WireVersion = WireVersion(5);
-const BACKENDS_SINCE: WireVersion = WireVersion(4);
-
-/// how a relay answered
-enum RelayWord {
-    Heard(Watched),
-    /// it has not heard the store lately
+/// Maximum time that a relay may hold a watch call, which bounds the time to notice that the relay
+/// is unreachable.
+const MAX_RELAY_HOLD: Duration = Duration::from_millis(1_000);
+/// Time for the response of a relay in addition to the time that it holds the call.
+const RELAY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Wire versions from which on a relay forwards all records of a topic that this build reads.
+const CONFIGURATION_MIN_VERSION: WireVersion = WireVersion(5);
+const BACKENDS_MIN_VERSION: WireVersion = WireVersion(4);
+
+/// The outcome of a call to a relay.
+enum RelayResult {
+    Received(Watched),
+    /// The relay has no recent state of the store, or is of an older build.
     Stale,
-    NoAnswer,
+    NoResponse,
 }
 
-/// What the platform's store publishes, by the relay of the zone as long as that
-/// one hears the store, else by calls of our own.
+/// Reads the platform's store through a relay of the zone, or directly while no relay has a recent
+/// state of the store.
 pub struct ZoneSource {
     store: Arc<dyn MetadataSource>,
     relays: Arc<StoreRelays>,
     peers: PeerClient,
-    /// the last answer came from a relay
+    /// Whether the last update came from a relay.
     is_relayed: AtomicBool,
     configuration_calls: Mutex<DirectCallPacing>,
     backends_calls: Mutex<DirectCallPacing>,
@@ -60,12 +60,12 @@
     pub fn new(
         store: Arc<dyn MetadataSource>,
         relays: Arc<StoreRelays>,
-        pacing: RelayPacing,
+        relay_pacing: RelayPacing,
     ) -> Self {
-        let own_calls = || Mutex::new(DirectCallPacing::new(pacing.direct_call_pause()));
+        let pacing = || Mutex::new(DirectCallPacing::new(relay_pacing.direct_call_pause()));
         Self {
-            configuration_calls: own_calls(),
-            backends_calls: own_calls(),
+            configuration_calls: pacing(),
+            backends_calls: pacing(),
             store,
             relays,
             peers: PeerClient::new(),
@@ -77,125 +77,132 @@
         self.is_relayed.load(Ordering::Relaxed)
     }
 
-    fn own_calls(&self, topic: Topic) -> MutexGuard<'_, DirectCallPacing> {
+    fn direct_calls(&self, topic: Topic) -> MutexGuard<'_, DirectCallPacing> {
         let calls = match topic {
             Topic::Configuration => &self.configuration_calls,
             Topic::Backends => &self.backends_calls,
         };
-        // no holder panics halfway through a change
+        // No holder panics in the middle of an update.
         calls.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// a call of our own, unless the last one failed and a relay asks on
-    async fn ask_store<A>(
+    /// Calls the store directly, unless the last call failed and a relay is still trying.
+    async fn call_store<A>(
         &self,
         topic: Topic,
         call: impl Future<Output = Result<A, SourceError>>,
     ) -> Result<A, SourceError> {
         let has_relay = !self.relays.is_empty();
-        if has_relay && !self.own_calls(topic).may_call(clock::now()) {
+        if has_relay && !self.direct_calls(topic).may_call(clock::now()) {
             return Err(SourceError::LeftToRelay);
         }
-        let answer = call.await;
-        match &answer {
-            Ok(_) => self.own_calls(topic).on_success(),
-            Err(_) => self.own_calls(topic).on_failure(clock::now()),
+        let result = call.await;
+        match &result {
+            Ok(_) => self.direct_calls(topic).on_success(),
+            Err(_) => self.direct_calls(topic).on_failure(clock::now()),
         }
-        answer
+        result
     }
 
-    /// What a relay says, the zone's reader first; none if the store must be asked.
+    /// Returns an update from a relay, trying the zone's store reader first, or `None` if the
+    /// store must be called directly.
     ///
-    /// A relay that is stale says so at once, and the next is asked. One that gives no
-    /// answer has cost the time of a watch: then the store is asked, or a change would
-    /// be known too late where relays die one after the other.
-    async fn ask_relays(
+    /// A stale relay responds at once, so the next one is tried. A relay that does not respond
+    /// has used up the time of a watch, so the store is called: otherwise several failing relays
+    /// in a row would delay changes for too long.
+    async fn call_relays(
         &self,
         topic: Topic,
         after: Option<u64>,
         wait: Duration,
     ) -> Option<Watched> {
         for relay in self.relays.available(clock::now()) {
-            match self.ask_relay(relay, topic, after, wait).await {
-                RelayWord::Heard(heard) => return Some(heard),
-                RelayWord::Stale => {}
-                RelayWord::NoAnswer => return None,
+            match self.call_relay(relay, topic, after, wait).await {
+                RelayResult::Received(update) => return Some(update),
+                RelayResult::Stale => {}
+                RelayResult::NoResponse => return None,
             }
         }
         None
     }
 
-    async fn ask_relay(
+    async fn call_relay(
         &self,
         relay: SocketAddr,
         topic: Topic,
         after: Option<u64>,
         wait: Duration,
-    ) -> RelayWord {
+    ) -> RelayResult {
         let version = self.peers.version(relay);
-        let passes_on = version.is_some_and(|version| version >= needed(topic));
-        if version.is_some() && !passes_on {
-            // it speaks of the other topic, and says so when it is replaced
-            return RelayWord::Stale;
+        let is_supported = version.is_some_and(|version| version >= min_version(topic));
+        if version.is_some() && !is_supported {
+            // The relay may still serve the other topic, whose calls detect an upgrade.
+            return RelayResult::Stale;
         }
-        // one of an older build is not waited for: its word is not used
-        let wait = wait.min(if passes_on { wait } else { Duration::ZERO });
-        let ask = PublishedRequest {
+        // Until the version is known, the call is not held: the response may be unusable.
+        let wait = wait.min(if is_supported { wait } else { Duration::ZERO });
+        let request = PublishedRequest {
             topic,
             after,
             wait_ms: wait.as_millis() as u64,
         };
-        let limit = wait + RELAY_SLACK;
-        let asked = clock::now();
-        let answer = self.peers.call(relay, path::RELAY_PUBLISHED, &ask, limit);
-        let answer = answer.await;
+        let timeout = wait + RELAY_RESPONSE_TIMEOUT;
+        let sent_at = clock::now();
+        let call = self
+            .peers
+            .call(relay, path::RELAY_PUBLISHED, &request, timeout);
+        let response = call.await;
         match self.peers.version(relay) {
-            None if answer.is_ok() => {
-                self.on_older_relay(relay);
-                return RelayWord::Stale;
+            None if response.is_ok() => {
+                self.on_unsupported_relay(relay);
+                return RelayResult::Stale;
             }
-            Some(version) if version < needed(topic) => return RelayWord::Stale,
+            Some(version) if version < min_version(topic) => return RelayResult::Stale,
             _ => {}
         }
-        let (cause, word) = match answer {
+        let (cause, result) = match response {
             Ok(PublishedResponse::Records {
                 snapshot,
                 current_ms,
             }) => {
-                let current_at = moment(asked, current_ms);
-                let heard = current_at.map(|current_at| {
-                    RelayWord::Heard(Watched::Records(Heard {
+                let current_at = offset(sent_at, current_ms);
+                let received = current_at.map(|current_at| {
+                    RelayResult::Received(Watched::Records(Heard {
                         snapshot,
                         current_at,
                     }))
                 });
-                ("heard".to_string(), heard.unwrap_or(RelayWord::Stale))
+                ("heard".to_string(), received.unwrap_or(RelayResult::Stale))
             }
             Ok(PublishedResponse::HistoryLost) => {
-                let lost = RelayWord::Heard(Watched::HistoryLost);
+                let lost = RelayResult::Received(Watched::HistoryLost);
                 ("history lost".to_string(), lost)
             }
-            Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayWord::Stale),
+            Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayResult::Stale),
             Err(e) => {
                 self.relays.on_failure(relay, clock::now());
-                (e.to_string(), RelayWord::NoAnswer)
+                (e.to_string(), RelayResult::NoResponse)
             }
         };
-        self.note_source(relay, topic, matches!(word, RelayWord::Heard(_)), &cause);
-        word
+        let is_relayed = matches!(result, RelayResult::Received(_));
+        self.set_is_relayed(relay, topic, is_relayed, &cause);
+        result
     }
 
-    /// A relay that says no wire version knows fewer kinds of records, and passes them over:
-    /// what it does not know would never come here. It is asked again as one that failed.
-    fn on_older_relay(&self, relay: SocketAddr) {
+    /// Backs off from a relay that sends no wire version: it drops kinds of records that it does
+    /// not know.
+    fn on_unsupported_relay(&self, relay: SocketAddr) {
         self.relays.on_failure(relay, clock::now());
-        log::info!(relay = relay.to_string().as_str(); "store: relay of an older build not used");
+        log::info!(
+            relay = relay.to_string().as_str();
+            "store: relay not used, it sends no wire version"
+        );
     }
 
-    fn note_source(&self, relay: SocketAddr, topic: Topic, hears: bool, cause: &str) {
-        if self.is_relayed.swap(hears, Ordering::Relaxed) != hears {
+    fn set_is_relayed(&self, relay: SocketAddr, topic: Topic, is_relayed: bool, cause: &str) {
+        if self.is_relayed.swap(is_relayed, Ordering::Relaxed) != is_relayed {
             log::info!(relay = relay.to_string().as_str(), topic = format!("{topic:?}").as_str(),
-                by_relay = hears, cause = cause; "store: source changed");
+                by_relay = is_relayed, cause = cause; "store: source changed");
         }
     }
 }
@@ -207,10 +214,10 @@
     }
 
     async fn snapshot(&self, topic: Topic) -> Result<Heard, SourceError> {
-        match self.ask_relays(topic, None, Duration::ZERO).await {
-            Some(Watched::Records(heard)) => Ok(heard),
+        match self.call_relays(topic, None, Duration::ZERO).await {
+            Some(Watched::Records(records)) => Ok(records),
             Some(Watched::HistoryLost) | None => {
-                self.ask_store(topic, self.store.snapshot(topic)).await
+                self.call_store(topic, self.store.snapshot(topic)).await
             }
         }
     }
@@ -221,35 +228,36 @@
         after: u64,
         times: WatchTimes,
     ) -> Result<Watched, SourceError> {
-        let relayed = times.with_max_hold(RELAYED_WAIT);
-        match self.ask_relays(topic, Some(after), relayed.hold).await {
-            Some(heard) => Ok(heard),
+        let relayed = times.with_max_hold(MAX_RELAY_HOLD);
+        match self.call_relays(topic, Some(after), relayed.hold).await {
+            Some(update) => Ok(update),
             None => {
-                // where there are relays, one of them is most likely sound by then
+                // With relays, the direct call is kept short, since a relay is probably
+                // available again after it.
                 let times = match self.relays.is_empty() {
                     true => times,
                     false => relayed,
                 };
                 let call = self.store.watch(topic, after, times);
-                self.ask_store(topic, call).await
+                self.call_store(topic, call).await
             }
         }
     }
 }
 
-fn needed(topic: Topic) -> WireVersion {
+fn min_version(topic: Topic) -> WireVersion {
     match topic {
-        Topic::Configuration => CONFIGURATION_SINCE,
-        Topic::Backends => BACKENDS_SINCE,
+        Topic::Configuration => CONFIGURATION_MIN_VERSION,
+        Topic::Backends => BACKENDS_MIN_VERSION,
     }
 }
 
-/// A moment so many ms after another. The relay counts from the receipt of a question,
-/// which it can't have received before it was asked: so the moment is never too late.
-fn moment(asked: Instant, after_ms: i64) -> Option<Instant> {
+/// Returns the instant `after_ms` after `sent_at`, when a request was sent. The relay counts from
+/// the receipt of the request, so the result is never later than the actual instant.
+fn offset(sent_at: Instant, after_ms: i64) -> Option<Instant> {
     let distance = Duration::from_millis(after_ms.unsigned_abs());
     match after_ms >= 0 {
-        true => asked.checked_add(distance),
-        false => asked.checked_sub(distance),
+        true => sent_at.checked_add(distance),
+        false => sent_at.checked_sub(distance),
     }
 }
--- a/testkit/tests/relays.rs
+++ b/testkit/tests/relays.rs
@@ -22,7 +22,10 @@
         ..FleetSettings::default()
     })
     .await?;
-    until("a relay is taken", || fleet.log().contains("relay taken")).await;
+    until("a relay is taken", || {
+        fleet.log().contains("relay selected")
+    })
+    .await;
     Ok(fleet)
 }
 
@@ -47,7 +50,7 @@
 /// the relay that the ingress took last, by its log
 fn relay_of(fleet: &Fleet) -> Option<SocketAddr> {
     let log = fleet.log();
-    let line = log.lines().rfind(|line| line.contains("relay taken"))?;
+    let line = log.lines().rfind(|line| line.contains("relay selected"))?;
     let line: Value = serde_json::from_str(line).ok()?;
     line["relay"].as_str()?.parse().ok()
 }
