--- a/entry/src/ingress/request_exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -177,10 +177,10 @@
                     self.runs += 1;
                     self.request.tried_backends.push(assignment.backend);
                     self.failure = failure;
-                    let may_repeat = self.accepted.route.kind.is_repeatable()
+                    let may_retry = self.accepted.route.kind.is_repeatable()
                         && self.runs < self.accepted.route.max_attempts
                         && !(self.failure.is_none() && self.is_crash_suspect());
-                    if !may_repeat {
+                    if !may_retry {
                         return self.final_response("failed", DEFAULT_RETRY_AFTER);
                     }
                 }
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -158,8 +158,8 @@
     ];
     for (topic, delay_ms) in change_delays {
         let pacing = WatchPacing::for_change_delay(Duration::from_millis(delay_ms));
-        let follower = Follower::new(source.clone(), records.clone(), topic, pacing);
-        tokio::spawn(follower.run());
+        let watcher = Follower::new(source.clone(), records.clone(), topic, pacing);
+        tokio::spawn(watcher.run());
     }
 }
 
--- a/entry/src/ingress/shared_crash_registry.rs
+++ b/entry/src/ingress/shared_crash_registry.rs
@@ -19,8 +19,8 @@
 /// The entry's registry of requests that were running when engines crashed.
 pub struct SharedCrashRegistry {
     registry: Mutex<CrashRegistry>,
-    /// The registry's revision.
-    changed: watch::Sender<u64>,
+    /// Notifies subscribers of the registry's revision.
+    revision: watch::Sender<u64>,
     pub metrics: CrashMetrics,
 }
 
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             registry: Mutex::default(),
-            changed: watch::Sender::new(0),
+            revision: watch::Sender::new(0),
             metrics: CrashMetrics::default(),
         }
     }
@@ -89,12 +89,12 @@
     }
 
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.revision.subscribe()
     }
 
     fn publish(&self, registry: &CrashRegistry) {
         self.metrics.remembered.set(registry.len() as i64);
-        self.changed.send_replace(registry.revision());
+        self.revision.send_replace(registry.revision());
     }
 
     fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
