--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -78,7 +78,7 @@
                 self.shared.metrics.on_generation(root.generation);
                 let root = Arc::new(root);
                 self.root = Some(root.clone());
-                self.shared.tell(SidecarEvent::Configured(root));
+                self.shared.send(SidecarEvent::Configured(root));
             }
             OfferDecision::Conflict => {
                 log::error!(
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        engine_run::{EngineRunner, RunContext},
+        engine_runner::{EngineRunner, RunContext},
         service_run::run_service,
         shared::Shared,
     },
@@ -114,7 +114,7 @@
         };
         let event = order(engine.clone());
         let shared = self.shared.clone();
-        self.runtime.spawn(async move { shared.tell(event.await) });
+        self.runtime.spawn(async move { shared.send(event.await) });
     }
 
     fn read_engine(&self) {
@@ -187,7 +187,7 @@
             let mut stops = stops.lock().unwrap_or_else(PoisonError::into_inner);
             stops.remove(&request);
             drop(stops);
-            shared.tell(SidecarEvent::RunEnded { request, end });
+            shared.send(SidecarEvent::RunEnded { request, end });
         });
     }
 
@@ -214,7 +214,7 @@
                 log::warn!("permits: no answer for {adapter}: {e}");
             }
             let response = answer.ok();
-            shared.tell(SidecarEvent::PermitRequestEnded { adapter, response });
+            shared.send(SidecarEvent::PermitRequestEnded { adapter, response });
         });
     }
 
--- a/sidecar/src/app/mod.rs
+++ b/sidecar/src/app/mod.rs
@@ -2,11 +2,11 @@
 
 mod config_sync;
 mod control_thread;
-mod engine_run;
+mod engine_runner;
 mod executor;
+mod pending_replies;
 mod serve;
 mod service_run;
 mod shared;
-mod tickets;
 
 pub use {serve::serve, shared::Shared};
--- a/sidecar/src/app/tickets.rs
+++ b/sidecar/src/app/pending_replies.rs
@@ -12,12 +12,12 @@
 
 /// askers that wait for the control thread's answer
 #[derive(Debug)]
-pub struct Tickets<T> {
+pub struct PendingReplies<T> {
     next: AtomicU64,
     waiting: Mutex<HashMap<ReplyId, oneshot::Sender<T>>>,
 }
 
-impl<T> Default for Tickets<T> {
+impl<T> Default for PendingReplies<T> {
     fn default() -> Self {
         Self {
             next: AtomicU64::new(0),
@@ -26,7 +26,7 @@
     }
 }
 
-impl<T> Tickets<T> {
+impl<T> PendingReplies<T> {
     pub fn issue(&self) -> (ReplyId, oneshot::Receiver<T>) {
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
--- a/sidecar/src/app/serve.rs
+++ b/sidecar/src/app/serve.rs
@@ -97,7 +97,7 @@
 
 /// refuse what waits, and let what runs end and reach its readers
 async fn drain(shared: &Shared) {
-    shared.tell(SidecarEvent::DrainRequested);
+    shared.send(SidecarEvent::DrainRequested);
     let mut drained = shared.drained.subscribe();
     let ended = async {
         // the sender lives as long as this process
@@ -120,7 +120,7 @@
         for request in shared.hub.sweep(clock::now()) {
             log::info!("streams: {request} stopped, nobody reads it");
             let (reply, _) = shared.cancels.issue();
-            shared.tell(SidecarEvent::CancelRequested { reply, request });
+            shared.send(SidecarEvent::CancelRequested { reply, request });
         }
     }
 }
--- a/sidecar/src/app/service_run.rs
+++ b/sidecar/src/app/service_run.rs
@@ -1,5 +1,5 @@
 use {
-    super::engine_run::RunContext,
+    super::engine_runner::RunContext,
     crate::streams::SharedStream,
     chalkcart_coordination::sidecar::RunEnd,
     chalkcart_protocol::peer::{CallWork, FrameBody, Outcome, Reason},
--- a/sidecar/src/app/shared.rs
+++ b/sidecar/src/app/shared.rs
@@ -1,5 +1,5 @@
 use {
-    super::tickets::Tickets,
+    super::pending_replies::PendingReplies,
     crate::{conf::Settings, streams::StreamHub},
     arc_swap::ArcSwap,
     chalkcart_coordination::sidecar::SidecarEvent,
@@ -18,8 +18,8 @@
     pub hub: StreamHub,
     /// published by the control thread after each event
     pub report: Arc<ArcSwap<TargetReport>>,
-    pub reserves: Tickets<ReserveAnswer>,
-    pub cancels: Tickets<Outcome>,
+    pub reserves: PendingReplies<ReserveAnswer>,
+    pub cancels: PendingReplies<Outcome>,
     pub metrics: RequestMetrics,
     pub drained: watch::Sender<bool>,
     ready: AtomicBool,
@@ -36,8 +36,8 @@
             hub: StreamHub::new(settings.buffer_bytes),
             settings,
             report: Arc::new(ArcSwap::from_pointee(report)),
-            reserves: Tickets::default(),
-            cancels: Tickets::default(),
+            reserves: PendingReplies::default(),
+            cancels: PendingReplies::default(),
             metrics: RequestMetrics::new(),
             drained: watch::Sender::new(false),
             ready: AtomicBool::new(false),
@@ -45,7 +45,7 @@
         }
     }
     /// hand an event to the control thread
-    pub fn tell(&self, event: SidecarEvent) {
+    pub fn send(&self, event: SidecarEvent) {
         // the control thread ends only with the process
         let _ = self.events.send(event);
     }
--- a/sidecar/src/crashes/keeper.rs
+++ b/sidecar/src/crashes/aggregator.rs
@@ -15,14 +15,14 @@
 
 /// What entries have told this sidecar. It outlives the engine beside it and each entry, and
 /// entries outlive it: none of them keeps anything beyond its process.
-pub struct CrashKeeper {
+pub struct CrashAggregator {
     incarnation: Incarnation,
     book: Mutex<CrashRegistry>,
     /// the book's revision
     changed: watch::Sender<u64>,
 }
 
-impl CrashKeeper {
+impl CrashAggregator {
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
--- a/sidecar/src/crashes/mod.rs
+++ b/sidecar/src/crashes/mod.rs
@@ -1,6 +1,6 @@
 //! the part of a sidecar that passes on between entries which requests engines ended under
 
+mod aggregator;
 mod handlers;
-mod keeper;
 
-pub use {handlers::crash_words, keeper::CrashKeeper};
+pub use {aggregator::CrashAggregator, handlers::crash_reports};
--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -1,7 +1,7 @@
 use {
-    super::{shared::Shared, views::follow},
+    super::{shared::Shared, views::view_updates},
     crate::{
-        crashes::{crash_words, CrashKeeper},
+        crashes::{crash_reports, CrashAggregator},
         relay::{relay_demands, relay_published, relay_views, RelayHub},
     },
     chalkcart_coordination::{limits::UsageAggregator, placement::PlacementEvent},
@@ -24,14 +24,14 @@
 };
 
 /// what entries let client accounts run, while this sidecar keeps the sums
-pub type UsageSums = Mutex<UsageAggregator>;
+pub type UsageTotals = Mutex<UsageAggregator>;
 
 /// the routes of a sidecar that places adapters, and may be a relay
 pub fn new_router(
     shared: Arc<Shared>,
     relay: Arc<RelayHub>,
-    usage: Arc<UsageSums>,
-    crashes: Arc<CrashKeeper>,
+    usage: Arc<UsageTotals>,
+    crashes: Arc<CrashAggregator>,
 ) -> Router {
     let pipeline = new_pipeline()
         .add(StateMiddleware::new(SharedData::new(Arc::new(
@@ -50,7 +50,7 @@
         route.post(path::RELAY_PUBLISHED).to_async(relay_published);
         route.post(path::USAGE).to_async(usage_report);
         route.post(path::INTAKE).to_async(intake_report);
-        route.post(path::CRASHES).to_async(crash_words);
+        route.post(path::CRASHES).to_async(crash_reports);
         route.get("/healthz").to_async(pages::healthz);
     })
 }
@@ -70,7 +70,7 @@
 
 async fn views(state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
-    let reply = frames_reply(follow(&shared), asker_form(&state));
+    let reply = frames_reply(view_updates(&shared), asker_form(&state));
     Ok((state, reply))
 }
 
@@ -84,7 +84,7 @@
 }
 
 async fn usage_report(mut state: State) -> HandlerResult {
-    let sums = SharedData::<UsageSums>::of(&state);
+    let sums = SharedData::<UsageTotals>::of(&state);
     let reply = match read_message::<UsageReport>(&mut state).await {
         Ok(report) => {
             // no holder panics halfway through a change
--- a/sidecar/src/placement/mod.rs
+++ b/sidecar/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //! request passes through
 
 mod handlers;
-mod keeper;
+mod placement_task;
 mod serve;
 mod shared;
 mod views;
--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/placement_task.rs
@@ -25,7 +25,7 @@
 const FIGURES_AT_LEAST_EVERY: Duration = Duration::from_millis(300);
 
 /// the one task that reads the engine and gives it orders
-pub struct Keeper {
+pub struct PlacementTask {
     shared: Arc<Shared>,
     engine: Arc<dyn OrderedEngine>,
     published: Option<Instant>,
@@ -35,7 +35,7 @@
     said: BackendSignals,
 }
 
-impl Keeper {
+impl PlacementTask {
     pub fn new(shared: Arc<Shared>, engine: Arc<dyn OrderedEngine>) -> Self {
         Self {
             shared,
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -1,13 +1,13 @@
 use {
     super::{
-        handlers::{new_router, UsageSums},
-        keeper::Keeper,
+        handlers::{new_router, UsageTotals},
+        placement_task::PlacementTask,
         shared::Shared,
     },
     crate::{
         conf::PlacementSettings,
-        crashes::CrashKeeper,
-        relay::{run_pump, Published, RelayHub},
+        crashes::CrashAggregator,
+        relay::{run_relay, Published, RelayHub},
     },
     anyhow::{Context, Result},
     chalkcart_coordination::{
@@ -63,12 +63,12 @@
     log::info!("settings: mechanisms {}", settings.mechanisms);
     let control = PlacementControl::new(limits, since_epoch.as_millis() as u64);
     let shared = Arc::new(Shared::new(control));
-    tokio::spawn(Keeper::new(shared.clone(), engine).run());
+    tokio::spawn(PlacementTask::new(shared.clone(), engine).run());
     let published = Arc::new(Published::new(store, settings.relay_pacing()));
     let relay = Arc::new(RelayHub::new(settings.name.clone(), published));
-    tokio::spawn(run_pump(relay.clone(), settings.listen.port()));
-    let usage = Arc::new(UsageSums::new(UsageAggregator::new(rand::random())));
-    let crashes = Arc::new(CrashKeeper::new(rand::random()));
+    tokio::spawn(run_relay(relay.clone(), settings.listen.port()));
+    let usage = Arc::new(UsageTotals::new(UsageAggregator::new(rand::random())));
+    let crashes = Arc::new(CrashAggregator::new(rand::random()));
     let (_stop, stopped) = watch::channel(false);
     tokio::spawn(server::serve(
         listener,
--- a/sidecar/src/placement/views.rs
+++ b/sidecar/src/placement/views.rs
@@ -10,7 +10,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(400);
 
 /// the views of the engine from now on: the first whole, then what changes
-pub fn follow(shared: &Arc<Shared>) -> impl Stream<Item = ViewUpdate> + Send {
+pub fn view_updates(shared: &Arc<Shared>) -> impl Stream<Item = ViewUpdate> + Send {
     let mut views = shared.view.subscribe();
     views.mark_changed();
     let reader = (shared.clone(), views, None);
--- a/sidecar/src/relay/handlers.rs
+++ b/sidecar/src/relay/handlers.rs
@@ -29,7 +29,7 @@
     let reply = match read_message::<RelayRequest>(&mut state).await {
         Ok(ask) => {
             log::info!(entry = ask.entry.as_str(); "relay: entry follows");
-            encoded_frames_reply(hub.follow(clock::now(), form))
+            encoded_frames_reply(hub.updates(clock::now(), form))
         }
         Err(e) => pages::bad_message(&e),
     };
@@ -44,7 +44,7 @@
     let reply = match read_message::<PublishedRequest>(&mut state).await {
         Ok(_) if is_older => message_reply(&PublishedResponse::Stale),
         Ok(ask) => {
-            hub.published.on_asked(clock::now());
+            hub.published.on_request(clock::now());
             hub.changed.notify_one();
             message_reply(&hub.published.answer(&ask).await)
         }
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -26,14 +26,14 @@
 /// comes back and hears the whole
 const MOST_BEHIND: usize = 64;
 
-/// News for all entries, encoded once for each form in which one of them reads.
+/// EncodedUpdate for all entries, encoded once for each form in which one of them reads.
 #[derive(Debug)]
-struct News {
+struct EncodedUpdate {
     update: RelayUpdate,
     frames: [OnceLock<Option<Bytes>>; WireEncoding::ALL.len()],
 }
 
-impl News {
+impl EncodedUpdate {
     fn new(update: RelayUpdate) -> Self {
         Self {
             update,
@@ -50,7 +50,7 @@
 pub struct RelayHub {
     book: Mutex<RelayState>,
     pub published: Arc<Published>,
-    news: broadcast::Sender<Arc<News>>,
+    news: broadcast::Sender<Arc<EncodedUpdate>>,
     /// there is work for the pump
     pub changed: Notify,
     /// entries should hear the news at once
@@ -92,21 +92,21 @@
     }
 
     /// whether entries should hear the news at once, since the last call
-    pub fn take_urgency(&self) -> bool {
+    pub fn take_urgent(&self) -> bool {
         self.is_urgent.swap(false, Ordering::Relaxed)
     }
 
     /// tell all entries what they have not heard
-    pub fn tell_news(&self, now: Instant) {
+    pub fn broadcast_update(&self, now: Instant) {
         // readers come in under the same lock, so that they miss nothing
         let mut book = self.book();
-        let news = News::new(book.take_update(now));
+        let news = EncodedUpdate::new(book.take_update(now));
         // an error says that nobody reads
         let _ = self.news.send(Arc::new(news));
     }
 
     /// all that is known, then the news; ends for a reader that is too slow
-    pub fn follow(&self, now: Instant, form: WireEncoding) -> impl Stream<Item = Bytes> + Send {
+    pub fn updates(&self, now: Instant, form: WireEncoding) -> impl Stream<Item = Bytes> + Send {
         let book = self.book();
         let whole = encoded(&book.full_update(now), form);
         let news = BroadcastStream::new(self.news.subscribe());
--- a/sidecar/src/relay/mod.rs
+++ b/sidecar/src/relay/mod.rs
@@ -4,11 +4,11 @@
 mod handlers;
 mod hub;
 mod published;
-mod pump;
+mod relay_task;
 
 pub use {
     handlers::{relay_demands, relay_published, relay_views},
     hub::RelayHub,
     published::Published,
-    pump::run_pump,
+    relay_task::run_relay,
 };
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -28,21 +28,21 @@
 pub struct Published {
     store: Option<Arc<dyn MetadataSource>>,
     pacing: RelayPacing,
-    configuration: Heard,
-    backends: Heard,
+    configuration: PublishedTopic,
+    backends: PublishedTopic,
     followers: Mutex<Vec<JoinHandle<()>>>,
     /// when an entry asked last
     asked: Mutex<Option<Instant>>,
 }
 
 /// one topic
-struct Heard {
+struct PublishedTopic {
     book: Mutex<PublishedCache>,
     /// counts what was heard
     changed: watch::Sender<u64>,
 }
 
-impl Heard {
+impl PublishedTopic {
     fn new(stale_after: Duration) -> Self {
         Self {
             book: Mutex::new(PublishedCache::new(stale_after)),
@@ -61,15 +61,15 @@
         Self {
             store,
             pacing,
-            configuration: Heard::new(pacing.stale_after()),
-            backends: Heard::new(pacing.stale_after()),
+            configuration: PublishedTopic::new(pacing.stale_after()),
+            backends: PublishedTopic::new(pacing.stale_after()),
             followers: Mutex::default(),
             asked: Mutex::default(),
         }
     }
 
     /// an entry asks: the store is followed from now on
-    pub fn on_asked(self: &Arc<Self>, now: Instant) {
+    pub fn on_request(self: &Arc<Self>, now: Instant) {
         *self.asked.lock().unwrap_or_else(|e| e.into_inner()) = Some(now);
         let mut followers = self.followers.lock().unwrap_or_else(|e| e.into_inner());
         let Some(store) = self.store.as_ref().filter(|_| followers.is_empty()) else {
@@ -118,7 +118,7 @@
         }
     }
 
-    fn heard(&self, topic: Topic) -> &Heard {
+    fn heard(&self, topic: Topic) -> &PublishedTopic {
         match topic {
             Topic::Configuration => &self.configuration,
             Topic::Backends => &self.backends,
--- a/sidecar/src/relay/pump.rs
+++ b/sidecar/src/relay/relay_task.rs
@@ -16,7 +16,7 @@
 
 /// pass on news and demands until the process ends; `sidecar_port` is that of
 /// all sidecars
-pub async fn run_pump(hub: Arc<RelayHub>, sidecar_port: u16) {
+pub async fn run_relay(hub: Arc<RelayHub>, sidecar_port: u16) {
     let mut links = SidecarLinks::new(Handle::current(), hub.clone(), sidecar_port);
     let mut told = clock::now();
     loop {
@@ -34,9 +34,9 @@
             links.send(engine, demand, now);
         }
         links.keep_alive(now);
-        if hub.take_urgency() || now.saturating_duration_since(told) >= FIGURES_EVERY {
+        if hub.take_urgent() || now.saturating_duration_since(told) >= FIGURES_EVERY {
             told = now;
-            hub.tell_news(now);
+            hub.broadcast_update(now);
         }
     }
 }
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{app::Shared, streams::follow},
+    crate::{app::Shared, streams::frames},
     chalkcart_coordination::sidecar::SidecarEvent,
     chalkcart_protocol::{
         peer::{
@@ -78,14 +78,14 @@
             class: work.class.clone(),
         };
         shared.metrics.on_request(&of);
-        shared.tell(SidecarEvent::Arrived(Box::new(work)));
+        shared.send(SidecarEvent::Arrived(Box::new(work)));
     }
-    frames_reply(follow(stream, shared.report.clone(), 0), form)
+    frames_reply(frames(stream, shared.report.clone(), 0), form)
 }
 
 fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, form: WireEncoding) -> Reply {
     match shared.hub.get(&order.request) {
-        Some(stream) => frames_reply(follow(stream, shared.report.clone(), order.from), form),
+        Some(stream) => frames_reply(frames(stream, shared.report.clone(), order.from), form),
         None => {
             let name = &shared.settings.name;
             let refusal = Refusal::may_have_run(Step::Stream, name, Reason::AnswerGone);
@@ -100,7 +100,7 @@
 
 async fn reserve_ids(shared: &Shared, count: u32) -> ReserveAnswer {
     let (reply, answer) = shared.reserves.issue();
-    shared.tell(SidecarEvent::ReserveRequested { reply, count });
+    shared.send(SidecarEvent::ReserveRequested { reply, count });
     answer.await.unwrap_or_else(|_| {
         let name = &shared.settings.name;
         ReserveAnswer::Refused(Refusal::not_run(Step::Reserve, name, Reason::Lost))
@@ -109,7 +109,7 @@
 
 async fn cancel_request(shared: &Shared, order: CancelOrder) -> CancelAnswer {
     let (reply, answer) = shared.cancels.issue();
-    shared.tell(SidecarEvent::CancelRequested {
+    shared.send(SidecarEvent::CancelRequested {
         reply,
         request: order.request,
     });
--- a/sidecar/src/streams/follow.rs
+++ b/sidecar/src/streams/frames.rs
@@ -56,7 +56,7 @@
 }
 
 /// the frames of a request from one on, with reports between them
-pub fn follow(
+pub fn frames(
     stream: Arc<SharedStream>,
     reports: Arc<ArcSwap<TargetReport>>,
     from: Sequence,
--- a/sidecar/src/streams/mod.rs
+++ b/sidecar/src/streams/mod.rs
@@ -1,9 +1,9 @@
 //! answers on their way to the entries
 
-mod follow;
+mod frames;
 mod stream_hub;
 
 pub use {
-    follow::follow,
+    frames::frames,
     stream_hub::{SharedStream, StreamHub},
 };
