--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -23,10 +23,11 @@
     std::sync::{Arc, Mutex},
 };
 
-/// what entries let client accounts run, while this sidecar keeps the sums
+/// Usage of client accounts over all entries, while this sidecar is the aggregator.
 pub type UsageTotals = Mutex<UsageAggregator>;
 
-/// the routes of a sidecar that places adapters, and may be a relay
+/// Returns the routes of a sidecar that places adapters and may act as a relay and as an
+/// aggregator.
 pub fn new_router(
     shared: Arc<Shared>,
     relay: Arc<RelayHub>,
@@ -49,7 +50,7 @@
         route.post(path::RELAY_VIEWS).to_async(relay_views);
         route.post(path::RELAY_PUBLISHED).to_async(relay_published);
         route.post(path::USAGE).to_async(usage_report);
-        route.post(path::INTAKE).to_async(intake_report);
+        route.post(path::INTAKE).to_async(admission_report);
         route.post(path::CRASHES).to_async(crash_reports);
         route.get("/healthz").to_async(pages::healthz);
     })
@@ -74,7 +75,7 @@
     Ok((state, reply))
 }
 
-async fn intake_report(mut state: State) -> HandlerResult {
+async fn admission_report(mut state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
     let reply = match read_message::<AdmissionReport>(&mut state).await {
         Ok(report) => message_reply(&shared.control().on_admission_report(&report, clock::now())),
@@ -84,12 +85,12 @@
 }
 
 async fn usage_report(mut state: State) -> HandlerResult {
-    let sums = SharedData::<UsageTotals>::of(&state);
+    let totals = SharedData::<UsageTotals>::of(&state);
     let reply = match read_message::<UsageReport>(&mut state).await {
         Ok(report) => {
-            // no holder panics halfway through a change
-            let mut keeper = sums.lock().unwrap_or_else(|e| e.into_inner());
-            message_reply(&keeper.on_report(report, clock::now()))
+            // the state is consistent even if the mutex is poisoned
+            let mut aggregator = totals.lock().unwrap_or_else(|e| e.into_inner());
+            message_reply(&aggregator.on_report(report, clock::now()))
         }
         Err(e) => pages::bad_message(&e),
     };
--- a/sidecar/src/placement/mod.rs
+++ b/sidecar/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! decides which adapters the engine holds, from what the entries need; no
-//! request passes through
+//! Serves the sidecar that decides which adapters the engine holds, from the demands of the
+//! entries. Requests are sent to the engine directly.
 
 mod handlers;
 mod placement_task;
--- a/sidecar/src/placement/placement_task.rs
+++ b/sidecar/src/placement/placement_task.rs
@@ -17,22 +17,22 @@
     tokio::time::{sleep, timeout},
 };
 
-/// figures that are not worth a message of their own are sent this often
-const FIGURES_EVERY: Duration = Duration::from_millis(100);
-/// and with more readers than ten less often, so that the messages of a fleet
-/// grow more slowly than readers times engines
-const FIGURES_EVERY_READER: Duration = Duration::from_millis(10);
-const FIGURES_AT_LEAST_EVERY: Duration = Duration::from_millis(300);
+/// Minimum interval between views that differ only in stats.
+const MIN_STATS_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval grows by this much per reader, so that the number of messages in a fleet
+/// grows more slowly than readers times engines.
+const STATS_INTERVAL_PER_READER: Duration = Duration::from_millis(10);
+const MAX_STATS_INTERVAL: Duration = Duration::from_millis(300);
 
-/// the one task that reads the engine and gives it orders
+/// The task that polls the engine and sends orders to it.
 pub struct PlacementTask {
     shared: Arc<Shared>,
     engine: Arc<dyn OrderedEngine>,
-    published: Option<Instant>,
+    published_at: Option<Instant>,
     is_reachable: bool,
-    read_at: Option<Instant>,
-    /// what the engine said of itself last, but for rests
-    said: BackendSignals,
+    polled_at: Option<Instant>,
+    /// The engine's last signals, without back-off and slow start.
+    last_signals: BackendSignals,
 }
 
 impl PlacementTask {
@@ -40,102 +40,103 @@
         Self {
             shared,
             engine,
-            published: None,
+            published_at: None,
             is_reachable: true,
-            read_at: None,
-            said: BackendSignals::default(),
+            polled_at: None,
+            last_signals: BackendSignals::default(),
         }
     }
 
-    /// keep the engine until the process ends
+    /// Runs until the process ends.
     pub async fn run(mut self) {
         loop {
             let now = clock::now();
-            let step = self.shared.control().next_action(now);
-            match step {
+            let action = self.shared.control().next_action(now);
+            match action {
                 PlacementAction::Identify { health_path } => self.identify(&health_path).await,
                 PlacementAction::Order(order) => {
-                    self.order(order).await;
-                    self.read().await;
+                    self.send_order(order).await;
+                    self.poll().await;
                 }
-                PlacementAction::Read { after } => self.wait_or_read(after, now).await,
-                PlacementAction::BackOff { remaining } => self.rest(remaining).await,
+                PlacementAction::Read { after } => self.wait_or_poll(after, now).await,
+                PlacementAction::BackOff { remaining } => self.back_off(remaining).await,
             }
         }
     }
 
-    /// read the engine once its time has come. What wakes this task before
-    /// does not put the time off, however often it does
-    async fn wait_or_read(&mut self, after: Duration, now: Instant) {
-        let left = match self.read_at {
+    /// Waits until `after` has passed since the last poll, and polls the engine. Returns early
+    /// on an event, which doesn't delay the next poll.
+    async fn wait_or_poll(&mut self, after: Duration, now: Instant) {
+        let wait = match self.polled_at {
             Some(at) => after.saturating_sub(now.saturating_duration_since(at)),
             None => Duration::ZERO,
         };
-        if left.is_zero() || timeout(left, self.shared.changed.notified()).await.is_err() {
-            self.read().await;
+        if wait.is_zero() || timeout(wait, self.shared.changed.notified()).await.is_err() {
+            self.poll().await;
         }
     }
 
-    /// leave the engine alone; entries go on hearing what is known of it
-    async fn rest(&mut self, left: Duration) {
-        sleep(left.min(FIGURES_AT_LEAST_EVERY)).await;
+    /// Sends nothing to the engine, but keeps its view up to date.
+    async fn back_off(&mut self, remaining: Duration) {
+        sleep(remaining.min(MAX_STATS_INTERVAL)).await;
         self.publish();
     }
 
-    /// take in what the engine says of itself, and give the rest of the answer
-    fn take_word<T>(&mut self, told: Told<T>) -> T {
-        let Told { value, word } = told;
-        let Some(word) = word else {
+    /// Handles the signals in an engine's response and returns the response's value.
+    fn handle_signals<T>(&mut self, response: Told<T>) -> T {
+        let Told { value, word } = response;
+        let Some(signals) = word else {
             return value;
         };
         let lasting = BackendSignals {
             backoff: None,
             slow_start_left: None,
-            ..word
+            ..signals
         };
-        let is_news = word.backoff.is_some() || word.is_in_slow_start() || lasting != self.said;
-        // what lasts is said in each answer
-        if is_news {
+        // lasting signals are repeated in each response
+        let is_new =
+            signals.backoff.is_some() || signals.is_in_slow_start() || lasting != self.last_signals;
+        if is_new {
             log::info!(
-                leaving = word.is_leaving,
-                rest_ms = word.backoff.map_or(0, |rest| rest.as_millis() as u64),
-                limit_per_s = word.limit.rate().map_or(-1.0, RequestRate::per_s),
-                cold_ms = word.slow_start_left.map_or(-1, |left| left.as_millis() as i64);
-                "engine: says of itself"
+                leaving = signals.is_leaving,
+                rest_ms = signals.backoff.map_or(0, |backoff| backoff.as_millis() as u64),
+                limit_per_s = signals.limit.rate().map_or(-1.0, RequestRate::per_s),
+                cold_ms = signals.slow_start_left.map_or(-1, |left| left.as_millis() as i64);
+                "engine: new back-end signals"
             );
-            self.said = lasting;
+            self.last_signals = lasting;
         }
-        if is_news || !word.is_empty() {
-            self.shared.handle(PlacementEvent::Signals(word));
+        if is_new || !signals.is_empty() {
+            self.shared.handle(PlacementEvent::Signals(signals));
         }
         value
     }
 
     async fn identify(&mut self, health_path: &str) {
-        // another engine may answer, whose own word is news
-        self.said = BackendSignals::default();
-        let told = self.engine.identity(health_path).await;
-        let Told { value, word } = told;
-        log::info!("engine: it is {value:?}");
-        // a new life forgets what the one before it said
+        // it may be another engine, whose signals must be logged even if they are the same
+        self.last_signals = BackendSignals::default();
+        let response = self.engine.identity(health_path).await;
+        let Told { value, word } = response;
+        log::info!("engine: identified as {value:?}");
+        // first, since a new incarnation discards the signals of the one before
         self.shared.handle(PlacementEvent::Identified(value));
-        self.take_word(Told { value: (), word });
+        self.handle_signals(Told { value: (), word });
         self.publish();
     }
 
-    async fn read(&mut self) {
-        let told = self.engine.read().await;
-        let event = match self.take_word(told) {
+    async fn poll(&mut self) {
+        let response = self.engine.read().await;
+        let event = match self.handle_signals(response) {
             Ok(report) => {
                 if !self.is_reachable {
-                    log::info!("engine: read again");
+                    log::info!("engine: reachable again");
                 }
                 self.is_reachable = true;
                 PlacementEvent::Report(report)
             }
             Err(e) => {
                 if self.is_reachable {
-                    log::warn!("engine: not read: {e}");
+                    log::warn!("engine: status could not be read: {e}");
                 }
                 self.is_reachable = false;
                 PlacementEvent::ReportFailed {
@@ -143,14 +144,14 @@
                 }
             }
         };
-        self.read_at = Some(clock::now());
+        self.polled_at = Some(clock::now());
         self.shared.handle(event);
         self.publish();
     }
 
-    async fn order(&mut self, order: EngineOrder) {
-        let told = self.engine.order(&order).await;
-        let answer = self.take_word(told);
+    async fn send_order(&mut self, order: EngineOrder) {
+        let response = self.engine.order(&order).await;
+        let answer = self.handle_signals(response);
         let level = match answer {
             OrderAnswer::Taken | OrderAnswer::Done => Level::Info,
             _ => Level::Warn,
@@ -168,23 +169,23 @@
             .handle(PlacementEvent::OrderAnswered { order, answer });
     }
 
+    /// Publishes the view at once if the change is urgent, else at the stats interval.
     fn publish(&mut self) {
         let now = clock::now();
         let mut view = self.shared.control().view(now);
         view.figures.readers = self.shared.view.receiver_count() as u32;
         let is_due = self
-            .published
-            .is_none_or(|at| now.saturating_duration_since(at) >= figures_pause(&view));
+            .published_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= stats_interval(&view));
         let is_urgent = view.is_urgent_after(&self.shared.view.borrow());
         if is_urgent || (is_due && *self.shared.view.borrow() != view) {
-            self.published = Some(now);
+            self.published_at = Some(now);
             self.shared.view.send_replace(view);
         }
     }
 }
 
-/// pause between two messages of figures, by those who read them
-fn figures_pause(view: &EngineView) -> Duration {
-    let pause = FIGURES_EVERY_READER * view.figures.readers;
-    pause.clamp(FIGURES_EVERY, FIGURES_AT_LEAST_EVERY)
+fn stats_interval(view: &EngineView) -> Duration {
+    let interval = STATS_INTERVAL_PER_READER * view.figures.readers;
+    interval.clamp(MIN_STATS_INTERVAL, MAX_STATS_INTERVAL)
 }
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -26,20 +26,20 @@
     tokio::sync::watch,
 };
 
-/// run the sidecar until it is asked to stop
+/// Runs the sidecar until it receives a stop signal.
 pub fn serve(
     settings: PlacementSettings,
-    follower: SettingsReloader,
+    reloader: SettingsReloader,
     engine: Arc<dyn OrderedEngine>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
     let (name, log) = (settings.name.clone(), settings.log.clone());
-    run_on_one_thread(&name, &log, run(settings, follower, engine, store))
+    run_on_one_thread(&name, &log, run(settings, reloader, engine, store))
 }
 
 async fn run(
     settings: PlacementSettings,
-    follower: SettingsReloader,
+    reloader: SettingsReloader,
     engine: Arc<dyn OrderedEngine>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
@@ -51,8 +51,8 @@
     let listener = server::bind(settings.listen).await?;
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .context("read the clock")?;
-    let limits = placement::PlacementSettings {
+        .context("the system clock is before the Unix epoch")?;
+    let placement_settings = placement::PlacementSettings {
         mechanisms: settings.mechanisms,
         ..placement::PlacementSettings::default()
     };
@@ -61,7 +61,7 @@
         log::warn!("settings: defaults in force: {defaulted}");
     }
     log::info!("settings: mechanisms {}", settings.mechanisms);
-    let control = PlacementControl::new(limits, since_epoch.as_millis() as u64);
+    let control = PlacementControl::new(placement_settings, since_epoch.as_millis() as u64);
     let shared = Arc::new(Shared::new(control));
     tokio::spawn(PlacementTask::new(shared.clone(), engine).run());
     let published = Arc::new(Published::new(store, settings.relay_pacing()));
@@ -76,23 +76,23 @@
         stopped,
         Duration::ZERO,
     ));
-    tokio::spawn(follow_settings(follower));
+    tokio::spawn(reload_settings(reloader));
     log::info!("sidecar: serves on {}", settings.listen);
     let signal = stop_signal().await?;
-    // no request passes through this process: there is nothing to drain
+    // requests are sent to the engine directly, so there is nothing to drain
     log::info!("sidecar: stopped after {signal}");
     Ok(())
 }
 
-/// check new settings; all of them take effect at the next start
-async fn follow_settings(follower: SettingsReloader) {
+/// Checks the settings file when it is reloaded. Changes take effect at the next start.
+async fn reload_settings(reloader: SettingsReloader) {
     let apply = |settings: PlacementSettings| {
         log::info!(
-            "settings: those of {} hold from the next start",
+            "settings: valid; changes for {} take effect at the next start",
             settings.name
         );
     };
-    if let Err(e) = follower.run(apply).await {
-        log::error!("settings: not followed: {e:#}");
+    if let Err(e) = reloader.run(apply).await {
+        log::error!("settings: reloading stopped: {e:#}");
     }
 }
--- a/sidecar/src/placement/shared.rs
+++ b/sidecar/src/placement/shared.rs
@@ -6,12 +6,12 @@
     tokio::sync::{watch, Notify},
 };
 
-/// what the keeper and the handlers share
+/// State that the placement task and the handlers share.
 pub struct Shared {
     control: Mutex<PlacementControl>,
-    /// something came that the keeper should look at
+    /// Wakes the placement task after an event.
     pub changed: Notify,
-    /// what entries may know, replaced when it is worth sending
+    /// The view of the engine that entries receive.
     pub view: watch::Sender<EngineView>,
 }
 
@@ -24,7 +24,7 @@
         }
     }
     pub fn control(&self) -> MutexGuard<'_, PlacementControl> {
-        // no holder panics halfway through a change
+        // the state is consistent even if the mutex is poisoned
         self.control.lock().unwrap_or_else(|e| e.into_inner())
     }
     pub fn handle(&self, event: PlacementEvent) {
--- a/sidecar/src/placement/views.rs
+++ b/sidecar/src/placement/views.rs
@@ -6,25 +6,24 @@
     tokio::time::timeout,
 };
 
-/// a view goes out when nothing else did for this long
-const HEARTBEAT: Duration = Duration::from_millis(400);
+/// A stream without changes repeats the view after this time.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// the views of the engine from now on: the first whole, then what changes
+/// Returns a stream of the engine's views: first the complete view, then its changes.
 pub fn view_updates(shared: &Arc<Shared>) -> impl Stream<Item = ViewUpdate> + Send {
     let mut views = shared.view.subscribe();
     views.mark_changed();
     let reader = (shared.clone(), views, None);
     unfold(reader, |(shared, mut views, mut sent)| async move {
-        // a time without a change is a heartbeat; the sender lives as long
-        // as `shared`
-        let _ = timeout(HEARTBEAT, views.changed()).await;
+        // a timeout sends a heartbeat; `shared` keeps the sender alive
+        let _ = timeout(HEARTBEAT_INTERVAL, views.changed()).await;
         let view = views.borrow_and_update().clone();
         let update = next_update(&mut sent, view);
         Some((update, (shared, views, sent)))
     })
 }
 
-/// the first message is whole, each later one says what has changed
+/// Returns the difference to the last view sent, or the complete view if there is none.
 fn next_update(sent: &mut Option<EngineView>, view: EngineView) -> ViewUpdate {
     let update = match sent {
         Some(before) => ViewUpdate::between(before, &view),
