--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -7,7 +7,7 @@
     crate::{
         conf::PlacementSettings,
         crashes::CrashAggregator,
-        relay::{run_relay, Published, RelayHub},
+        relay::{run_relay, RelayHub, StoreCache},
     },
     anyhow::{Context, Result},
     chalkcart_coordination::{
@@ -64,8 +64,8 @@
     let control = PlacementControl::new(placement_settings, since_epoch.as_millis() as u64);
     let shared = Arc::new(Shared::new(control));
     tokio::spawn(PlacementTask::new(shared.clone(), engine).run());
-    let published = Arc::new(Published::new(store, settings.relay_pacing()));
-    let relay = Arc::new(RelayHub::new(settings.name.clone(), published));
+    let store_cache = Arc::new(StoreCache::new(store, settings.relay_pacing()));
+    let relay = Arc::new(RelayHub::new(settings.name.clone(), store_cache));
     tokio::spawn(run_relay(relay.clone(), settings.listen.port()));
     let usage = Arc::new(UsageTotals::new(UsageAggregator::new(rand::random())));
     let crashes = Arc::new(CrashAggregator::new(rand::random()));
--- a/sidecar/src/relay/handlers.rs
+++ b/sidecar/src/relay/handlers.rs
@@ -9,7 +9,7 @@
     gotham::{handler::HandlerResult, state::State},
 };
 
-/// an entry says what it needs of engines
+/// Receives an entry's demands.
 pub async fn relay_demands(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
     let reply = match read_message::<RelayDemands>(&mut state).await {
@@ -22,31 +22,33 @@
     Ok((state, reply))
 }
 
-/// an entry asks for the views of the engines that it follows
+/// Streams the views of engines to an entry.
 pub async fn relay_views(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
-    let form = asker_form(&state);
+    let encoding = asker_form(&state);
     let reply = match read_message::<RelayRequest>(&mut state).await {
-        Ok(ask) => {
-            log::info!(entry = ask.entry.as_str(); "relay: entry follows");
-            encoded_frames_reply(hub.updates(clock::now(), form))
+        Ok(request) => {
+            log::info!(entry = request.entry.as_str(); "relay: entry connected");
+            encoded_frames_reply(hub.updates(clock::now(), encoding))
         }
         Err(e) => pages::bad_message(&e),
     };
     Ok((state, reply))
 }
 
-/// An entry asks what the platform's store publishes. One that says no wire version would
-/// take a record of a kind that it does not know for a broken answer: it reads the store.
+/// Returns records of the platform's store to an entry.
+///
+/// An entry that sends no wire version can't parse records of an unknown kind. It gets a
+/// stale response, so that it reads the store itself.
 pub async fn relay_published(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
     let is_older = asker_version(&state).is_none();
     let reply = match read_message::<PublishedRequest>(&mut state).await {
         Ok(_) if is_older => message_reply(&PublishedResponse::Stale),
-        Ok(ask) => {
-            hub.published.on_request(clock::now());
+        Ok(request) => {
+            hub.store_cache.on_request(clock::now());
             hub.changed.notify_one();
-            message_reply(&hub.published.answer(&ask).await)
+            message_reply(&hub.store_cache.response(&request).await)
         }
         Err(e) => pages::bad_message(&e),
     };
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -1,5 +1,5 @@
 use {
-    super::Published,
+    super::StoreCache,
     bytes::Bytes,
     chalkcart_coordination::relay::RelayState,
     chalkcart_protocol::{
@@ -22,11 +22,11 @@
     tokio_stream::wrappers::BroadcastStream,
 };
 
-/// messages that an entry may be behind before its stream is ended; it then
-/// comes back and hears the whole
-const MOST_BEHIND: usize = 64;
+/// An entry that is more updates behind is disconnected; it reconnects and receives the
+/// complete state.
+const MAX_UPDATES_BEHIND: usize = 64;
 
-/// EncodedUpdate for all entries, encoded once for each form in which one of them reads.
+/// An update for all entries, encoded at most once per wire encoding.
 #[derive(Debug)]
 struct EncodedUpdate {
     update: RelayUpdate,
@@ -40,83 +40,89 @@
             frames: Default::default(),
         }
     }
-    fn frame(&self, form: WireEncoding) -> Option<Bytes> {
-        let frame = &self.frames[form.index()];
-        frame.get_or_init(|| encoded(&self.update, form)).clone()
+    fn frame(&self, encoding: WireEncoding) -> Option<Bytes> {
+        let frame = &self.frames[encoding.index()];
+        frame.get_or_init(|| encode(&self.update, encoding)).clone()
     }
 }
 
-/// what the handlers, the links and the pump of a relay share
+/// State that the handlers, the links to sidecars and the relay task share.
 pub struct RelayHub {
-    book: Mutex<RelayState>,
-    pub published: Arc<Published>,
-    news: broadcast::Sender<Arc<EncodedUpdate>>,
-    /// there is work for the pump
+    state: Mutex<RelayState>,
+    pub store_cache: Arc<StoreCache>,
+    updates: broadcast::Sender<Arc<EncodedUpdate>>,
+    /// Wakes the relay task.
     pub changed: Notify,
-    /// entries should hear the news at once
+    /// The next update must not wait for the update interval.
     is_urgent: AtomicBool,
-    /// other engines than before are to be followed
-    has_other_engines: AtomicBool,
+    /// The set of watched engines has changed.
+    have_engines_changed: AtomicBool,
 }
 
 impl RelayHub {
-    /// `name` is that of the box
-    pub fn new(name: BoxName, published: Arc<Published>) -> Self {
+    /// `name` is the name of the relay's box.
+    pub fn new(name: BoxName, store_cache: Arc<StoreCache>) -> Self {
         Self {
-            book: Mutex::new(RelayState::new(name)),
-            published,
-            news: broadcast::Sender::new(MOST_BEHIND),
+            state: Mutex::new(RelayState::new(name)),
+            store_cache,
+            updates: broadcast::Sender::new(MAX_UPDATES_BEHIND),
             changed: Notify::new(),
             is_urgent: AtomicBool::new(false),
-            has_other_engines: AtomicBool::new(false),
+            have_engines_changed: AtomicBool::new(false),
         }
     }
 
-    pub fn book(&self) -> MutexGuard<'_, RelayState> {
-        // no holder panics halfway through a change
-        self.book.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn state(&self) -> MutexGuard<'_, RelayState> {
+        // the state is consistent even if the mutex is poisoned
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// an entry says what it needs
+    /// Applies the demands of an entry.
     pub fn on_demands(&self, message: RelayDemands) {
-        if self.book().on_demands(message, clock::now()) {
-            self.has_other_engines.store(true, Ordering::Relaxed);
+        if self.state().on_demands(message, clock::now()) {
+            self.have_engines_changed.store(true, Ordering::Relaxed);
         }
         self.changed.notify_one();
     }
 
-    /// forget silent entries; says whether other engines are to be followed
-    pub fn review(&self, now: Instant) -> bool {
-        let expired = self.book().expire(now);
-        self.has_other_engines.swap(false, Ordering::Relaxed) || expired
+    /// Removes unresponsive entries. Returns whether the set of watched engines has changed
+    /// since the last call.
+    pub fn expire_entries(&self, now: Instant) -> bool {
+        let expired = self.state().expire(now);
+        self.have_engines_changed.swap(false, Ordering::Relaxed) || expired
     }
 
-    /// whether entries should hear the news at once, since the last call
+    /// Returns whether there was an urgent change since the last call.
     pub fn take_urgent(&self) -> bool {
         self.is_urgent.swap(false, Ordering::Relaxed)
     }
 
-    /// tell all entries what they have not heard
+    /// Sends the changes since the last update to all entries.
     pub fn broadcast_update(&self, now: Instant) {
-        // readers come in under the same lock, so that they miss nothing
-        let mut book = self.book();
-        let news = EncodedUpdate::new(book.take_update(now));
-        // an error says that nobody reads
-        let _ = self.news.send(Arc::new(news));
+        // entries subscribe under the same lock, so that they miss no update
+        let mut relay = self.state();
+        let update = EncodedUpdate::new(relay.take_update(now));
+        // fails only if no entry is subscribed
+        let _ = self.updates.send(Arc::new(update));
     }
 
-    /// all that is known, then the news; ends for a reader that is too slow
-    pub fn updates(&self, now: Instant, form: WireEncoding) -> impl Stream<Item = Bytes> + Send {
-        let book = self.book();
-        let whole = encoded(&book.full_update(now), form);
-        let news = BroadcastStream::new(self.news.subscribe());
-        drop(book);
-        let news = news.take_while(|news| {
-            let is_read = news.is_ok();
-            async move { is_read }
+    /// Returns a stream of the complete state and then the updates. It ends for an entry that
+    /// is too far behind.
+    pub fn updates(
+        &self,
+        now: Instant,
+        encoding: WireEncoding,
+    ) -> impl Stream<Item = Bytes> + Send {
+        let relay = self.state();
+        let full_update = encode(&relay.full_update(now), encoding);
+        let updates = BroadcastStream::new(self.updates.subscribe());
+        drop(relay);
+        let updates = updates.take_while(|update| {
+            let is_received = update.is_ok();
+            async move { is_received }
         });
-        let frames = news.filter_map(move |news| async move { news.ok()?.frame(form) });
-        stream::iter(whole).chain(frames)
+        let frames = updates.filter_map(move |update| async move { update.ok()?.frame(encoding) });
+        stream::iter(full_update).chain(frames)
     }
 
     fn wake(&self, is_urgent: bool) {
@@ -129,27 +135,27 @@
 
 impl ViewSink for RelayHub {
     fn on_view(&self, engine: SocketAddr, view: EngineView) {
-        let is_urgent = self.book().on_view(engine, view, clock::now());
+        let is_urgent = self.state().on_view(engine, view, clock::now());
         self.wake(is_urgent);
     }
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
+    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
         let now = clock::now();
-        let is_urgent = self.book().on_stats(engine, backend, figures, now);
+        let is_urgent = self.state().on_stats(engine, backend, stats, now);
         self.wake(is_urgent);
     }
     fn on_silent(&self, engine: SocketAddr, _backend: &BackendId) {
-        self.book().on_unresponsive(engine, clock::now());
+        self.state().on_unresponsive(engine, clock::now());
         self.wake(true);
     }
-    /// entries that hear by a relay learn it from what engines answer
+    /// Ignored: entries that use a relay learn it from the engines' responses.
     fn on_demanded(&self, _engine: SocketAddr, _is_taken: bool) {}
 }
 
-fn encoded(update: &RelayUpdate, form: WireEncoding) -> Option<Bytes> {
-    match encode_frame(update, form) {
+fn encode(update: &RelayUpdate, encoding: WireEncoding) -> Option<Bytes> {
+    match encode_frame(update, encoding) {
         Ok(frame) => Some(frame),
         Err(e) => {
-            log::error!("relay: news not encoded: {e}");
+            log::error!("relay: update could not be encoded: {e}");
             None
         }
     }
--- a/sidecar/src/relay/mod.rs
+++ b/sidecar/src/relay/mod.rs
@@ -1,14 +1,14 @@
-//! the part of a sidecar that passes on what all sidecars say to the entries of
-//! its zone, and tells all sidecars what these entries need
+//! Serves a relay: fans out the views of all engines to the entries of its zone, merges
+//! these entries' demands for the engines' sidecars, and caches the platform's store.
 
 mod handlers;
 mod hub;
-mod published;
 mod relay_task;
+mod store_cache;
 
 pub use {
     handlers::{relay_demands, relay_published, relay_views},
     hub::RelayHub,
-    published::Published,
     relay_task::run_relay,
+    store_cache::StoreCache,
 };
--- a/sidecar/src/relay/relay_task.rs
+++ b/sidecar/src/relay/relay_task.rs
@@ -8,47 +8,46 @@
     },
 };
 
-/// figures that are not worth a message of their own are told this often; also
-/// the time between two signs of life
-const FIGURES_EVERY: Duration = Duration::from_millis(200);
-/// what comes within this time goes out together
-const GATHERED: Duration = Duration::from_millis(12);
+/// Interval of updates without an urgent change; an update is also a heartbeat.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+/// Changes within this time are sent in one update.
+const BATCH_DELAY: Duration = Duration::from_millis(12);
 
-/// pass on news and demands until the process ends; `sidecar_port` is that of
-/// all sidecars
+/// Sends views to entries and demands to sidecars until the process ends. All sidecars
+/// listen on `sidecar_port`.
 pub async fn run_relay(hub: Arc<RelayHub>, sidecar_port: u16) {
     let mut links = SidecarLinks::new(Handle::current(), hub.clone(), sidecar_port);
-    let mut told = clock::now();
+    let mut updated_at = clock::now();
     loop {
-        wait(&hub).await;
+        wait_for_change(&hub).await;
         let now = clock::now();
-        let has_other_engines = hub.review(now);
-        hub.published.review(now);
-        if has_other_engines {
-            let book = hub.book();
-            log::info!(entries = book.entry_count(), engines = book.engines().count();
-                "relay: engines to follow changed");
-            links.follow(book.engines());
+        let have_engines_changed = hub.expire_entries(now);
+        hub.store_cache.stop_if_unused(now);
+        if have_engines_changed {
+            let relay = hub.state();
+            log::info!(entries = relay.entry_count(), engines = relay.engines().count();
+                "relay: watched engines changed");
+            links.follow(relay.engines());
         }
-        for (engine, demand) in hub.book().take_due_demands() {
+        for (engine, demand) in hub.state().take_due_demands() {
             links.send(engine, demand, now);
         }
         links.keep_alive(now);
-        if hub.take_urgent() || now.saturating_duration_since(told) >= FIGURES_EVERY {
-            told = now;
+        if hub.take_urgent() || now.saturating_duration_since(updated_at) >= UPDATE_INTERVAL {
+            updated_at = now;
             hub.broadcast_update(now);
         }
     }
 }
 
-/// wait for work; a relay that nobody uses has none
-async fn wait(hub: &RelayHub) {
-    let is_idle = hub.book().entry_count() == 0 && !hub.published.review(clock::now());
+/// Waits for a change, or for the next update; an unused relay waits for a change only.
+async fn wait_for_change(hub: &RelayHub) {
+    let is_idle = hub.state().entry_count() == 0 && !hub.store_cache.stop_if_unused(clock::now());
     if is_idle {
         hub.changed.notified().await;
     } else {
-        // a time without a change is a sign of life
-        let _ = timeout(FIGURES_EVERY, hub.changed.notified()).await;
+        // a timeout sends a heartbeat
+        let _ = timeout(UPDATE_INTERVAL, hub.changed.notified()).await;
     }
-    sleep(GATHERED).await;
+    sleep(BATCH_DELAY).await;
 }
--- /dev/null
+++ b/sidecar/src/relay/store_cache.rs
@@ -0,0 +1,155 @@
+use {
+    chalkcart_coordination::relay::{PublishedCache, RelayPacing},
+    chalkcart_protocol::peer::{PublishedRequest, PublishedResponse},
+    chalkcart_state::published::Topic,
+    chalkcart_transport::{
+        clock,
+        metadata::{self as store, Follower, MetadataSource, RecordSink},
+    },
+    std::{
+        sync::{Arc, Mutex, MutexGuard},
+        time::{Duration, Instant},
+    },
+    tokio::{
+        sync::watch,
+        task::JoinHandle,
+        time::{timeout, Instant as Deadline},
+    },
+};
+
+/// How long a new relay's response waits for the first data from the store.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(300);
+/// The store is watched for this long after the last request; entries send one each second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which a held request is checked again, since the cache may become stale.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Cache of the platform's store for the entries that use this relay.
+pub struct StoreCache {
+    store: Option<Arc<dyn MetadataSource>>,
+    pacing: RelayPacing,
+    configuration: PublishedTopic,
+    backends: PublishedTopic,
+    /// Tasks that watch the store, one per topic; empty while no entry uses the cache.
+    watchers: Mutex<Vec<JoinHandle<()>>>,
+    /// Time of the last request of an entry.
+    requested_at: Mutex<Option<Instant>>,
+}
+
+struct PublishedTopic {
+    cache: Mutex<PublishedCache>,
+    /// Number of updates from the store.
+    changed: watch::Sender<u64>,
+}
+
+impl PublishedTopic {
+    fn new(stale_after: Duration) -> Self {
+        Self {
+            cache: Mutex::new(PublishedCache::new(stale_after)),
+            changed: watch::Sender::new(0),
+        }
+    }
+    fn cache(&self) -> MutexGuard<'_, PublishedCache> {
+        // the state is consistent even if the mutex is poisoned
+        self.cache.lock().unwrap_or_else(|e| e.into_inner())
+    }
+}
+
+impl StoreCache {
+    /// Without a store, each response is stale.
+    pub fn new(store: Option<Arc<dyn MetadataSource>>, pacing: RelayPacing) -> Self {
+        Self {
+            store,
+            pacing,
+            configuration: PublishedTopic::new(pacing.stale_after()),
+            backends: PublishedTopic::new(pacing.stale_after()),
+            watchers: Mutex::default(),
+            requested_at: Mutex::default(),
+        }
+    }
+
+    /// Starts to watch the store at the request of an entry, unless it is watched already.
+    pub fn on_request(self: &Arc<Self>, now: Instant) {
+        *self.requested_at.lock().unwrap_or_else(|e| e.into_inner()) = Some(now);
+        let mut watchers = self.watchers.lock().unwrap_or_else(|e| e.into_inner());
+        let Some(store) = self.store.as_ref().filter(|_| watchers.is_empty()) else {
+            return;
+        };
+        watchers.extend([Topic::Configuration, Topic::Backends].map(|topic| {
+            let pacing = self.pacing.watch_pacing();
+            let watcher = Follower::new(store.clone(), self.clone(), topic, pacing);
+            tokio::spawn(watcher.run())
+        }));
+    }
+
+    /// Stops watching the store if no entry has sent a request recently. Returns whether the
+    /// store is still watched.
+    pub fn stop_if_unused(&self, now: Instant) -> bool {
+        let requested_at = *self.requested_at.lock().unwrap_or_else(|e| e.into_inner());
+        let is_used =
+            requested_at.is_some_and(|at| now.saturating_duration_since(at) < IDLE_TIMEOUT);
+        let mut watchers = self.watchers.lock().unwrap_or_else(|e| e.into_inner());
+        if !is_used {
+            watchers.drain(..).for_each(|task| task.abort());
+        }
+        !watchers.is_empty()
+    }
+
+    /// Returns a response as soon as there is a newer revision than the entry has, or when
+    /// the request's wait time is over.
+    pub async fn response(&self, request: &PublishedRequest) -> PublishedResponse {
+        let requested_at = clock::now();
+        let topic = self.topic(request.topic);
+        let mut changes = topic.changed.subscribe();
+        if !topic.cache().has_received() {
+            // the watch has just started; without data the response is stale
+            let _ = timeout(FIRST_READ_TIMEOUT, changes.changed()).await;
+        }
+        let until = Deadline::now() + Duration::from_millis(request.wait_ms);
+        loop {
+            changes.mark_unchanged();
+            let response = topic
+                .cache()
+                .response(request.after, requested_at, clock::now());
+            if let Some(response) = response {
+                return response;
+            }
+            let remaining = until.saturating_duration_since(Deadline::now());
+            if remaining.is_zero() {
+                return topic.cache().empty_response(request.after, requested_at);
+            }
+            // after a timeout the cache is checked again
+            let _ = timeout(remaining.min(CHECK_INTERVAL), changes.changed()).await;
+        }
+    }
+
+    fn topic(&self, topic: Topic) -> &PublishedTopic {
+        match topic {
+            Topic::Configuration => &self.configuration,
+            Topic::Backends => &self.backends,
+        }
+    }
+}
+
+impl RecordSink for StoreCache {
+    fn take_in(&self, topic: Topic, update: store::Heard, is_full: bool) {
+        let store::Heard {
+            snapshot,
+            current_at,
+        } = update;
+        let has_changes = is_full || !snapshot.records.is_empty();
+        let topic = self.topic(topic);
+        topic
+            .cache()
+            .apply(snapshot, is_full, current_at, clock::now());
+        if has_changes {
+            topic.changed.send_modify(|count| *count += 1);
+        }
+    }
+    fn pause(&self, topic: Topic) -> Duration {
+        match topic {
+            Topic::Configuration => Duration::ZERO,
+            Topic::Backends => self.pacing.pause_after_change(),
+        }
+    }
+}
