--- a/sidecar/src/crashes/aggregator.rs
+++ b/sidecar/src/crashes/aggregator.rs
@@ -10,63 +10,66 @@
     tokio::{sync::watch, time::timeout},
 };
 
-/// longest time for which a call is held, whatever it asks for
-const MOST_HELD: Duration = Duration::from_secs(5);
+/// Maximum time for which a request is held, whatever wait time it requests.
+const MAX_HOLD: Duration = Duration::from_secs(5);
 
-/// What entries have told this sidecar. It outlives the engine beside it and each entry, and
-/// entries outlive it: none of them keeps anything beyond its process.
+/// Crash reports of all entries, kept in memory. Entries and sidecars restart independently,
+/// so each report survives as long as one of the processes that know it.
 pub struct CrashAggregator {
     incarnation: Incarnation,
-    book: Mutex<CrashRegistry>,
-    /// the book's revision
-    changed: watch::Sender<u64>,
+    registry: Mutex<CrashRegistry>,
+    /// Revision of the registry.
+    revision: watch::Sender<u64>,
 }
 
 impl CrashAggregator {
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
-            book: Mutex::default(),
-            changed: watch::Sender::new(0),
+            registry: Mutex::default(),
+            revision: watch::Sender::new(0),
         }
     }
 
-    /// take in what an entry knows, and tell it what it does not know, as soon as there is
-    /// any of it
-    pub async fn answer(&self, ask: CrashRequest) -> CrashResponse {
-        let heard = ask.heard.filter(|heard| heard.keeper == self.incarnation);
-        let after = self.take_in(&ask, heard.map_or(0, |heard| heard.revision));
-        if heard.is_some() {
-            let wait = Duration::from_millis(ask.wait_ms).min(MOST_HELD);
-            let mut changed = self.changed.subscribe();
-            // a time without news is an answer as well
-            let _ = timeout(wait, changed.wait_for(|revision| *revision > after)).await;
+    /// Merges an entry's reports, and returns newer reports as soon as there are any, or when
+    /// the request's wait time is over.
+    pub async fn response(&self, request: CrashRequest) -> CrashResponse {
+        let cursor = request
+            .heard
+            .filter(|cursor| cursor.keeper == self.incarnation);
+        let after = self.merge(&request, cursor.map_or(0, |cursor| cursor.revision));
+        if cursor.is_some() {
+            let wait = Duration::from_millis(request.wait_ms).min(MAX_HOLD);
+            let mut revision = self.revision.subscribe();
+            // after a timeout the response is empty
+            let _ = timeout(wait, revision.wait_for(|revision| *revision > after)).await;
         }
-        let (words, revision) = self.book().reports_since(after, clock::now());
+        let (reports, revision) = self.registry().reports_since(after, clock::now());
         CrashResponse {
             mark: CrashCursor {
                 keeper: self.incarnation,
                 revision,
             },
-            words,
+            words: reports,
         }
     }
 
-    /// gives the revision from which on the entry is to hear: its own words are no news to it
-    fn take_in(&self, ask: &CrashRequest, after: u64) -> u64 {
-        let mut book = self.book();
-        let known = book.revision();
-        if book.merge(&ask.words, clock::now()) {
-            self.changed.send_replace(book.revision());
+    /// Merges an entry's reports. Returns the revision after which to respond, which skips the
+    /// entry's own reports if it had all earlier ones.
+    fn merge(&self, request: &CrashRequest, after: u64) -> u64 {
+        let mut registry = self.registry();
+        let before = registry.revision();
+        if registry.merge(&request.words, clock::now()) {
+            self.revision.send_replace(registry.revision());
         }
-        match after == known {
-            true => book.revision(),
+        match after == before {
+            true => registry.revision(),
             false => after,
         }
     }
 
-    fn book(&self) -> MutexGuard<'_, CrashRegistry> {
-        // no holder panics halfway through a change
-        self.book.lock().unwrap_or_else(|e| e.into_inner())
+    fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
+        // the state is consistent even if the mutex is poisoned
+        self.registry.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/sidecar/src/crashes/handlers.rs
+++ b/sidecar/src/crashes/handlers.rs
@@ -5,11 +5,11 @@
     gotham::{handler::HandlerResult, state::State},
 };
 
-/// an entry tells what it knows, and asks for what others have told
+/// Receives an entry's crash reports and returns those of other entries.
 pub async fn crash_reports(mut state: State) -> HandlerResult {
-    let keeper = SharedData::<CrashAggregator>::of(&state);
+    let aggregator = SharedData::<CrashAggregator>::of(&state);
     let reply = match read_message::<CrashRequest>(&mut state).await {
-        Ok(ask) => message_reply(&keeper.answer(ask).await),
+        Ok(request) => message_reply(&aggregator.response(request).await),
         Err(e) => pages::bad_message(&e),
     };
     Ok((state, reply))
--- a/sidecar/src/crashes/mod.rs
+++ b/sidecar/src/crashes/mod.rs
@@ -1,4 +1,5 @@
-//! the part of a sidecar that passes on between entries which requests engines ended under
+//! Serves the aggregator that exchanges crash reports between entries: which requests were
+//! running when an engine ended.
 
 mod aggregator;
 mod handlers;
