--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -12,11 +12,10 @@
     tokio::time::sleep,
 };
 
-/// how often an entry is asked for a newer configuration
-const PERIOD: Duration = Duration::from_secs(1);
-const TIMEOUT: Duration = Duration::from_millis(500);
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// follows the configuration's root through the entries
+/// Polls the entries for a newer root of the configuration.
 pub struct ConfigSync {
     shared: Arc<Shared>,
     peers: PeerClient,
@@ -38,38 +37,40 @@
 
     pub async fn run(mut self) {
         loop {
-            self.ask_one().await;
-            sleep(PERIOD).await;
+            self.sync_once().await;
+            sleep(SYNC_INTERVAL).await;
         }
     }
 
-    async fn ask_one(&mut self) {
-        // the settings' addresses serve when the list's are all gone
-        let seeds = &self.shared.settings.entries;
-        let all: Vec<SocketAddr> = self.entries.iter().chain(seeds).copied().collect();
-        let Some(entry) = all.choose(&mut rand::rng()).copied() else {
+    async fn sync_once(&mut self) {
+        // the addresses of the settings are included in case all listed entries have gone
+        let configured = &self.shared.settings.entries;
+        let candidates: Vec<SocketAddr> = self.entries.iter().chain(configured).copied().collect();
+        let Some(entry) = candidates.choose(&mut rand::rng()).copied() else {
             return;
         };
-        let ask = SyncRequest {
+        let request = SyncRequest {
             from: self.shared.settings.name.clone(),
             generation: self.root.as_ref().map_or(0, |r| r.generation),
             list_version: self.list_version,
             from_sidecar: true,
         };
-        let answer: Result<SyncResponse, _> =
-            self.peers.call(entry, path::SYNC, &ask, TIMEOUT).await;
-        match answer {
-            Ok(answer) => self.take(answer),
-            Err(e) => log::debug!("config: no answer: {e}"),
+        let response: Result<SyncResponse, _> = self
+            .peers
+            .call(entry, path::SYNC, &request, SYNC_TIMEOUT)
+            .await;
+        match response {
+            Ok(response) => self.apply(response),
+            Err(e) => log::debug!("config: sync with {entry} failed: {e}"),
         }
     }
 
-    fn take(&mut self, answer: SyncResponse) {
-        if let Some(list) = answer.list {
+    fn apply(&mut self, response: SyncResponse) {
+        if let Some(list) = response.list {
             self.list_version = list.version;
             self.entries = list.live_entries().map(|b| b.addr).collect();
         }
-        let Some(root) = answer.root else {
+        let Some(root) = response.root else {
             return;
         };
         match decide_offer(self.root.as_deref(), &root) {
@@ -82,7 +83,7 @@
             }
             OfferDecision::Conflict => {
                 log::error!(
-                    "config: another content under generation {}",
+                    "config: different content under generation {}",
                     root.generation
                 )
             }
--- a/sidecar/src/app/control_thread.rs
+++ b/sidecar/src/app/control_thread.rs
@@ -13,10 +13,10 @@
     },
 };
 
-/// longest time without a look at the clock
-const TICK: Duration = Duration::from_millis(50);
+/// Maximum interval at which the control state handles the passage of time.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// start the one thread that owns the control state
+/// Starts the thread that owns the control state.
 pub fn start(
     mut control: SidecarControl,
     events: Receiver<SidecarEvent>,
@@ -24,7 +24,7 @@
     executor: Executor,
 ) -> Result<()> {
     let run = move || loop {
-        let event = match events.recv_timeout(TICK) {
+        let event = match events.recv_timeout(TICK_INTERVAL) {
             Ok(event) => event,
             Err(RecvTimeoutError::Timeout) => SidecarEvent::Tick,
             Err(RecvTimeoutError::Disconnected) => return,
--- a/sidecar/src/app/engine_runner.rs
+++ b/sidecar/src/app/engine_runner.rs
@@ -20,40 +20,41 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// events held while an earlier one is missing
-const MAX_EARLY: usize = 256;
-/// a missing event is asked for again after this long
-const GAP_PATIENCE: Duration = Duration::from_millis(300);
-/// resumes without a new event before the run counts as lost
+/// Maximum number of events held while an earlier one is missing.
+const MAX_EARLY_EVENTS: usize = 256;
+/// Time after which a missing event is requested again by a resume.
+const GAP_TIMEOUT: Duration = Duration::from_millis(300);
+/// Consecutive resumes without a new event after which the run counts as lost.
 const MAX_RESUMES: u32 = 5;
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// Grows linearly with each resume.
+const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
-/// what a run needs besides its work
+/// Parameters of a run besides its work.
 #[derive(Debug, Clone, Copy)]
 pub struct RunContext {
-    /// none for a plain service
+    /// `None` for a plain service.
     pub order: Option<OrderFence>,
     pub priority: u8,
-    /// nothing is sent after this
+    /// Nothing is sent to the target after this time.
     pub deadline: Instant,
 }
 
-/// why reading the events stopped
-enum Stopped {
-    /// the stream broke or has a hole
-    Broken,
+/// Why reading the events stopped.
+enum ReadEnd {
+    /// The stream was interrupted or has a gap.
+    Interrupted,
     Failed(Reason, String),
     Finished,
 }
 
-/// runs one request on an engine and puts its tokens in order
+/// Runs one request on an engine and restores the order of its events.
 pub struct EngineRunner {
     engine: Arc<dyn Engine>,
     stream: Arc<SharedStream>,
     request: RequestId,
     work: GenerateWork,
     events: Assembler<EventBody>,
-    tokens: u64,
+    token_count: u64,
     started: Instant,
 }
 
@@ -69,24 +70,24 @@
             stream,
             request,
             work,
-            events: Assembler::new(0, MAX_EARLY),
-            tokens: 0,
+            events: Assembler::new(0, MAX_EARLY_EVENTS),
+            token_count: 0,
             started: clock::now(),
         }
     }
 
-    /// run to the end, a stop, or the deadline
-    pub async fn run(mut self, cx: RunContext, stop: CancellationToken) -> RunEnd {
-        let Some(order) = cx.order else {
+    /// Runs until the end, a cancellation, or the deadline.
+    pub async fn run(mut self, context: RunContext, cancellation: CancellationToken) -> RunEnd {
+        let Some(order) = context.order else {
             return self.end(Outcome::NotRun, Reason::EngineFailed, "no fence");
         };
-        if clock::now() >= cx.deadline {
+        if clock::now() >= context.deadline {
             return self.end(Outcome::NotRun, Reason::DeadlinePassed, "");
         }
         let run = EngineRun {
             request: self.request.clone(),
             work: self.work.clone(),
-            priority: cx.priority,
+            priority: context.priority,
         };
         let events = match self.engine.generate(order, &run).await {
             Ok(events) => events,
@@ -94,103 +95,109 @@
             Err(e) => return self.end_lost(&e.to_string()).await,
         };
         tokio::select! {
-            end = self.read(events) => match end {
-                Ok(()) => self.end_whole(),
+            end = self.read_with_resumes(events) => match end {
+                Ok(()) => self.end_completed(),
                 Err((Reason::Lost, detail)) => self.end_lost(&detail).await,
                 Err((reason, detail)) => self.end(Outcome::MayHaveRun, reason, &detail),
             },
-            () = sleep_until_deadline(cx.deadline) => self.end_stopped(Reason::DeadlinePassed).await,
-            _ = stop.cancelled() => self.end_stopped(Reason::Cancelled).await,
+            () = sleep_until_deadline(context.deadline) => self.end_cancelled(Reason::DeadlinePassed).await,
+            _ = cancellation.cancelled() => self.end_cancelled(Reason::Cancelled).await,
         }
     }
 
-    async fn read(&mut self, mut events: EngineEvents) -> Result<(), (Reason, String)> {
-        let mut resumes = 0;
+    async fn read_with_resumes(
+        &mut self,
+        mut events: EngineEvents,
+    ) -> Result<(), (Reason, String)> {
+        let mut resume_count = 0;
         loop {
             let before = self.events.next();
-            match self.read_some(&mut events).await {
-                Stopped::Finished => return Ok(()),
-                Stopped::Failed(reason, detail) => return Err((reason, detail)),
-                Stopped::Broken => {}
+            match self.read_stream(&mut events).await {
+                ReadEnd::Finished => return Ok(()),
+                ReadEnd::Failed(reason, detail) => return Err((reason, detail)),
+                ReadEnd::Interrupted => {}
             }
             if self.events.next() > before {
-                resumes = 0;
+                resume_count = 0;
             }
-            events = self.resume(&mut resumes).await?;
+            events = self.resume(&mut resume_count).await?;
         }
     }
 
-    async fn resume(&self, resumes: &mut u32) -> Result<EngineEvents, (Reason, String)> {
-        let mut last = "stream broke".to_string();
-        while *resumes < MAX_RESUMES {
-            *resumes += 1;
+    async fn resume(&self, resume_count: &mut u32) -> Result<EngineEvents, (Reason, String)> {
+        let mut last_error = "stream broke".to_string();
+        while *resume_count < MAX_RESUMES {
+            *resume_count += 1;
             match self.engine.resume(&self.request, self.events.next()).await {
                 Ok(events) => return Ok(events),
                 Err(e @ (EngineError::Refused(_) | EngineError::Fenced(_))) => {
                     return Err((Reason::EngineFailed, e.to_string()));
                 }
-                Err(e) => last = e.to_string(),
+                Err(e) => last_error = e.to_string(),
             }
-            tokio::time::sleep(RESUME_PAUSE * *resumes).await;
+            tokio::time::sleep(RESUME_BACKOFF * *resume_count).await;
         }
-        Err((Reason::Lost, last))
+        Err((Reason::Lost, last_error))
     }
 
-    async fn read_some(&mut self, events: &mut EngineEvents) -> Stopped {
+    async fn read_stream(&mut self, events: &mut EngineEvents) -> ReadEnd {
         loop {
             let next = match self.events.has_gap() {
-                true => timeout(GAP_PATIENCE, events.next()).await,
+                true => timeout(GAP_TIMEOUT, events.next()).await,
                 false => Ok(events.next().await),
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(_))) | Ok(None) | Err(_) => return Stopped::Broken,
+                Ok(Some(Err(_))) | Ok(None) | Err(_) => return ReadEnd::Interrupted,
             };
-            if let Some(stopped) = self.accept(event) {
-                return stopped;
+            if let Some(end) = self.accept(event) {
+                return end;
             }
         }
     }
 
-    fn accept(&mut self, event: EngineEvent) -> Option<Stopped> {
+    fn accept(&mut self, event: EngineEvent) -> Option<ReadEnd> {
         let Ok(ready) = self.events.accept(event.sequence, event.body) else {
-            return Some(Stopped::Broken);
+            return Some(ReadEnd::Interrupted);
         };
         for body in ready {
             match body {
                 EventBody::Token(text) => {
-                    self.tokens += 1;
+                    self.token_count += 1;
                     self.stream.push(FrameBody::Token(text));
                 }
                 EventBody::Finished(ran) => return Some(self.finish(ran)),
                 EventBody::Failed(detail) => {
-                    return Some(Stopped::Failed(Reason::EngineFailed, detail));
+                    return Some(ReadEnd::Failed(Reason::EngineFailed, detail));
                 }
             }
         }
         None
     }
 
-    /// the answer counts only if the engine ran what was asked
-    fn finish(&self, ran: AdapterBody) -> Stopped {
-        let asked = AdapterKey::from(&self.work);
+    /// Fails the run if the engine used another adapter or version than requested.
+    fn finish(&self, ran: AdapterBody) -> ReadEnd {
+        let requested = AdapterKey::from(&self.work);
         let ran = AdapterKey::from(ran);
-        if ran != asked {
-            return Stopped::Failed(Reason::WrongVersion, format!("ran {ran}, asked {asked}"));
+        if ran != requested {
+            return ReadEnd::Failed(
+                Reason::WrongVersion,
+                format!("ran {ran}, asked {requested}"),
+            );
         }
         self.stream.push(FrameBody::Finished {
             adapter: ran.adapter,
             version: ran.version,
         });
-        Stopped::Finished
+        ReadEnd::Finished
     }
 
-    fn end_whole(self) -> RunEnd {
+    fn end_completed(self) -> RunEnd {
         RunEnd {
             outcome: Outcome::Ran,
             failure: None,
             detail: String::new(),
-            tokens: self.tokens,
+            tokens: self.token_count,
             duration: clock::elapsed(self.started),
             may_still_run: false,
         }
@@ -201,7 +208,7 @@
             outcome,
             failure: Some(reason),
             detail: detail.to_string(),
-            tokens: self.tokens,
+            tokens: self.token_count,
             duration: clock::elapsed(self.started),
             may_still_run: false,
         }
@@ -216,15 +223,15 @@
         self.end(Outcome::NotRun, reason, &e.to_string())
     }
 
-    /// the engine may go on with it, unless it confirms a cancel
+    /// Cancels the run on the engine. It may still run unless the engine confirms this.
     async fn end_lost(self, detail: &str) -> RunEnd {
-        let confirmed = self.engine.cancel(&self.request).await.is_ok();
+        let is_confirmed = self.engine.cancel(&self.request).await.is_ok();
         let mut end = self.end(Outcome::MayHaveRun, Reason::Lost, detail);
-        end.may_still_run = !confirmed;
+        end.may_still_run = !is_confirmed;
         end
     }
 
-    async fn end_stopped(self, reason: Reason) -> RunEnd {
+    async fn end_cancelled(self, reason: Reason) -> RunEnd {
         let mut end = self.end_lost("stopped").await;
         end.failure = Some(reason);
         end
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -31,24 +31,24 @@
 
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// the target behind the sidecar
+/// Client of the sidecar's target.
 #[derive(Clone)]
 pub enum TargetClient {
     Engine(Arc<dyn Engine>),
     Service(Arc<dyn PlainService>),
 }
 
-type Stops = Arc<Mutex<HashMap<RequestId, CancellationToken>>>;
+type CancellationTokens = Arc<Mutex<HashMap<RequestId, CancellationToken>>>;
 
-/// carries out what the control thread decides, on the traffic threads
+/// Performs the actions of the control thread on the traffic threads.
 #[derive(Clone)]
 pub struct Executor {
     shared: Arc<Shared>,
     target: TargetClient,
     peers: PeerClient,
     runtime: Handle,
-    /// stops of the running requests
-    stops: Stops,
+    /// Cancellation tokens of running requests.
+    cancellations: CancellationTokens,
 }
 
 impl Executor {
@@ -58,7 +58,7 @@
             target,
             peers: PeerClient::new(),
             runtime,
-            stops: Stops::default(),
+            cancellations: CancellationTokens::default(),
         }
     }
 
@@ -76,27 +76,27 @@
                 arrived,
                 has_stalled,
             } => {
-                let cx = RunContext {
+                let context = RunContext {
                     order,
                     priority,
                     deadline,
                 };
-                self.count_start(&work, arrived, has_stalled);
-                self.run(work, cx);
+                self.record_start(&work, arrived, has_stalled);
+                self.run(work, context);
             }
             SidecarAction::StopRun { request } => self.stop_run(&request),
-            SidecarAction::Reject { request, refusal } => self.refuse(&request, refusal),
+            SidecarAction::Reject { request, refusal } => self.reject(&request, refusal),
             SidecarAction::RequestPermit {
                 issuer,
                 request,
                 adapter,
-            } => self.ask_permit(issuer, request, adapter),
+            } => self.request_permit(issuer, request, adapter),
             SidecarAction::ReturnPermit { issuer, request } => self.return_permit(issuer, request),
             SidecarAction::RespondToReserve { reply, response } => {
-                self.shared.reserves.answer(reply, response)
+                self.shared.reserves.complete(reply, response)
             }
             SidecarAction::RespondToCancel { reply, outcome } => {
-                self.shared.cancels.answer(reply, outcome)
+                self.shared.cancels.complete(reply, outcome)
             }
             SidecarAction::Drained => {
                 self.shared.drained.send_replace(true);
@@ -104,7 +104,7 @@
         }
     }
 
-    fn with_engine<F, Fut>(&self, order: F)
+    fn spawn_engine_call<F, Fut>(&self, call: F)
     where
         F: FnOnce(Arc<dyn Engine>) -> Fut,
         Fut: std::future::Future<Output = SidecarEvent> + Send + 'static,
@@ -112,25 +112,29 @@
         let TargetClient::Engine(engine) = &self.target else {
             return;
         };
-        let event = order(engine.clone());
+        let event = call(engine.clone());
         let shared = self.shared.clone();
         self.runtime.spawn(async move { shared.send(event.await) });
     }
 
     fn read_engine(&self) {
-        self.with_engine(|engine| async move {
+        self.spawn_engine_call(|engine| async move {
             let status = engine.read().await;
             if let Err(e) = &status {
-                log::debug!("engine: not read: {e}");
+                log::debug!("engine: status could not be read: {e}");
             }
             SidecarEvent::EngineRead(status.ok())
         });
     }
 
     fn take_fence(&self, order: OrderFence) {
-        self.with_engine(|engine| async move {
+        self.spawn_engine_call(|engine| async move {
             let result = engine.take_fence(order).await;
-            log::info!("engine: fence {} taken: {}", order.fence, said(&result));
+            log::info!(
+                "engine: fence {} taken: {}",
+                order.fence,
+                result_text(&result)
+            );
             SidecarEvent::FenceTakeEnded {
                 incarnation: order.incarnation,
                 fence: order.fence,
@@ -140,10 +144,10 @@
     }
 
     fn load(&self, adapter: AdapterKey, order: OrderFence) {
-        self.with_engine(|engine| async move {
+        self.spawn_engine_call(|engine| async move {
             let started = clock::now();
             let result = engine.load(order, &adapter).await;
-            log::info!("slots: load of {adapter}: {}", said(&result));
+            log::info!("slots: load of {adapter}: {}", result_text(&result));
             SidecarEvent::LoadEnded {
                 adapter,
                 incarnation: order.incarnation,
@@ -154,9 +158,9 @@
     }
 
     fn unload(&self, adapter: AdapterKey, order: OrderFence) {
-        self.with_engine(|engine| async move {
+        self.spawn_engine_call(|engine| async move {
             let result = engine.unload(order, &adapter).await;
-            log::info!("slots: unload of {adapter}: {}", said(&result));
+            log::info!("slots: unload of {adapter}: {}", result_text(&result));
             SidecarEvent::UnloadEnded {
                 adapter,
                 incarnation: order.incarnation,
@@ -165,85 +169,91 @@
         });
     }
 
-    fn run(&self, work: Box<WorkOrder>, cx: RunContext) {
-        let stop = CancellationToken::new();
-        self.stops().insert(work.request.clone(), stop.clone());
+    fn run(&self, work: Box<WorkOrder>, context: RunContext) {
+        let cancellation = CancellationToken::new();
+        self.cancellations()
+            .insert(work.request.clone(), cancellation.clone());
         let (stream, _) = self.shared.hub.open(&work.request, work.reserved);
         let shared = self.shared.clone();
         let target = self.target.clone();
-        let stops = self.stops.clone();
+        let cancellations = self.cancellations.clone();
         self.runtime.spawn(async move {
             let request = work.request.clone();
             let end = match (target, work.work) {
                 (TargetClient::Engine(engine), Work::Generate(work)) => {
                     let runner = EngineRunner::new(engine, stream, request.clone(), work);
-                    runner.run(cx, stop).await
+                    runner.run(context, cancellation).await
                 }
                 (TargetClient::Service(service), Work::Call(work)) => {
-                    run_service(service, stream, &request, work, cx, stop).await
+                    run_service(service, stream, &request, work, context, cancellation).await
                 }
-                _ => wrong_target(),
+                _ => end_for_wrong_target(),
             };
-            let mut stops = stops.lock().unwrap_or_else(PoisonError::into_inner);
-            stops.remove(&request);
-            drop(stops);
+            let mut cancellations = cancellations.lock().unwrap_or_else(PoisonError::into_inner);
+            cancellations.remove(&request);
+            drop(cancellations);
             shared.send(SidecarEvent::RunEnded { request, end });
         });
     }
 
     fn stop_run(&self, request: &RequestId) {
-        if let Some(stop) = self.stops().get(request) {
-            stop.cancel();
+        if let Some(cancellation) = self.cancellations().get(request) {
+            cancellation.cancel();
         }
     }
 
-    fn refuse(&self, request: &RequestId, refusal: Refusal) {
-        log::debug!("queue: {request} refused: {refusal}");
+    fn reject(&self, request: &RequestId, refusal: Refusal) {
+        log::debug!("queue: {request} rejected: {refusal}");
         self.shared.metrics.on_refused(&refusal);
         if let Some(stream) = self.shared.hub.get(request) {
             stream.push(FrameBody::Refused(refusal));
         }
     }
 
-    fn ask_permit(&self, giver: SocketAddr, ask: PermitRequest, adapter: AdapterKey) {
+    fn request_permit(&self, issuer: SocketAddr, request: PermitRequest, adapter: AdapterKey) {
         let shared = self.shared.clone();
         let peers = self.peers.clone();
         self.runtime.spawn(async move {
-            let answer = peers.call(giver, path::PERMIT, &ask, PERMIT_TIMEOUT).await;
-            if let Err(e) = &answer {
-                log::warn!("permits: no answer for {adapter}: {e}");
+            let response = peers
+                .call(issuer, path::PERMIT, &request, PERMIT_TIMEOUT)
+                .await;
+            if let Err(e) = &response {
+                log::warn!("permits: request for {adapter} failed: {e}");
             }
-            let response = answer.ok();
+            let response = response.ok();
             shared.send(SidecarEvent::PermitRequestEnded { adapter, response });
         });
     }
 
-    fn return_permit(&self, giver: SocketAddr, ask: PermitRequest) {
+    fn return_permit(&self, issuer: SocketAddr, request: PermitRequest) {
         let peers = self.peers.clone();
         self.runtime.spawn(async move {
-            // a lost return costs the rest of the lease only
-            let _: Result<PermitResponse, _> =
-                peers.call(giver, path::PERMIT, &ask, PERMIT_TIMEOUT).await;
+            // if it is lost, the permit expires with its lease
+            let _: Result<PermitResponse, _> = peers
+                .call(issuer, path::PERMIT, &request, PERMIT_TIMEOUT)
+                .await;
         });
     }
 
-    fn count_start(&self, work: &WorkOrder, arrived: Instant, stalled: bool) {
-        let of = GroupClass {
+    fn record_start(&self, work: &WorkOrder, arrived: Instant, has_stalled: bool) {
+        let group_class = GroupClass {
             group: work.group.clone(),
             class: work.class.clone(),
         };
         let wait = clock::elapsed(arrived);
-        self.shared.metrics.on_wait(&of, wait);
-        if stalled {
-            self.shared.metrics.on_load_stall(&of, wait);
+        self.shared.metrics.on_wait(&group_class, wait);
+        if has_stalled {
+            self.shared.metrics.on_load_stall(&group_class, wait);
         }
         let report = self.shared.report.load();
         let metrics = &self.shared.metrics;
         metrics.on_batch(report.running, report.max_running);
     }
 
-    fn stops(&self) -> std::sync::MutexGuard<'_, HashMap<RequestId, CancellationToken>> {
-        self.stops.lock().unwrap_or_else(PoisonError::into_inner)
+    fn cancellations(&self) -> std::sync::MutexGuard<'_, HashMap<RequestId, CancellationToken>> {
+        self.cancellations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -254,14 +264,14 @@
     }
 }
 
-fn said(result: &Result<(), EngineError>) -> String {
+fn result_text(result: &Result<(), EngineError>) -> String {
     match result {
         Ok(()) => "done".to_string(),
         Err(e) => e.to_string(),
     }
 }
 
-fn wrong_target() -> RunEnd {
+fn end_for_wrong_target() -> RunEnd {
     RunEnd {
         outcome: Outcome::NotRun,
         failure: Some(Reason::BadRequest),
--- a/sidecar/src/app/mod.rs
+++ b/sidecar/src/app/mod.rs
@@ -1,4 +1,4 @@
-//! the running sidecar
+//! Serves the sidecar that queues and runs the requests of its target.
 
 mod config_sync;
 mod control_thread;
--- a/sidecar/src/app/pending_replies.rs
+++ b/sidecar/src/app/pending_replies.rs
@@ -10,35 +10,36 @@
     tokio::sync::oneshot,
 };
 
-/// askers that wait for the control thread's answer
+/// Requests to the control thread whose replies are pending.
 #[derive(Debug)]
 pub struct PendingReplies<T> {
-    next: AtomicU64,
-    waiting: Mutex<HashMap<ReplyId, oneshot::Sender<T>>>,
+    next_id: AtomicU64,
+    pending: Mutex<HashMap<ReplyId, oneshot::Sender<T>>>,
 }
 
 impl<T> Default for PendingReplies<T> {
     fn default() -> Self {
         Self {
-            next: AtomicU64::new(0),
-            waiting: Mutex::new(HashMap::new()),
+            next_id: AtomicU64::new(0),
+            pending: Mutex::new(HashMap::new()),
         }
     }
 }
 
 impl<T> PendingReplies<T> {
-    pub fn issue(&self) -> (ReplyId, oneshot::Receiver<T>) {
-        let ticket = self.next.fetch_add(1, Ordering::Relaxed);
+    /// Returns a new id and the receiver of its reply.
+    pub fn register(&self) -> (ReplyId, oneshot::Receiver<T>) {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.insert(ticket, tx);
-        (ticket, rx)
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        pending.insert(id, tx);
+        (id, rx)
     }
-    pub fn answer(&self, ticket: ReplyId, answer: T) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(tx) = waiting.remove(&ticket) {
-            // the asker may be gone
-            let _ = tx.send(answer);
+    pub fn complete(&self, id: ReplyId, reply: T) {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(tx) = pending.remove(&id) {
+            // fails if the caller has disconnected
+            let _ = tx.send(reply);
         }
     }
 }
--- a/sidecar/src/app/serve.rs
+++ b/sidecar/src/app/serve.rs
@@ -24,12 +24,12 @@
     },
 };
 
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// time for the last bytes of answers on their way
-const CLOSE_GRACE: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time to send the rest of buffered responses after the drain.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// run the sidecar until it is asked to stop
+/// Runs the sidecar until it receives a stop signal, and drains it.
 pub fn serve(settings: Settings) -> Result<()> {
     let (name, log) = (settings.name.clone(), settings.log.clone());
     run_process(&name, &log, settings.threads, run(settings))
@@ -42,13 +42,13 @@
     tokio::spawn(sweep(shared.clone()));
     let (stop, stopped) = watch::channel(false);
     let router = new_router(shared.clone());
-    let served = tokio::spawn(server::serve(listener, router, stopped, CLOSE_GRACE));
+    let server_task = tokio::spawn(server::serve(listener, router, stopped, CLOSE_TIMEOUT));
     log::info!("sidecar: serves on {}", shared.settings.listen);
     let signal = stop_signal().await?;
     log::info!("sidecar: drains after {signal}");
     drain(&shared).await;
     stop.send_replace(true);
-    served.await.context("join the server")??;
+    server_task.await.context("the server task failed")??;
     log::info!("sidecar: stopped");
     Ok(())
 }
@@ -67,7 +67,7 @@
 fn control_settings(settings: &Settings) -> Result<SidecarSettings> {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .context("read the clock")?;
+        .context("the system clock is before the Unix epoch")?;
     let kind = match settings.target {
         TargetSettings::Engine { .. } => TargetKind::Engine,
         TargetSettings::Service { max_running, .. } => TargetKind::Service { max_running },
@@ -95,31 +95,36 @@
     }
 }
 
-/// refuse what waits, and let what runs end and reach its readers
+/// Rejects queued requests, and waits until running ones have ended and their responses are
+/// read.
 async fn drain(shared: &Shared) {
     shared.send(SidecarEvent::DrainRequested);
     let mut drained = shared.drained.subscribe();
-    let ended = async {
-        // the sender lives as long as this process
+    let all_read = async {
+        // the sender is never dropped
         let _ = drained.wait_for(|done| *done).await;
-        while shared.hub.unread() > 0 {
-            sleep(DRAIN_LOOK).await;
+        while shared.hub.streams_with_readers() > 0 {
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
-    if timeout(shared.settings.drain(), ended).await.is_err() {
+    if timeout(shared.settings.drain_timeout(), all_read)
+        .await
+        .is_err()
+    {
         log::error!(
-            "sidecar: requests still run after {:?}",
-            shared.settings.drain()
+            "sidecar: drain timed out after {:?} with unfinished requests",
+            shared.settings.drain_timeout()
         );
     }
 }
 
+/// Evicts ended streams, and cancels requests whose stream nobody reads.
 async fn sweep(shared: Arc<Shared>) {
     loop {
-        sleep(SWEEP_EVERY).await;
+        sleep(SWEEP_INTERVAL).await;
         for request in shared.hub.sweep(clock::now()) {
-            log::info!("streams: {request} stopped, nobody reads it");
-            let (reply, _) = shared.cancels.issue();
+            log::info!("streams: {request} cancelled: no entry reads its stream");
+            let (reply, _) = shared.cancels.register();
             shared.send(SidecarEvent::CancelRequested { reply, request });
         }
     }
--- a/sidecar/src/app/service_run.rs
+++ b/sidecar/src/app/service_run.rs
@@ -12,14 +12,14 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// make one call at a plain service; it is sent at most once
+/// Calls a plain service. The call is sent at most once.
 pub async fn run_service(
     service: Arc<dyn PlainService>,
     stream: Arc<SharedStream>,
     request: &RequestId,
     work: CallWork,
-    cx: RunContext,
-    stop: CancellationToken,
+    context: RunContext,
+    cancellation: CancellationToken,
 ) -> RunEnd {
     let started = clock::now();
     let end = |outcome, failure, detail: String| RunEnd {
@@ -28,21 +28,21 @@
         detail,
         tokens: 1,
         duration: clock::elapsed(started),
-        // a plain service holds nothing that must stay loaded
+        // no adapter must stay loaded for a plain service
         may_still_run: false,
     };
-    let remaining = cx.deadline.saturating_duration_since(started);
+    let remaining = context.deadline.saturating_duration_since(started);
     if remaining.is_zero() {
         return end(Outcome::NotRun, Some(Reason::DeadlinePassed), String::new());
     }
     let call = service.call(request, work.body.into(), remaining);
-    let answer = tokio::select! {
-        answer = call => answer,
-        _ = stop.cancelled() => {
+    let response = tokio::select! {
+        response = call => response,
+        _ = cancellation.cancelled() => {
             return end(Outcome::MayHaveRun, Some(Reason::Cancelled), String::new());
         }
     };
-    match answer {
+    match response {
         Ok(body) => {
             stream.push(FrameBody::Body(body.to_vec()));
             end(Outcome::Ran, None, String::new())
--- a/sidecar/src/app/shared.rs
+++ b/sidecar/src/app/shared.rs
@@ -12,17 +12,17 @@
     tokio::sync::watch,
 };
 
-/// what the control thread and the traffic threads share
+/// State that the control thread and the traffic threads share.
 pub struct Shared {
     pub settings: Settings,
     pub hub: StreamHub,
-    /// published by the control thread after each event
+    /// Updated by the control thread after each event.
     pub report: Arc<ArcSwap<TargetReport>>,
     pub reserves: PendingReplies<ReserveAnswer>,
     pub cancels: PendingReplies<Outcome>,
     pub metrics: RequestMetrics,
     pub drained: watch::Sender<bool>,
-    ready: AtomicBool,
+    is_ready: AtomicBool,
     events: mpsc::Sender<SidecarEvent>,
 }
 
@@ -40,17 +40,17 @@
             cancels: PendingReplies::default(),
             metrics: RequestMetrics::new(),
             drained: watch::Sender::new(false),
-            ready: AtomicBool::new(false),
+            is_ready: AtomicBool::new(false),
             events,
         }
     }
-    /// hand an event to the control thread
+    /// Sends an event to the control thread.
     pub fn send(&self, event: SidecarEvent) {
-        // the control thread ends only with the process
+        // the control thread runs until the process ends
         let _ = self.events.send(event);
     }
-    pub fn set_ready(&self, ready: bool) {
-        self.ready.store(ready, Ordering::Relaxed);
+    pub fn set_ready(&self, is_ready: bool) {
+        self.is_ready.store(is_ready, Ordering::Relaxed);
     }
 }
 
@@ -58,8 +58,8 @@
     fn metrics_text(&self) -> String {
         self.metrics.text()
     }
-    /// obeyed by its target, and not leaving
+    /// Returns whether the target accepts this sidecar's orders and the sidecar isn't draining.
     fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed)
+        self.is_ready.load(Ordering::Relaxed)
     }
 }
--- a/sidecar/src/conf/settings.rs
+++ b/sidecar/src/conf/settings.rs
@@ -83,7 +83,7 @@
 }
 
 impl Settings {
-    pub fn drain(&self) -> Duration {
+    pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
     }
     pub fn lease(&self) -> Duration {
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -20,30 +20,27 @@
     std::sync::Arc,
 };
 
-/// what a handler gives to gotham
-type Handled = HandlerResult;
-
-pub async fn run(mut state: State) -> Handled {
+pub async fn run(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let form = asker_form(&state);
+    let encoding = asker_form(&state);
     let reply = match read_message::<WorkOrder>(&mut state).await {
-        Ok(work) => run_work(&shared, work, form),
+        Ok(work) => run_work(&shared, work, encoding),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
 }
 
-pub async fn resume(mut state: State) -> Handled {
+pub async fn resume(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let form = asker_form(&state);
+    let encoding = asker_form(&state);
     let reply = match read_message::<ResumeOrder>(&mut state).await {
-        Ok(order) => resume_stream(&shared, &order, form),
+        Ok(order) => resume_stream(&shared, &order, encoding),
         Err(e) => bad_message(&e),
     };
     Ok((state, reply))
 }
 
-pub async fn reserve(mut state: State) -> Handled {
+pub async fn reserve(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<ReserveOrder>(&mut state).await {
         Ok(order) => message_reply(&reserve_ids(&shared, order.count).await),
@@ -52,7 +49,7 @@
     Ok((state, reply))
 }
 
-pub async fn cancel(mut state: State) -> Handled {
+pub async fn cancel(mut state: State) -> HandlerResult {
     let shared = shared(&state);
     let reply = match read_message::<CancelOrder>(&mut state).await {
         Ok(order) => message_reply(&cancel_request(&shared, order).await),
@@ -61,7 +58,7 @@
     Ok((state, reply))
 }
 
-pub async fn report(state: State) -> Handled {
+pub async fn report(state: State) -> HandlerResult {
     let report = TargetReport::clone(&shared(&state).report.load());
     Ok((state, message_reply(&report)))
 }
@@ -70,22 +67,22 @@
     SharedData::of(state)
 }
 
-fn run_work(shared: &Arc<Shared>, work: WorkOrder, form: WireEncoding) -> Reply {
+fn run_work(shared: &Arc<Shared>, work: WorkOrder, encoding: WireEncoding) -> Reply {
     let (stream, is_new) = shared.hub.open(&work.request, work.reserved);
     if is_new {
-        let of = GroupClass {
+        let group_class = GroupClass {
             group: work.group.clone(),
             class: work.class.clone(),
         };
-        shared.metrics.on_request(&of);
+        shared.metrics.on_request(&group_class);
         shared.send(SidecarEvent::Arrived(Box::new(work)));
     }
-    frames_reply(frames(stream, shared.report.clone(), 0), form)
+    frames_reply(frames(stream, shared.report.clone(), 0), encoding)
 }
 
-fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, form: WireEncoding) -> Reply {
+fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, encoding: WireEncoding) -> Reply {
     match shared.hub.get(&order.request) {
-        Some(stream) => frames_reply(frames(stream, shared.report.clone(), order.from), form),
+        Some(stream) => frames_reply(frames(stream, shared.report.clone(), order.from), encoding),
         None => {
             let name = &shared.settings.name;
             let refusal = Refusal::may_have_run(Step::Stream, name, Reason::AnswerGone);
@@ -93,27 +90,27 @@
                 sequence: order.from,
                 body: FrameBody::Refused(refusal),
             };
-            frames_reply(stream::iter([frame]), form)
+            frames_reply(stream::iter([frame]), encoding)
         }
     }
 }
 
 async fn reserve_ids(shared: &Shared, count: u32) -> ReserveAnswer {
-    let (reply, answer) = shared.reserves.issue();
+    let (reply, response) = shared.reserves.register();
     shared.send(SidecarEvent::ReserveRequested { reply, count });
-    answer.await.unwrap_or_else(|_| {
+    response.await.unwrap_or_else(|_| {
         let name = &shared.settings.name;
         ReserveAnswer::Refused(Refusal::not_run(Step::Reserve, name, Reason::Lost))
     })
 }
 
 async fn cancel_request(shared: &Shared, order: CancelOrder) -> CancelAnswer {
-    let (reply, answer) = shared.cancels.issue();
+    let (reply, response) = shared.cancels.register();
     shared.send(SidecarEvent::CancelRequested {
         reply,
         request: order.request,
     });
     CancelAnswer {
-        outcome: answer.await.unwrap_or(Outcome::MayHaveRun),
+        outcome: response.await.unwrap_or(Outcome::MayHaveRun),
     }
 }
--- a/sidecar/src/server/mod.rs
+++ b/sidecar/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! what the sidecar answers to
+//! HTTP endpoints of the sidecar.
 
 mod handlers;
 mod router;
--- a/sidecar/src/server/router.rs
+++ b/sidecar/src/server/router.rs
@@ -12,7 +12,7 @@
     std::sync::Arc,
 };
 
-/// the routes of the sidecar
+/// Returns the routes of the sidecar.
 pub fn new_router(shared: Arc<Shared>) -> Router {
     let middleware = StateMiddleware::new(SharedData::new(shared));
     let (chain, pipelines) = single_pipeline(single_middleware(middleware));
--- a/sidecar/src/streams/frames.rs
+++ b/sidecar/src/streams/frames.rs
@@ -8,44 +8,44 @@
     tokio::{sync::watch, time::timeout},
 };
 
-/// a report goes out when nothing else did for this long
-const HEARTBEAT: Duration = Duration::from_millis(250);
+/// A report is sent after this time without another frame.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// counts a reader for as long as it lives
-struct Reader {
+/// Reads a stream's frames; counts as one of its readers until it is dropped.
+struct FrameReader {
     stream: Arc<SharedStream>,
     count: watch::Receiver<usize>,
     reports: Arc<ArcSwap<TargetReport>>,
     next: Sequence,
-    greeted: bool,
-    ended: bool,
+    has_sent_report: bool,
+    has_ended: bool,
 }
 
-impl Drop for Reader {
+impl Drop for FrameReader {
     fn drop(&mut self) {
         self.stream.remove_reader();
     }
 }
 
-impl Reader {
+impl FrameReader {
     async fn next_frame(&mut self) -> Option<Frame> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
-        if !self.greeted {
-            self.greeted = true;
+        if !self.has_sent_report {
+            self.has_sent_report = true;
             return Some(self.report());
         }
         loop {
             if let Some(body) = self.stream.frame(self.next) {
                 let sequence = self.next;
                 self.next += 1;
-                self.ended = body.is_last();
+                self.has_ended = body.is_last();
                 return Some(Frame::Numbered { sequence, body });
             }
-            let enough = self.next as usize;
-            let more = self.count.wait_for(|count| *count > enough);
-            if timeout(HEARTBEAT, more).await.is_err() {
+            let read_count = self.next as usize;
+            let next_frame = self.count.wait_for(|count| *count > read_count);
+            if timeout(HEARTBEAT_INTERVAL, next_frame).await.is_err() {
                 return Some(self.report());
             }
         }
@@ -55,20 +55,21 @@
     }
 }
 
-/// the frames of a request from one on, with reports between them
+/// Returns the frames of a request starting at sequence number `from`, preceded by a report
+/// and with further reports as heartbeats.
 pub fn frames(
     stream: Arc<SharedStream>,
     reports: Arc<ArcSwap<TargetReport>>,
     from: Sequence,
 ) -> impl Stream<Item = Frame> + Send {
     stream.add_reader();
-    let reader = Reader {
+    let reader = FrameReader {
         count: stream.watch(),
         stream,
         reports,
         next: from,
-        greeted: false,
-        ended: false,
+        has_sent_report: false,
+        has_ended: false,
     };
     unfold(reader, |mut reader| async move {
         let frame = reader.next_frame().await?;
--- a/sidecar/src/streams/mod.rs
+++ b/sidecar/src/streams/mod.rs
@@ -1,4 +1,4 @@
-//! answers on their way to the entries
+//! Streams of responses to entries, kept for resumes and repeats.
 
 mod frames;
 mod stream_hub;
--- a/sidecar/src/streams/stream_hub.rs
+++ b/sidecar/src/streams/stream_hub.rs
@@ -14,34 +14,34 @@
     tokio::sync::watch,
 };
 
-/// how long an ended answer of repeatable work is kept for a resume
-const KEEP_REPEATABLE: Duration = Duration::from_secs(5);
-/// how long an ended answer under a reserved id is kept for repeats
-const KEEP_RESERVED: Duration = Duration::from_secs(60);
-/// how long repeatable work runs on without a reader
-const UNREAD_LIMIT: Duration = Duration::from_secs(5);
+/// How long the ended response to repeatable work is kept for a resume.
+const REPEATABLE_RETENTION: Duration = Duration::from_secs(5);
+/// How long the ended response under a reserved id is kept for repeated requests.
+const RESERVED_RETENTION: Duration = Duration::from_secs(60);
+/// How long repeatable work continues without a reader.
+const MAX_UNREAD_TIME: Duration = Duration::from_secs(5);
 
-/// one request's answer, shared between its run and its readers
+/// The response to one request, shared between its run and its readers.
 #[derive(Debug)]
 pub struct SharedStream {
     pub request: RequestId,
-    pub reserved: bool,
+    pub is_reserved: bool,
     buffer: Mutex<StreamBuffer>,
-    /// frames that the buffer holds
+    /// Number of frames in the buffer.
     count: watch::Sender<usize>,
-    readers: AtomicUsize,
-    /// since when the stream has had no reader, or has been ended
+    reader_count: AtomicUsize,
+    /// Time of the last frame or of the last disconnect of a reader.
     idle_since: Mutex<Instant>,
 }
 
 impl SharedStream {
-    fn new(request: RequestId, reserved: bool) -> Self {
+    fn new(request: RequestId, is_reserved: bool) -> Self {
         Self {
             request,
-            reserved,
+            is_reserved,
             buffer: Mutex::new(StreamBuffer::new()),
             count: watch::Sender::new(0),
-            readers: AtomicUsize::new(0),
+            reader_count: AtomicUsize::new(0),
             idle_since: Mutex::new(clock::now()),
         }
     }
@@ -63,36 +63,36 @@
     pub fn watch(&self) -> watch::Receiver<usize> {
         self.count.subscribe()
     }
-    pub fn readers(&self) -> usize {
-        self.readers.load(Ordering::Relaxed)
+    pub fn reader_count(&self) -> usize {
+        self.reader_count.load(Ordering::Relaxed)
     }
     pub fn add_reader(&self) {
-        self.readers.fetch_add(1, Ordering::Relaxed);
+        self.reader_count.fetch_add(1, Ordering::Relaxed);
     }
     pub fn remove_reader(&self) {
         *lock(&self.idle_since) = clock::now();
-        self.readers.fetch_sub(1, Ordering::Relaxed);
+        self.reader_count.fetch_sub(1, Ordering::Relaxed);
     }
-    fn bytes(&self) -> usize {
+    fn size_bytes(&self) -> usize {
         lock(&self.buffer).bytes()
     }
     fn idle_for(&self, now: Instant) -> Duration {
         now.saturating_duration_since(*lock(&self.idle_since))
     }
-    fn is_old(&self, now: Instant) -> bool {
-        let keep = match self.reserved {
-            true => KEEP_RESERVED,
-            false => KEEP_REPEATABLE,
+    fn is_expired(&self, now: Instant) -> bool {
+        let retention = match self.is_reserved {
+            true => RESERVED_RETENTION,
+            false => REPEATABLE_RETENTION,
         };
-        self.readers() == 0 && self.is_ended() && self.idle_for(now) >= keep
+        self.reader_count() == 0 && self.is_ended() && self.idle_for(now) >= retention
     }
     fn is_abandoned(&self, now: Instant) -> bool {
-        let unread = self.readers() == 0 && self.idle_for(now) >= UNREAD_LIMIT;
-        unread && !self.reserved && !self.is_ended()
+        let is_unread = self.reader_count() == 0 && self.idle_for(now) >= MAX_UNREAD_TIME;
+        is_unread && !self.is_reserved && !self.is_ended()
     }
 }
 
-/// the answers that a sidecar holds
+/// The streams of all requests of a sidecar.
 #[derive(Debug)]
 pub struct StreamHub {
     streams: Mutex<HashMap<RequestId, Arc<SharedStream>>>,
@@ -106,55 +106,55 @@
             max_bytes,
         }
     }
-    /// the stream of a request, and whether it is new
-    pub fn open(&self, request: &RequestId, reserved: bool) -> (Arc<SharedStream>, bool) {
+    /// Returns the stream of a request, and whether it is new.
+    pub fn open(&self, request: &RequestId, is_reserved: bool) -> (Arc<SharedStream>, bool) {
         let mut streams = lock(&self.streams);
         if let Some(stream) = streams.get(request) {
             return (stream.clone(), false);
         }
-        let stream = Arc::new(SharedStream::new(request.clone(), reserved));
+        let stream = Arc::new(SharedStream::new(request.clone(), is_reserved));
         streams.insert(request.clone(), stream.clone());
         (stream, true)
     }
     pub fn get(&self, request: &str) -> Option<Arc<SharedStream>> {
         lock(&self.streams).get(request).cloned()
     }
-    /// streams that are read and not at their end
-    pub fn unread(&self) -> usize {
+    /// Returns the number of streams that have readers.
+    pub fn streams_with_readers(&self) -> usize {
         let streams = lock(&self.streams);
-        streams.values().filter(|s| s.readers() > 0).count()
+        streams.values().filter(|s| s.reader_count() > 0).count()
     }
-    /// drop what was kept long enough, and the oldest over the bound; give
-    /// the requests that nobody reads
+    /// Removes expired streams, and the oldest ended ones above the memory limit. Returns the
+    /// requests that run without a reader.
     pub fn sweep(&self, now: Instant) -> Vec<RequestId> {
         let mut streams = lock(&self.streams);
-        streams.retain(|_, stream| !stream.is_old(now));
-        drop_over_bound(&mut streams, self.max_bytes, now);
+        streams.retain(|_, stream| !stream.is_expired(now));
+        evict_over_limit(&mut streams, self.max_bytes, now);
         let abandoned = streams.values().filter(|s| s.is_abandoned(now));
         abandoned.map(|s| s.request.clone()).collect()
     }
 }
 
-fn drop_over_bound(
+fn evict_over_limit(
     streams: &mut HashMap<RequestId, Arc<SharedStream>>,
     max_bytes: usize,
     now: Instant,
 ) {
-    let mut bytes: usize = streams.values().map(|s| s.bytes()).sum();
-    if bytes <= max_bytes {
+    let mut total_bytes: usize = streams.values().map(|s| s.size_bytes()).sum();
+    if total_bytes <= max_bytes {
         return;
     }
     let mut ended: Vec<Arc<SharedStream>> = streams
         .values()
-        .filter(|s| s.is_ended() && s.readers() == 0)
+        .filter(|s| s.is_ended() && s.reader_count() == 0)
         .cloned()
         .collect();
     ended.sort_by_key(|s| std::cmp::Reverse(s.idle_for(now)));
     for stream in ended {
-        if bytes <= max_bytes {
+        if total_bytes <= max_bytes {
             return;
         }
-        bytes -= stream.bytes();
+        total_bytes -= stream.size_bytes();
         streams.remove(&stream.request);
     }
 }
