--- a/sidecar/src/app/serve.rs
+++ b/sidecar/src/app/serve.rs
@@ -79,7 +79,7 @@
         kind,
         lease: settings.lease(),
         id_capacity: settings.id_capacity,
-        id_valid_for: settings.id_valid(),
+        id_valid_for: settings.id_validity(),
         permits: settings.permits.into(),
         seed: rand::random(),
         ..SidecarSettings::default()
--- a/sidecar/src/cli/mod.rs
+++ b/sidecar/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! the command line
+//! Command line of the sidecar.
 
 mod run;
 
--- a/sidecar/src/cli/run.rs
+++ b/sidecar/src/cli/run.rs
@@ -22,14 +22,14 @@
     purpose: "Serve one engine or plain service, with the settings in FILE (JSON).",
 };
 
-/// run the program with its arguments
+/// Runs the program with its arguments.
 pub fn run(args: &[String]) -> ExitCode {
     let mut options = Program::options();
     options.optflag("", "check", "check FILE and exit");
     options.optflag(
         "",
         "place",
-        "only place the adapters of an engine; no request passes through",
+        "only place the adapters of an engine, without serving requests",
     );
     let matches = match options.parse(args) {
         Ok(matches) => matches,
@@ -60,13 +60,13 @@
     }
 }
 
-/// place the adapters of the engine on this box
+/// Places the adapters of the engine on this box.
 fn place(settings: PlacementSettings, file: &Path) -> Result<()> {
-    let follower = SettingsReloader::with_translation(file, translate);
+    let reloader = SettingsReloader::with_translation(file, translate);
     let engine = PlatformEngine::new(settings.engine, &settings.name);
     let store = settings.store.map(PlatformStore::new);
     let store = store.map(|store| Arc::new(store) as Arc<dyn MetadataSource>);
-    placement::serve(settings, follower, Arc::new(engine), store)
+    placement::serve(settings, reloader, Arc::new(engine), store)
 }
 
 fn translate(document: Value) -> Result<Value, SettingsError> {
--- a/sidecar/src/conf/mod.rs
+++ b/sidecar/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! the settings of the sidecar
+//! Settings of the sidecar.
 
 mod placement_settings;
 mod settings;
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -8,30 +8,30 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// the settings file of `chalkcart-sidecar --place`
+/// The settings file of `chalkcart-sidecar --place`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSettings {
-    /// the box's name, and who gives orders to the engine
+    /// Name of the box, sent to the engine with each order.
     pub name: BoxName,
-    /// for entries and operators' tools
+    /// Address for entries and operators' tools.
     pub listen: SocketAddr,
-    /// the engine on this box
+    /// Address of the engine on this box.
     pub engine: SocketAddr,
-    /// the platform's store, read while this process is a relay; without it a
-    /// relay passes on views and demands alone
+    /// Address of the platform's store, which a relay reads. Without it, a relay handles views
+    /// and demands only.
     #[serde(default)]
     pub store: Option<SocketAddr>,
-    /// a back end that leaves gets no more requests after this time, in ms
+    /// Maximum time until a draining back end gets no more requests, in ms.
     #[serde(default = "defaults_drain_ms")]
     pub drain_ms: u64,
-    /// a change of the configuration is in force everywhere after this time, in ms
+    /// Maximum time until a change of the configuration is in force on all boxes, in ms.
     #[serde(default = "defaults_drain_ms")]
     pub config_apply_ms: u64,
-    /// values that the platform left out, for the log
+    /// Settings that the platform left at their defaults, for the log.
     #[serde(default)]
     pub defaulted: Vec<String>,
-    /// which mechanisms of decision are at work
+    /// Feature switches.
     #[serde(default)]
     pub mechanisms: FeatureSwitches,
     #[serde(default = "defaults::log")]
@@ -39,7 +39,7 @@
 }
 
 impl PlacementSettings {
-    /// how often the store is asked while this process is a relay
+    /// Returns the intervals at which a relay reads the store.
     pub fn relay_pacing(&self) -> RelayPacing {
         RelayPacing {
             propagation_limit: Duration::from_millis(self.drain_ms.min(self.config_apply_ms)),
@@ -47,7 +47,7 @@
     }
 }
 
-/// the shortest time on the pages of the platform's sites
+/// The shortest value that the platform's sites document.
 fn defaults_drain_ms() -> u64 {
     2_000
 }
--- a/sidecar/src/conf/settings.rs
+++ b/sidecar/src/conf/settings.rs
@@ -8,7 +8,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// what stands behind this sidecar
+/// The target of this sidecar.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum TargetSettings {
@@ -18,66 +18,68 @@
     Service {
         addr: SocketAddr,
         service: ServiceName,
-        /// calls that it takes at once
+        /// Maximum number of concurrent calls.
         max_running: u32,
     },
 }
 
-/// how loads keep to the weight store's limit
+/// How loads are kept within the weight store's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Permits {
-    /// an entry gives permits
+    /// An entry issues permits.
     #[default]
-    Given,
-    /// each sidecar for itself
-    None,
-    /// a fixed part of the store's rate
+    #[serde(rename = "given")]
+    Issued,
+    /// Loads are not limited.
+    #[serde(rename = "none")]
+    Unlimited,
+    /// The sidecar has a fixed share of the store's rate.
     StaticShare { loads_per_second: f64 },
 }
 
 impl From<Permits> for PermitMode {
     fn from(permits: Permits) -> Self {
         match permits {
-            Permits::Given => Self::Issued,
-            Permits::None => Self::Unlimited,
+            Permits::Issued => Self::Issued,
+            Permits::Unlimited => Self::Unlimited,
             Permits::StaticShare { loads_per_second } => Self::StaticShare(loads_per_second),
         }
     }
 }
 
-/// the settings file of `chalkcart-sidecar`
+/// The settings file of `chalkcart-sidecar`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// the box's name, as the platform lists it
+    /// Name of the box in the platform's list.
     pub name: BoxName,
     pub zone: ZoneName,
     pub listen: SocketAddr,
     pub target: TargetSettings,
-    /// entry boxes to ask first for the configuration
+    /// Addresses of entries from which the configuration is first read.
     pub entries: Vec<SocketAddr>,
     #[serde(default = "defaults::log")]
     pub log: String,
-    /// longest time that a planned stop waits for running requests, in ms
+    /// Maximum duration of a drain, in ms.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// a pause longer than this makes all beliefs doubtful, in ms
+    /// After a longer pause of this process, the target's state must be read again before the
+    /// next order, in ms.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// reserved ids remembered at most
+    /// Maximum number of remembered reserved ids.
     #[serde(default = "default_id_capacity")]
     pub id_capacity: usize,
-    /// how long a reserved id may wait for its use, in ms
+    /// Time within which a reserved id may be used, in ms.
     #[serde(default = "default_id_valid_ms")]
     pub id_valid_ms: u64,
-    /// memory for answers kept for repeats, in bytes
+    /// Maximum memory of kept responses, in bytes.
     #[serde(default = "default_buffer_bytes")]
     pub buffer_bytes: usize,
-    /// how loads keep to the weight store's limit
     #[serde(default)]
     pub permits: Permits,
-    /// threads for traffic
+    /// Number of traffic threads.
     #[serde(default = "defaults::threads")]
     pub threads: usize,
 }
@@ -89,7 +91,7 @@
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
-    pub fn id_valid(&self) -> Duration {
+    pub fn id_validity(&self) -> Duration {
         Duration::from_millis(self.id_valid_ms)
     }
 }
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
-//! the process beside each engine or plain service, the only way to it:
-//! queue, fair shares, adapter slots, fenced orders, run-once table, stream
-//! buffer, drain
+//! Sidecar of an engine or a plain service, through which all of the target's requests pass:
+//! queueing with fair shares, adapter slots, fenced orders, run-once requests, resumable
+//! response streams and drain. With `--place`, it only places an engine's adapters.
 
 pub mod app;
 pub mod cli;
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! the process beside each engine or plain service
+//! The sidecar of an engine or a plain service.
 
 use std::process;
 
--- a/sidecar/tests/command_line.rs
+++ b/sidecar/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! the command line and the settings of `chalkcart-sidecar`
+//! Tests the command line and the settings of `chalkcart-sidecar`.
 
 use {
     anyhow::Result,
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn help_version_and_wrong_usage() -> Result<()> {
+fn help_version_and_invalid_arguments() -> Result<()> {
     let help = sidecar(&["--help"])?;
     assert_eq!(help.code, Some(0));
     assert!(help.stdout.contains("Usage: chalkcart-sidecar"));
@@ -24,29 +24,29 @@
 }
 
 #[test]
-fn settings_are_refused_with_the_key_the_value_and_what_was_expected() -> Result<()> {
-    const GOOD: &str = r#"{"name":"s","zone":"posta","listen":"127.0.0.1:0",
+fn rejected_settings_name_the_key_the_value_and_the_expected_value() -> Result<()> {
+    const VALID: &str = r#"{"name":"s","zone":"posta","listen":"127.0.0.1:0",
         "entries":["127.0.0.1:1"],"target":{"engine":{"addr":"127.0.0.1:2"}}}"#;
     let service = r#"{"service":{"addr":"127.0.0.1:2","service":"till","max_running":0}}"#;
     let cases = [
-        (GOOD.to_string(), 0, vec!["good"]),
+        (VALID.to_string(), 0, vec!["good"]),
         (
-            GOOD.replace("engine", "motor"),
+            VALID.replace("engine", "motor"),
             2,
             vec!["target", "motor", "service"],
         ),
         (
-            GOOD.replace(r#"["127.0.0.1:1"]"#, "[]"),
+            VALID.replace(r#"["127.0.0.1:1"]"#, "[]"),
             2,
             vec!["entries", "[]", "one address"],
         ),
         (
-            GOOD.replace(r#"{"engine":{"addr":"127.0.0.1:2"}}"#, service),
+            VALID.replace(r#"{"engine":{"addr":"127.0.0.1:2"}}"#, service),
             2,
             vec!["target.service.max_running", "0", "1 or more"],
         ),
         (
-            GOOD.replace(r#""name":"s""#, r#""name":"s","lease_ms":0"#),
+            VALID.replace(r#""name":"s""#, r#""name":"s","lease_ms":0"#),
             2,
             vec!["lease_ms", "1 or"],
         ),
@@ -56,9 +56,9 @@
         let ran = sidecar(&["--check", &file.to_string_lossy()])?;
         fs::remove_file(file)?;
         assert_eq!(ran.code, Some(code), "{text}");
-        let said = format!("{}{}", ran.stdout, ran.stderr);
+        let output = format!("{}{}", ran.stdout, ran.stderr);
         for part in expected {
-            assert!(said.contains(part), "{text}: {part} not in {said}");
+            assert!(output.contains(part), "{text}: {part} not in {output}");
         }
     }
     Ok(())
