--- a/sidecar/src/app/engine_runner.rs
+++ b/sidecar/src/app/engine_runner.rs
@@ -26,7 +26,7 @@
 const GAP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Consecutive resumes without a new event after which the run counts as lost.
 const MAX_RESUMES: u32 = 5;
-/// Grows linearly with each resume.
+/// Pause after a failed resume; it grows linearly with the number of resumes.
 const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Parameters of a run besides its work.
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -93,10 +93,10 @@
             } => self.request_permit(issuer, request, adapter),
             SidecarAction::ReturnPermit { issuer, request } => self.return_permit(issuer, request),
             SidecarAction::RespondToReserve { reply, response } => {
-                self.shared.reserves.complete(reply, response)
+                self.shared.reserve_replies.complete(reply, response)
             }
             SidecarAction::RespondToCancel { reply, outcome } => {
-                self.shared.cancels.complete(reply, outcome)
+                self.shared.cancel_replies.complete(reply, outcome)
             }
             SidecarAction::Drained => {
                 self.shared.drained.send_replace(true);
@@ -173,7 +173,7 @@
         let cancellation = CancellationToken::new();
         self.cancellations()
             .insert(work.request.clone(), cancellation.clone());
-        let (stream, _) = self.shared.hub.open(&work.request, work.reserved);
+        let (stream, _) = self.shared.streams.open(&work.request, work.reserved);
         let shared = self.shared.clone();
         let target = self.target.clone();
         let cancellations = self.cancellations.clone();
@@ -205,7 +205,7 @@
     fn reject(&self, request: &RequestId, refusal: Refusal) {
         log::debug!("queue: {request} rejected: {refusal}");
         self.shared.metrics.on_refused(&refusal);
-        if let Some(stream) = self.shared.hub.get(request) {
+        if let Some(stream) = self.shared.streams.get(request) {
             stream.push(FrameBody::Refused(refusal));
         }
     }
--- a/sidecar/src/app/serve.rs
+++ b/sidecar/src/app/serve.rs
@@ -103,7 +103,7 @@
     let all_read = async {
         // the sender is never dropped
         let _ = drained.wait_for(|done| *done).await;
-        while shared.hub.streams_with_readers() > 0 {
+        while shared.streams.count_with_readers() > 0 {
             sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
@@ -122,9 +122,9 @@
 async fn sweep(shared: Arc<Shared>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        for request in shared.hub.sweep(clock::now()) {
+        for request in shared.streams.sweep(clock::now()) {
             log::info!("streams: {request} cancelled: no entry reads its stream");
-            let (reply, _) = shared.cancels.register();
+            let (reply, _) = shared.cancel_replies.register();
             shared.send(SidecarEvent::CancelRequested { reply, request });
         }
     }
--- a/sidecar/src/app/shared.rs
+++ b/sidecar/src/app/shared.rs
@@ -15,11 +15,11 @@
 /// State that the control thread and the traffic threads share.
 pub struct Shared {
     pub settings: Settings,
-    pub hub: StreamHub,
+    pub streams: StreamHub,
     /// Updated by the control thread after each event.
     pub report: Arc<ArcSwap<TargetReport>>,
-    pub reserves: PendingReplies<ReserveAnswer>,
-    pub cancels: PendingReplies<Outcome>,
+    pub reserve_replies: PendingReplies<ReserveAnswer>,
+    pub cancel_replies: PendingReplies<Outcome>,
     pub metrics: RequestMetrics,
     pub drained: watch::Sender<bool>,
     is_ready: AtomicBool,
@@ -33,11 +33,11 @@
         events: mpsc::Sender<SidecarEvent>,
     ) -> Self {
         Self {
-            hub: StreamHub::new(settings.buffer_bytes),
+            streams: StreamHub::new(settings.buffer_bytes),
             settings,
             report: Arc::new(ArcSwap::from_pointee(report)),
-            reserves: PendingReplies::default(),
-            cancels: PendingReplies::default(),
+            reserve_replies: PendingReplies::default(),
+            cancel_replies: PendingReplies::default(),
             metrics: RequestMetrics::new(),
             drained: watch::Sender::new(false),
             is_ready: AtomicBool::new(false),
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -28,10 +28,9 @@
     /// Maximum time until a change of the configuration is in force on all boxes, in ms.
     #[serde(default = "defaults_drain_ms")]
     pub config_apply_ms: u64,
-    /// Settings that the platform left at their defaults, for the log.
+    /// Settings that the platform's file left out, for the log.
     #[serde(default)]
     pub defaulted: Vec<String>,
-    /// Feature switches.
     #[serde(default)]
     pub mechanisms: FeatureSwitches,
     #[serde(default = "defaults::log")]
--- a/sidecar/src/conf/settings.rs
+++ b/sidecar/src/conf/settings.rs
@@ -64,8 +64,8 @@
     /// Maximum duration of a drain, in ms.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// After a longer pause of this process, the target's state must be read again before the
-    /// next order, in ms.
+    /// Pause of this process, in ms, after which the target's state must be read again before
+    /// the next order.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
     /// Maximum number of remembered reserved ids.
--- a/sidecar/src/placement/placement_task.rs
+++ b/sidecar/src/placement/placement_task.rs
@@ -118,7 +118,7 @@
         let response = self.engine.identity(health_path).await;
         let Told { value, word } = response;
         log::info!("engine: identified as {value:?}");
-        // first, since a new incarnation discards the signals of the one before
+        // before its signals are handled, since a new incarnation discards earlier signals
         self.shared.handle(PlacementEvent::Identified(value));
         self.handle_signals(Told { value: (), word });
         self.publish();
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -68,7 +68,7 @@
 }
 
 fn run_work(shared: &Arc<Shared>, work: WorkOrder, encoding: WireEncoding) -> Reply {
-    let (stream, is_new) = shared.hub.open(&work.request, work.reserved);
+    let (stream, is_new) = shared.streams.open(&work.request, work.reserved);
     if is_new {
         let group_class = GroupClass {
             group: work.group.clone(),
@@ -81,7 +81,7 @@
 }
 
 fn resume_stream(shared: &Arc<Shared>, order: &ResumeOrder, encoding: WireEncoding) -> Reply {
-    match shared.hub.get(&order.request) {
+    match shared.streams.get(&order.request) {
         Some(stream) => frames_reply(frames(stream, shared.report.clone(), order.from), encoding),
         None => {
             let name = &shared.settings.name;
@@ -96,7 +96,7 @@
 }
 
 async fn reserve_ids(shared: &Shared, count: u32) -> ReserveAnswer {
-    let (reply, response) = shared.reserves.register();
+    let (reply, response) = shared.reserve_replies.register();
     shared.send(SidecarEvent::ReserveRequested { reply, count });
     response.await.unwrap_or_else(|_| {
         let name = &shared.settings.name;
@@ -105,7 +105,7 @@
 }
 
 async fn cancel_request(shared: &Shared, order: CancelOrder) -> CancelAnswer {
-    let (reply, response) = shared.cancels.register();
+    let (reply, response) = shared.cancel_replies.register();
     shared.send(SidecarEvent::CancelRequested {
         reply,
         request: order.request,
--- a/sidecar/src/streams/frames.rs
+++ b/sidecar/src/streams/frames.rs
@@ -14,7 +14,7 @@
 /// Reads a stream's frames; counts as one of its readers until it is dropped.
 struct FrameReader {
     stream: Arc<SharedStream>,
-    count: watch::Receiver<usize>,
+    frame_count: watch::Receiver<usize>,
     reports: Arc<ArcSwap<TargetReport>>,
     next: Sequence,
     has_sent_report: bool,
@@ -44,7 +44,7 @@
                 return Some(Frame::Numbered { sequence, body });
             }
             let read_count = self.next as usize;
-            let next_frame = self.count.wait_for(|count| *count > read_count);
+            let next_frame = self.frame_count.wait_for(|count| *count > read_count);
             if timeout(HEARTBEAT_INTERVAL, next_frame).await.is_err() {
                 return Some(self.report());
             }
@@ -64,7 +64,7 @@
 ) -> impl Stream<Item = Frame> + Send {
     stream.add_reader();
     let reader = FrameReader {
-        count: stream.watch(),
+        frame_count: stream.subscribe(),
         stream,
         reports,
         next: from,
--- a/sidecar/src/streams/stream_hub.rs
+++ b/sidecar/src/streams/stream_hub.rs
@@ -27,8 +27,7 @@
     pub request: RequestId,
     pub is_reserved: bool,
     buffer: Mutex<StreamBuffer>,
-    /// Number of frames in the buffer.
-    count: watch::Sender<usize>,
+    frame_count: watch::Sender<usize>,
     reader_count: AtomicUsize,
     /// Time of the last frame or of the last disconnect of a reader.
     idle_since: Mutex<Instant>,
@@ -40,7 +39,7 @@
             request,
             is_reserved,
             buffer: Mutex::new(StreamBuffer::new()),
-            count: watch::Sender::new(0),
+            frame_count: watch::Sender::new(0),
             reader_count: AtomicUsize::new(0),
             idle_since: Mutex::new(clock::now()),
         }
@@ -51,7 +50,7 @@
             let count = buffer.len();
             drop(buffer);
             *lock(&self.idle_since) = clock::now();
-            self.count.send_replace(count);
+            self.frame_count.send_replace(count);
         }
     }
     pub fn frame(&self, sequence: Sequence) -> Option<FrameBody> {
@@ -60,8 +59,8 @@
     pub fn is_ended(&self) -> bool {
         lock(&self.buffer).is_ended()
     }
-    pub fn watch(&self) -> watch::Receiver<usize> {
-        self.count.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<usize> {
+        self.frame_count.subscribe()
     }
     pub fn reader_count(&self) -> usize {
         self.reader_count.load(Ordering::Relaxed)
@@ -120,7 +119,7 @@
         lock(&self.streams).get(request).cloned()
     }
     /// Returns the number of streams that have readers.
-    pub fn streams_with_readers(&self) -> usize {
+    pub fn count_with_readers(&self) -> usize {
         let streams = lock(&self.streams);
         streams.values().filter(|s| s.reader_count() > 0).count()
     }
