--- a/sidecar/src/app/mod.rs
+++ b/sidecar/src/app/mod.rs
@@ -1,12 +1,12 @@
-//! the running sidecar
+//! Serves the sidecar that queues and runs the requests of its target.
 
 mod config_sync;
 mod control_thread;
-mod engine_run;
+mod engine_runner;
 mod executor;
+mod pending_replies;
 mod serve;
 mod service_run;
 mod shared;
-mod tickets;
 
 pub use {serve::serve, shared::Shared};
--- a/sidecar/src/crashes/mod.rs
+++ b/sidecar/src/crashes/mod.rs
@@ -1,6 +1,7 @@
-//! the part of a sidecar that passes on between entries which requests engines ended under
+//! Serves the aggregator that exchanges crash reports between entries: which requests were
+//! running when an engine ended.
 
+mod aggregator;
 mod handlers;
-mod keeper;
 
-pub use {handlers::crash_words, keeper::CrashKeeper};
+pub use {aggregator::CrashAggregator, handlers::crash_reports};
