--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -9,7 +9,8 @@
     chalkcart_transport::{
         clock,
         server::{
-            asker_form, frames_reply, message_reply, pages, read_message, Askers, SharedData,
+            caller_encoding, frames_reply, message_reply, pages, read_message, PeerEncodingsByHost,
+            SharedData,
         },
     },
     gotham::{
@@ -35,7 +36,7 @@
 ) -> Router {
     let pipeline = new_pipeline()
         .add(StateMiddleware::new(SharedData::new(Arc::new(
-            Askers::default(),
+            PeerEncodingsByHost::default(),
         ))))
         .add(StateMiddleware::new(SharedData::new(shared)))
         .add(StateMiddleware::new(SharedData::new(relay)))
@@ -70,7 +71,7 @@
 
 async fn views(state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
-    let reply = frames_reply(follow(&shared), asker_form(&state));
+    let reply = frames_reply(follow(&shared), caller_encoding(&state));
     Ok((state, reply))
 }
 
--- a/sidecar/src/relay/handlers.rs
+++ b/sidecar/src/relay/handlers.rs
@@ -3,7 +3,7 @@
     chalkcart_protocol::peer::{PublishedRequest, PublishedResponse, RelayDemands, RelayRequest},
     chalkcart_transport::clock,
     chalkcart_transport::server::{
-        asker_form, asker_version, encoded_frames_reply, message_reply, pages, read_message,
+        caller_encoding, caller_version, encoded_frames_reply, message_reply, pages, read_message,
         SharedData,
     },
     gotham::{handler::HandlerResult, state::State},
@@ -25,7 +25,7 @@
 /// an entry asks for the views of the engines that it follows
 pub async fn relay_views(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
-    let form = asker_form(&state);
+    let form = caller_encoding(&state);
     let reply = match read_message::<RelayRequest>(&mut state).await {
         Ok(ask) => {
             log::info!(entry = ask.entry.as_str(); "relay: entry follows");
@@ -40,7 +40,7 @@
 /// take a record of a kind that it does not know for a broken answer: it reads the store.
 pub async fn relay_published(mut state: State) -> HandlerResult {
     let hub = SharedData::<RelayHub>::of(&state);
-    let is_older = asker_version(&state).is_none();
+    let is_older = caller_version(&state).is_none();
     let reply = match read_message::<PublishedRequest>(&mut state).await {
         Ok(_) if is_older => message_reply(&PublishedResponse::Stale),
         Ok(ask) => {
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -11,7 +11,7 @@
     chalkcart_transport::{
         metrics::GroupClass,
         server::{
-            asker_form, frames_reply, message_reply, pages::bad_message, read_message, Reply,
+            caller_encoding, frames_reply, message_reply, pages::bad_message, read_message, Reply,
             SharedData,
         },
     },
@@ -25,7 +25,7 @@
 
 pub async fn run(mut state: State) -> Handled {
     let shared = shared(&state);
-    let form = asker_form(&state);
+    let form = caller_encoding(&state);
     let reply = match read_message::<WorkOrder>(&mut state).await {
         Ok(work) => run_work(&shared, work, form),
         Err(e) => bad_message(&e),
@@ -35,7 +35,7 @@
 
 pub async fn resume(mut state: State) -> Handled {
     let shared = shared(&state);
-    let form = asker_form(&state);
+    let form = caller_encoding(&state);
     let reply = match read_message::<ResumeOrder>(&mut state).await {
         Ok(order) => resume_stream(&shared, &order, form),
         Err(e) => bad_message(&e),
--- a/transport/src/client/mod.rs
+++ b/transport/src/client/mod.rs
@@ -3,11 +3,11 @@
 mod errors;
 mod http_client;
 mod peer_client;
-mod peer_forms;
+mod peer_encodings;
 
 pub use {
     errors::{ClientError, ClientStep},
     http_client::{HttpClient, JsonReply},
-    peer_client::{said_version, FrameStream, MessageStream, PeerClient},
-    peer_forms::PeerForms,
+    peer_client::{peer_version, FrameStream, MessageStream, PeerClient},
+    peer_encodings::PeerEncodings,
 };
--- a/transport/src/client/peer_client.rs
+++ b/transport/src/client/peer_client.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ClientError, ClientStep, HttpClient, PeerForms},
+    super::{ClientError, ClientStep, HttpClient, PeerEncodings},
     bytes::Bytes,
     chalkcart_protocol::{
         decode, frame_codec,
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PeerClient {
     http: HttpClient,
-    forms: PeerForms,
+    encodings: PeerEncodings,
 }
 
 impl PeerClient {
@@ -38,7 +38,7 @@
 
     /// what a peer said of itself with its last answer
     pub fn version(&self, peer: SocketAddr) -> Option<WireVersion> {
-        self.forms.version(peer)
+        self.encodings.version(peer)
     }
 
     /// send a message and read the answer
@@ -91,7 +91,7 @@
     ) -> Result<Response<Incoming>, ClientError> {
         let mut response = self.post(peer, path, message).await?;
         if response.status() == StatusCode::BAD_REQUEST && self.version(peer).is_none() {
-            self.forms.on_unread(peer);
+            self.encodings.on_message_rejected(peer);
             response = self.post(peer, path, message).await?;
         }
         match response.status() {
@@ -108,10 +108,11 @@
         message: &Q,
     ) -> Result<Response<Incoming>, ClientError> {
         let unsent = |e: &dyn std::fmt::Display| ClientError::new(ClientStep::Connect, peer, e);
-        let body = encode_as(message, self.forms.of(peer)).map_err(|e| unsent(&e))?;
+        let body = encode_as(message, self.encodings.encoding_for(peer)).map_err(|e| unsent(&e))?;
         let req = request(peer, path, body).map_err(|e| unsent(&e))?;
         let response = self.http.request(peer, req).await?;
-        self.forms.on_answer(peer, said_version(response.headers()));
+        self.encodings
+            .on_response(peer, peer_version(response.headers()));
         Ok(response)
     }
 
@@ -136,6 +137,6 @@
 }
 
 /// the wire version that a head says; one that can't be read counts as none
-pub fn said_version(headers: &HeaderMap) -> Option<WireVersion> {
+pub fn peer_version(headers: &HeaderMap) -> Option<WireVersion> {
     headers.get(PEER_VERSION)?.to_str().ok()?.parse().ok()
 }
--- a/transport/src/server/requests.rs
+++ b/transport/src/server/requests.rs
@@ -1,6 +1,6 @@
 use {
-    super::{Askers, SharedData},
-    crate::client::said_version,
+    super::{PeerEncodingsByHost, SharedData},
+    crate::client::peer_version,
     bytes::Bytes,
     chalkcart_protocol::{
         decode,
@@ -42,7 +42,7 @@
 /// read a message between our processes
 pub async fn read_message<T: DeserializeOwned>(state: &mut State) -> Result<T, BodyError> {
     let body = read_body(state).await?;
-    if asker_version(state).is_none() {
+    if caller_version(state).is_none() {
         note_asker(state, &body);
     }
     let message = decode(&body);
@@ -57,12 +57,12 @@
     let Some(asker) = client_addr(state) else {
         return;
     };
-    let askers = SharedData::<Askers>::try_of(state);
-    let unread = askers.map_or(0, |askers| askers.on_unread(asker.ip()));
+    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
+    let unread = askers.map_or(0, |askers| askers.count_undecodable(asker.ip()));
     if unread % LOG_EVERY != 1 {
         return;
     }
-    let version = asker_version(state).map_or(0, |version| version.0);
+    let version = caller_version(state).map_or(0, |version| version.0);
     log::warn!(
         asker = asker.to_string().as_str(),
         its_version = version,
@@ -74,27 +74,27 @@
 }
 
 /// the wire version of who asks, none of a build that does not say it
-pub fn asker_version(state: &State) -> Option<WireVersion> {
-    said_version(HeaderMap::borrow_from(state))
+pub fn caller_version(state: &State) -> Option<WireVersion> {
+    peer_version(HeaderMap::borrow_from(state))
 }
 
 /// the form in which who asks reads frames
-pub fn asker_form(state: &State) -> WireEncoding {
-    let version = asker_version(state);
-    let askers = SharedData::<Askers>::try_of(state);
+pub fn caller_encoding(state: &State) -> WireEncoding {
+    let version = caller_version(state);
+    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
     match (version, askers, client_addr(state)) {
-        (None, Some(askers), Some(asker)) => askers.form_of(asker.ip()),
+        (None, Some(askers), Some(asker)) => askers.encoding_for(asker.ip()),
         (version, ..) => WireEncoding::for_peer(version),
     }
 }
 
 fn note_asker(state: &State, body: &[u8]) {
-    let askers = SharedData::<Askers>::try_of(state);
+    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
     let (Some(askers), Some(asker)) = (askers, client_addr(state)) else {
         return;
     };
     if let Some(by_text) = has_text_ids(body) {
-        askers.on_message(asker.ip(), by_text);
+        askers.set_text_ids(asker.ip(), by_text);
     }
 }
 
