--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -19,7 +19,7 @@
     chalkcart_transport::{
         backend::{send, BackendAnswer, SendError},
         clock::{self, before_deadline},
-        ingress::{remove_connection_headers, AnswerHead, ClientResponse, PassBody, SendHead},
+        ingress::{remove_connection_headers, AnswerHead, ClientResponse, ProxyBody, SendHead},
     },
     http::{request::Parts, HeaderMap, Request, Response, StatusCode},
     http_body_util::{BodyExt, Either, Full},
@@ -462,7 +462,7 @@
         };
         let (mut parts, body) = answer.response.into_parts();
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let body = PassBody::new(body, answer.connection, self.deadline, Box::new(observer));
+        let body = ProxyBody::new(body, answer.connection, self.deadline, Box::new(observer));
         Attempt::Answered(Response::from_parts(parts, Either::Right(body)))
     }
 
--- a/entry/src/ingress/observers.rs
+++ b/entry/src/ingress/observers.rs
@@ -8,7 +8,7 @@
     },
     chalkcart_transport::{
         clock,
-        ingress::{PassEnd, PassObserver},
+        ingress::{ProxyBodyEnd, ProxyBodyObserver},
     },
     log::Level,
     std::{
@@ -70,20 +70,20 @@
     pub first_part: Option<Duration>,
 }
 
-impl PassObserver for StreamObserver {
-    fn on_first(&mut self) {
+impl ProxyBodyObserver for StreamObserver {
+    fn on_first_frame(&mut self) {
         let after = clock::elapsed(self.arrived);
         self.first_part = Some(after);
         self.shared.metrics.on_first_part(&self.route.name, after);
         self.guard.start();
     }
 
-    fn on_end(&mut self, end: PassEnd, longest_pause: Duration) {
+    fn on_end(&mut self, end: ProxyBodyEnd, longest_pause: Duration) {
         let (outcome, word) = match end {
-            PassEnd::Whole => (SendOutcome::Answered, "whole"),
-            PassEnd::Broken => (SendOutcome::Broken, "broken"),
-            PassEnd::TimedOut => (SendOutcome::Abandoned, "timed_out"),
-            PassEnd::Left => (SendOutcome::Abandoned, "client_left"),
+            ProxyBodyEnd::Complete => (SendOutcome::Answered, "whole"),
+            ProxyBodyEnd::Broken => (SendOutcome::Broken, "broken"),
+            ProxyBodyEnd::TimedOut => (SendOutcome::Abandoned, "timed_out"),
+            ProxyBodyEnd::ClientDisconnected => (SendOutcome::Abandoned, "client_left"),
         };
         self.guard.end(outcome);
         self.shared.metrics.on_send_ended(outcome.code());
@@ -91,8 +91,10 @@
             .metrics
             .on_pause(&self.route.name, longest_pause);
         let level = match end {
-            PassEnd::Whole => Level::Info,
-            PassEnd::Broken | PassEnd::TimedOut | PassEnd::Left => Level::Warn,
+            ProxyBodyEnd::Complete => Level::Info,
+            ProxyBodyEnd::Broken | ProxyBodyEnd::TimedOut | ProxyBodyEnd::ClientDisconnected => {
+                Level::Warn
+            }
         };
         log::log!(
             level,
--- a/transport/src/ingress/mod.rs
+++ b/transport/src/ingress/mod.rs
@@ -2,12 +2,12 @@
 
 mod dialect;
 mod headers;
-mod pass_body;
+mod proxy_body;
 mod server;
 
 pub use {
     dialect::{AnswerHead, Dialect, HeadError, RequestHead, SendHead},
     headers::remove_connection_headers,
-    pass_body::{PassBody, PassEnd, PassObserver},
+    proxy_body::{ProxyBody, ProxyBodyEnd, ProxyBodyObserver},
     server::{serve, ClientBody, ClientRequest, ClientResponse, IngressService, Phase},
 };
--- a/transport/src/ingress/pass_body.rs
+++ b/transport/src/ingress/proxy_body.rs
@@ -17,44 +17,44 @@
 
 /// how a body that was passed on ended
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PassEnd {
-    Whole,
+pub enum ProxyBodyEnd {
+    Complete,
     /// the back end broke it off
     Broken,
     /// its time ran out
     TimedOut,
     /// the client left
-    Left,
+    ClientDisconnected,
 }
 
 /// is told how a body goes
-pub trait PassObserver: Send + Sync {
+pub trait ProxyBodyObserver: Send + Sync {
     /// the first part came
-    fn on_first(&mut self);
+    fn on_first_frame(&mut self);
     /// called once, with the longest pause between two parts
-    fn on_end(&mut self, end: PassEnd, longest_pause: Duration);
+    fn on_end(&mut self, end: ProxyBodyEnd, longest_pause: Duration);
 }
 
 /// a back end's body on its way to the client, part by part.
 ///
 /// When it is dropped, the connection to the back end is closed.
-pub struct PassBody {
+pub struct ProxyBody {
     body: Incoming,
     _connection: Connection,
     deadline: Instant,
     timer: Pin<Box<dyn Future<Output = ()> + Send + Sync>>,
     last: Option<Instant>,
     longest_pause: Duration,
-    observer: Box<dyn PassObserver>,
+    observer: Box<dyn ProxyBodyObserver>,
     has_ended: bool,
 }
 
-impl PassBody {
+impl ProxyBody {
     pub fn new(
         body: Incoming,
         connection: Connection,
         deadline: Instant,
-        observer: Box<dyn PassObserver>,
+        observer: Box<dyn ProxyBodyObserver>,
     ) -> Self {
         Self {
             body,
@@ -68,7 +68,7 @@
         }
     }
 
-    fn end(&mut self, end: PassEnd) {
+    fn end(&mut self, end: ProxyBodyEnd) {
         if !self.has_ended {
             self.has_ended = true;
             self.observer.on_end(end, self.longest_pause);
@@ -80,13 +80,13 @@
             Some(last) => {
                 self.longest_pause = self.longest_pause.max(now.saturating_duration_since(last))
             }
-            None => self.observer.on_first(),
+            None => self.observer.on_first_frame(),
         }
         self.last = Some(now);
     }
 }
 
-impl Body for PassBody {
+impl Body for ProxyBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -96,23 +96,23 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let is_over = clock::now() >= self.deadline;
         if is_over || self.timer.as_mut().poll(cx).is_ready() {
-            self.end(PassEnd::TimedOut);
+            self.end(ProxyBodyEnd::TimedOut);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
             Some(Ok(frame)) => {
                 self.on_part();
                 if self.body.is_end_stream() {
-                    self.end(PassEnd::Whole);
+                    self.end(ProxyBodyEnd::Complete);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(e)) => {
-                self.end(PassEnd::Broken);
+                self.end(ProxyBodyEnd::Broken);
                 Poll::Ready(Some(Err(io::Error::other(e))))
             }
             None => {
-                self.end(PassEnd::Whole);
+                self.end(ProxyBodyEnd::Complete);
                 Poll::Ready(None)
             }
         }
@@ -125,8 +125,8 @@
     }
 }
 
-impl Drop for PassBody {
+impl Drop for ProxyBody {
     fn drop(&mut self) {
-        self.end(PassEnd::Left);
+        self.end(ProxyBodyEnd::ClientDisconnected);
     }
 }
--- a/transport/src/ingress/server.rs
+++ b/transport/src/ingress/server.rs
@@ -1,5 +1,5 @@
 use {
-    super::PassBody,
+    super::ProxyBody,
     crate::sockets::tune_stream,
     async_trait::async_trait,
     bytes::Bytes,
@@ -22,7 +22,7 @@
 
 pub type ClientRequest = Request<Incoming>;
 /// an answer of our own, or one that is passed on
-pub type ClientBody = Either<Full<Bytes>, PassBody>;
+pub type ClientBody = Either<Full<Bytes>, ProxyBody>;
 pub type ClientResponse = Response<ClientBody>;
 
 /// where the process stands
