--- a/transport/src/clock/deadlines.rs
+++ b/transport/src/clock/deadlines.rs
@@ -16,7 +16,7 @@
 /// the deadline passed first
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the deadline has passed")]
-pub struct Late;
+pub struct DeadlineElapsed;
 
 /// sleep until a deadline, also one that passes while the machine is suspended
 pub async fn sleep_until_deadline(deadline: Instant) {
@@ -37,10 +37,10 @@
 pub async fn before_deadline<T>(
     deadline: Instant,
     future: impl Future<Output = T>,
-) -> Result<T, Late> {
+) -> Result<T, DeadlineElapsed> {
     tokio::select! {
         biased;
         value = future => Ok(value),
-        () = sleep_until_deadline(deadline) => Err(Late),
+        () = sleep_until_deadline(deadline) => Err(DeadlineElapsed),
     }
 }
--- a/transport/src/clock/mod.rs
+++ b/transport/src/clock/mod.rs
@@ -11,7 +11,7 @@
 
 pub use {
     boot_clock::BootClock,
-    deadlines::{before_deadline, sleep_until_deadline, Late},
+    deadlines::{before_deadline, sleep_until_deadline, DeadlineElapsed},
     errors::ClockError,
     process_clock::{elapsed, install, now},
 };
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -20,7 +20,7 @@
         published::{Snapshot, Topic},
     },
     chalkcart_transport::{
-        clock::{self, before_deadline, sleep_until_deadline, Clock, Late},
+        clock::{self, before_deadline, sleep_until_deadline, Clock, DeadlineElapsed},
         metadata::{Follower, Heard, MetadataSource, RecordSink, SourceError, Watched},
     },
     std::{
@@ -90,7 +90,7 @@
     suspend(SUSPENDED);
     assert_eq!(before_deadline(deadline, async { 7 }).await, Ok(7));
     let never = std::future::pending::<u32>();
-    assert_eq!(before_deadline(deadline, never).await, Err(Late));
+    assert_eq!(before_deadline(deadline, never).await, Err(DeadlineElapsed));
 }
 
 /// a store that knows nothing new, and a machine that is suspended while it is asked
