--- a/entry/src/ingress/answers.rs
+++ b/entry/src/ingress/answers.rs
@@ -24,7 +24,7 @@
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if let Some(id) = self.request_id {
-            self.dialect.write_own_answer(headers, id);
+            self.dialect.write_local_response(headers, id);
         }
         response
     }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -17,9 +17,12 @@
     },
     chalkcart_state::{backends::BackendId, ids::Generation, regions::AllowedRegions},
     chalkcart_transport::{
-        backend::{send, BackendAnswer, SendError},
+        backend::{send, BackendResponse, BackendSendError},
         clock::{self, before_deadline},
-        ingress::{remove_connection_headers, AnswerHead, ClientResponse, ProxyBody, SendHead},
+        ingress::{
+            remove_connection_headers, BackendRequestHead, BackendResponseHead, ClientResponse,
+            ProxyBody,
+        },
     },
     http::{request::Parts, HeaderMap, Request, Response, StatusCode},
     http_body_util::{BodyExt, Either, Full},
@@ -75,7 +78,7 @@
 impl Exchange {
     pub fn new(shared: Arc<Shared>, accepted: Accepted) -> Self {
         let route = &accepted.route;
-        let patience = accepted.head.deadline.unwrap_or(route.timeout);
+        let patience = accepted.head.timeout.unwrap_or(route.timeout);
         let deadline = accepted.arrived + patience.min(route.timeout);
         let service = route.pick_service(rand::random());
         let ask = DispatchRequest {
@@ -93,7 +96,7 @@
             arrived_at: accepted.arrived,
             deadline,
             tried_backends: Vec::new(),
-            was_rejected_before: shared.has_returned(route, accepted.head.deadline),
+            was_rejected_before: shared.has_returned(route, accepted.head.timeout),
             is_load_time_checked: false,
             send_count: 0,
             start_tag: 0,
@@ -307,20 +310,20 @@
         let sent = before_deadline(self.deadline, send(assignment.addr, req, CONNECT_LIMIT));
         match sent.await {
             Err(_) => Attempt::TimedOut,
-            Ok(Err(SendError::NotSent { addr, problem })) => {
+            Ok(Err(BackendSendError::NotSent { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Unreachable);
                 Attempt::NotRun(SendOutcome::Unreachable)
             }
-            Ok(Err(SendError::Lost { addr, problem })) => {
+            Ok(Err(BackendSendError::Lost { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Broken);
                 Attempt::Failed(None)
             }
             Ok(Ok(answer)) => {
-                let head = self.shared.dialect.read_answer(answer.response.headers());
+                let head = self.shared.dialect.read_response(answer.response.headers());
                 self.note_word(assignment, sent_at, answer.response.status(), &head);
                 self.note_unknown(&assignment.backend, answer.response.headers());
                 self.take_answer(&assignment.backend, head, answer, guard)
@@ -340,8 +343,8 @@
         let mut req = Request::builder().method(method).uri(target);
         let sent_headers = req.headers_mut()?;
         sent_headers.clone_from(headers);
-        let send = SendHead {
-            deadline: self.deadline.saturating_duration_since(clock::now()),
+        let send = BackendRequestHead {
+            time_left: self.deadline.saturating_duration_since(clock::now()),
             backend: &assignment.backend.name,
             version: assignment.version,
             urgency: assignment.urgency,
@@ -351,15 +354,17 @@
                 .as_ref()
                 .map(|c| c.account.name.as_str()),
         };
-        self.shared.dialect.write_send(sent_headers, &send);
+        self.shared
+            .dialect
+            .write_backend_request(sent_headers, &send);
         req.body(Full::new(self.accepted.body.clone())).ok()
     }
 
     async fn take_answer(
         &self,
         backend: &BackendId,
-        head: AnswerHead,
-        answer: BackendAnswer,
+        head: BackendResponseHead,
+        answer: BackendResponse,
         mut guard: SendGuard,
     ) -> Attempt {
         let status = answer.response.status();
@@ -373,11 +378,11 @@
             guard.end(outcome);
             return Attempt::NotRun(outcome);
         }
-        if head.not_run {
+        if head.proves_not_run {
             guard.end(SendOutcome::Shed);
             return Attempt::NotRun(SendOutcome::Shed);
         }
-        let is_sound = is_ours && !head.encoded && (head.signed || !status.is_success());
+        let is_sound = is_ours && !head.is_encoded && (head.is_signed || !status.is_success());
         // these would promise that the request did not run
         let is_promise = matches!(
             status,
@@ -398,10 +403,16 @@
     }
 
     /// tell the dispatcher what a back end says of itself, before its answer ends
-    fn note_word(&self, to: &Assignment, sent: Instant, status: StatusCode, head: &AnswerHead) {
+    fn note_word(
+        &self,
+        to: &Assignment,
+        sent: Instant,
+        status: StatusCode,
+        head: &BackendResponseHead,
+    ) {
         let backend = to.backend.clone();
         let is_other = head.backend.as_ref().is_some_and(|n| *n != backend.name);
-        let word = head.own_word(status);
+        let word = head.signals(status);
         // that a limit is no longer named is news, if this is surely its answer
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
         let is_its = is_ours && status != StatusCode::MISDIRECTED_REQUEST;
@@ -435,7 +446,7 @@
         let dialect = &self.shared.dialect;
         for name in headers
             .keys()
-            .filter(|name| !dialect.knows_in_answers(name))
+            .filter(|name| !dialect.is_known_response_header(name))
         {
             let is_named = self.shared.metrics.on_unknown_header(name.as_str());
             if is_named && self.shared.unknown_headers.is_news(backend, name.as_str()) {
@@ -449,7 +460,12 @@
         }
     }
 
-    fn pass_stream(&self, backend: &BackendId, answer: BackendAnswer, guard: SendGuard) -> Attempt {
+    fn pass_stream(
+        &self,
+        backend: &BackendId,
+        answer: BackendResponse,
+        guard: SendGuard,
+    ) -> Attempt {
         let observer = StreamObserver {
             shared: self.shared.clone(),
             guard,
@@ -461,14 +477,14 @@
             first_part: None,
         };
         let (mut parts, body) = answer.response.into_parts();
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
         let body = ProxyBody::new(body, answer.connection, self.deadline, Box::new(observer));
         Attempt::Answered(Response::from_parts(parts, Either::Right(body)))
     }
 
-    async fn collect(&self, answer: BackendAnswer, mut guard: SendGuard) -> Attempt {
+    async fn collect(&self, answer: BackendResponse, mut guard: SendGuard) -> Attempt {
         let (mut parts, body) = answer.response.into_parts();
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
         let body = match before_deadline(self.deadline, body.collect()).await {
             Err(_) => return Attempt::TimedOut,
             Ok(Err(_)) => {
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -183,7 +183,7 @@
             return Err(self.turn_away(&own, status, "no configuration yet", &parts));
         };
         let key = table.accounts.as_ref();
-        let key = key.map(|_| self.shared.dialect.take_key(&mut parts.headers));
+        let key = key.map(|_| self.shared.dialect.take_api_key(&mut parts.headers));
         let Some(route) = find_route(&table, &parts) else {
             // a route that is new may not be known here yet
             let (status, line) = match self.shared.admission.is_current() {
@@ -215,8 +215,11 @@
         let charge = self
             .charge(caller.as_ref(), &head)
             .map_err(|over| own.over_limit("over limit", over.retry_after))?;
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let withheld = self.shared.dialect.withhold(&mut parts.headers);
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
+        let withheld = self
+            .shared
+            .dialect
+            .remove_reserved_headers(&mut parts.headers);
         if !withheld.is_empty() {
             self.note_withheld(&head.id, &withheld);
         }
--- a/transport/src/backend/mod.rs
+++ b/transport/src/backend/mod.rs
@@ -2,4 +2,4 @@
 
 mod sender;
 
-pub use sender::{send, BackendAnswer, Connection, SendError};
+pub use sender::{send, BackendResponse, BackendSendError, Connection};
--- a/transport/src/backend/sender.rs
+++ b/transport/src/backend/sender.rs
@@ -22,14 +22,14 @@
 
 /// the head of a back end's answer, with what its body needs
 #[derive(Debug)]
-pub struct BackendAnswer {
+pub struct BackendResponse {
     pub response: Response<Incoming>,
     pub connection: Connection,
 }
 
 /// a send that brought no answer
 #[derive(Debug, Error)]
-pub enum SendError {
+pub enum BackendSendError {
     /// nothing was sent: the request did not run
     #[error("connect to {addr}: {problem}")]
     NotSent { addr: SocketAddr, problem: String },
@@ -47,8 +47,8 @@
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
     connect_limit: Duration,
-) -> Result<BackendAnswer, SendError> {
-    let not_sent = |problem: String| SendError::NotSent { addr, problem };
+) -> Result<BackendResponse, BackendSendError> {
+    let not_sent = |problem: String| BackendSendError::NotSent { addr, problem };
     let stream = connect(addr, connect_limit).await;
     let stream = stream.map_err(|e| not_sent(e.to_string()))?;
     let made = http1::handshake(TokioIo::new(stream)).await;
@@ -59,11 +59,11 @@
         }
     }));
     match sender.send_request(req).await {
-        Ok(response) => Ok(BackendAnswer {
+        Ok(response) => Ok(BackendResponse {
             response,
             connection,
         }),
-        Err(e) => Err(SendError::Lost {
+        Err(e) => Err(BackendSendError::Lost {
             addr,
             problem: e.to_string(),
         }),
--- a/transport/src/ingress/mod.rs
+++ b/transport/src/ingress/mod.rs
@@ -6,7 +6,7 @@
 mod server;
 
 pub use {
-    dialect::{AnswerHead, Dialect, HeadError, RequestHead, SendHead},
+    dialect::{BackendRequestHead, BackendResponseHead, Dialect, HeadError, RequestHead},
     headers::remove_connection_headers,
     proxy_body::{ProxyBody, ProxyBodyEnd, ProxyBodyObserver},
     server::{serve, ClientBody, ClientRequest, ClientResponse, IngressService, Phase},
