--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -9,7 +9,7 @@
     },
     chalkcart_transport::{
         clock,
-        metadata::{Heard, RecordSink},
+        metadata::{RecordSink, WatchUpdate},
     },
     std::{
         collections::{BTreeMap, HashSet},
@@ -218,7 +218,7 @@
 }
 
 impl RecordSink for EntryRecords {
-    fn take_in(&self, topic: Topic, heard: Heard, is_whole: bool) {
+    fn apply(&self, topic: Topic, heard: WatchUpdate, is_whole: bool) {
         match topic {
             Topic::Backends => self.take_backends(heard.snapshot, is_whole),
             Topic::Configuration => {
@@ -229,7 +229,7 @@
             }
         }
     }
-    fn pause(&self, topic: Topic) -> Duration {
+    fn pause_after_change(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
             Topic::Backends if self.source.hears_relay() => PAUSE_BY_RELAY,
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -28,7 +28,7 @@
     chalkcart_state::published::Topic,
     chalkcart_transport::{
         ingress::{self, Dialect, Phase},
-        metadata::{Follower, MetadataSource},
+        metadata::{MetadataSource, StoreWatcher},
         server,
     },
     std::{
@@ -157,7 +157,7 @@
     ];
     for (topic, bound_ms) in known_within {
         let pacing = WatchPacing::for_change_delay(Duration::from_millis(bound_ms));
-        let follower = Follower::new(source.clone(), records.clone(), topic, pacing);
+        let follower = StoreWatcher::new(source.clone(), records.clone(), topic, pacing);
         tokio::spawn(follower.run());
     }
 }
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -13,7 +13,7 @@
     chalkcart_transport::{
         client::PeerClient,
         clock,
-        metadata::{Heard, MetadataSource, SourceError, Watched},
+        metadata::{MetadataSource, SourceError, WatchOutcome, WatchUpdate},
     },
     std::{
         future::Future,
@@ -38,7 +38,7 @@
 
 /// how a relay answered
 enum RelayWord {
-    Heard(Watched),
+    Heard(WatchOutcome),
     /// it has not heard the store lately
     Stale,
     NoAnswer,
@@ -114,7 +114,7 @@
         topic: Topic,
         after: Option<u64>,
         wait: Duration,
-    ) -> Option<Watched> {
+    ) -> Option<WatchOutcome> {
         for relay in self.relays.sound(clock::now()) {
             match self.ask_relay(relay, topic, after, wait).await {
                 RelayWord::Heard(heard) => return Some(heard),
@@ -164,7 +164,7 @@
             }) => {
                 let current_at = moment(asked, current_ms);
                 let heard = current_at.map(|current_at| {
-                    RelayWord::Heard(Watched::Records(Heard {
+                    RelayWord::Heard(WatchOutcome::Records(WatchUpdate {
                         snapshot,
                         current_at,
                     }))
@@ -172,7 +172,7 @@
                 ("heard".to_string(), heard.unwrap_or(RelayWord::Stale))
             }
             Ok(PublishedResponse::HistoryLost) => {
-                let lost = RelayWord::Heard(Watched::HistoryLost);
+                let lost = RelayWord::Heard(WatchOutcome::HistoryLost);
                 ("history lost".to_string(), lost)
             }
             Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayWord::Stale),
@@ -206,10 +206,10 @@
         self.store.set_addr(addr);
     }
 
-    async fn snapshot(&self, topic: Topic) -> Result<Heard, SourceError> {
+    async fn snapshot(&self, topic: Topic) -> Result<WatchUpdate, SourceError> {
         match self.ask_relays(topic, None, Duration::ZERO).await {
-            Some(Watched::Records(heard)) => Ok(heard),
-            Some(Watched::HistoryLost) | None => {
+            Some(WatchOutcome::Records(heard)) => Ok(heard),
+            Some(WatchOutcome::HistoryLost) | None => {
                 self.ask_store(topic, self.store.snapshot(topic)).await
             }
         }
@@ -220,7 +220,7 @@
         topic: Topic,
         after: u64,
         times: WatchTimes,
-    ) -> Result<Watched, SourceError> {
+    ) -> Result<WatchOutcome, SourceError> {
         let relayed = times.with_max_hold(RELAYED_WAIT);
         match self.ask_relays(topic, Some(after), relayed.hold).await {
             Some(heard) => Ok(heard),
--- a/sidecar/src/relay/published.rs
+++ b/sidecar/src/relay/published.rs
@@ -4,7 +4,7 @@
     chalkcart_state::published::Topic,
     chalkcart_transport::{
         clock,
-        metadata::{self as store, Follower, MetadataSource, RecordSink},
+        metadata::{self as store, MetadataSource, RecordSink, StoreWatcher},
     },
     std::{
         sync::{Arc, Mutex, MutexGuard},
@@ -77,7 +77,7 @@
         };
         followers.extend([Topic::Configuration, Topic::Backends].map(|topic| {
             let pacing = self.pacing.watch_pacing();
-            let follower = Follower::new(store.clone(), self.clone(), topic, pacing);
+            let follower = StoreWatcher::new(store.clone(), self.clone(), topic, pacing);
             tokio::spawn(follower.run())
         }));
     }
@@ -127,8 +127,8 @@
 }
 
 impl RecordSink for Published {
-    fn take_in(&self, topic: Topic, heard: store::Heard, is_whole: bool) {
-        let store::Heard {
+    fn apply(&self, topic: Topic, heard: store::WatchUpdate, is_whole: bool) {
+        let store::WatchUpdate {
             snapshot,
             current_at,
         } = heard;
@@ -140,7 +140,7 @@
             to.changed.send_modify(|count| *count += 1);
         }
     }
-    fn pause(&self, topic: Topic) -> Duration {
+    fn pause_after_change(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
             Topic::Backends => self.pacing.pause_after_change(),
--- a/transport/src/metadata/mod.rs
+++ b/transport/src/metadata/mod.rs
@@ -1,9 +1,9 @@
 //! the platform's store, read by whoever needs what it publishes
 
-mod follower;
 mod source;
+mod store_watcher;
 
 pub use {
-    follower::{Follower, RecordSink},
-    source::{Heard, MetadataSource, SourceError, Watched},
+    source::{MetadataSource, SourceError, WatchOutcome, WatchUpdate},
+    store_watcher::{RecordSink, StoreWatcher},
 };
--- a/transport/src/metadata/source.rs
+++ b/transport/src/metadata/source.rs
@@ -9,7 +9,7 @@
 
 /// what the store has said, and when that was current
 #[derive(Debug)]
-pub struct Heard {
+pub struct WatchUpdate {
     pub snapshot: Snapshot,
     /// the store knew nothing newer at this moment; it is never later than that,
     /// however long the answer took
@@ -18,8 +18,8 @@
 
 /// what a watch heard
 #[derive(Debug)]
-pub enum Watched {
-    Records(Heard),
+pub enum WatchOutcome {
+    Records(WatchUpdate),
     /// changes were dropped: a snapshot is needed
     HistoryLost,
 }
@@ -43,12 +43,12 @@
 pub trait MetadataSource: Send + Sync {
     /// the store is to be reached at another address
     fn set_addr(&self, addr: SocketAddr);
-    async fn snapshot(&self, topic: Topic) -> Result<Heard, SourceError>;
+    async fn snapshot(&self, topic: Topic) -> Result<WatchUpdate, SourceError>;
     /// wait for changes after a revision
     async fn watch(
         &self,
         topic: Topic,
         after: u64,
         times: WatchTimes,
-    ) -> Result<Watched, SourceError>;
+    ) -> Result<WatchOutcome, SourceError>;
 }
--- a/transport/src/metadata/follower.rs
+++ b/transport/src/metadata/store_watcher.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Heard, MetadataSource, SourceError, Watched},
+    super::{MetadataSource, SourceError, WatchOutcome, WatchUpdate},
     crate::clock,
     chalkcart_coordination::watch::WatchPacing,
     chalkcart_state::published::Topic,
@@ -12,15 +12,15 @@
 
 /// takes in what a follower hears
 pub trait RecordSink: Send + Sync {
-    /// all records of a topic if `is_whole`, else those that have changed; may
+    /// all records of a topic if `is_full`, else those that have changed; may
     /// be none
-    fn take_in(&self, topic: Topic, heard: Heard, is_whole: bool);
+    fn apply(&self, topic: Topic, heard: WatchUpdate, is_full: bool);
     /// how long the follower rests after a change
-    fn pause(&self, topic: Topic) -> Duration;
+    fn pause_after_change(&self, topic: Topic) -> Duration;
 }
 
 /// follows one topic of the platform's store
-pub struct Follower {
+pub struct StoreWatcher {
     source: Arc<dyn MetadataSource>,
     sink: Arc<dyn RecordSink>,
     topic: Topic,
@@ -33,7 +33,7 @@
     heard: Instant,
 }
 
-impl Follower {
+impl StoreWatcher {
     pub fn new(
         source: Arc<dyn MetadataSource>,
         sink: Arc<dyn RecordSink>,
@@ -106,24 +106,24 @@
         let Some(after) = self.known else {
             let heard = self.source.snapshot(self.topic).await?;
             self.known = Some(heard.snapshot.at);
-            self.sink.take_in(self.topic, heard, true);
+            self.sink.apply(self.topic, heard, true);
             return Ok(Duration::ZERO);
         };
         let times = self.pacing.next_call(self.failures);
         match self.source.watch(self.topic, after, times).await? {
-            Watched::Records(heard) if heard.snapshot.at < after => {
+            WatchOutcome::Records(heard) if heard.snapshot.at < after => {
                 // an answer of an earlier state says nothing new
                 self.known = None;
             }
-            Watched::Records(heard) => {
+            WatchOutcome::Records(heard) => {
                 let has_news = !heard.snapshot.records.is_empty();
                 self.known = Some(heard.snapshot.at);
-                self.sink.take_in(self.topic, heard, false);
+                self.sink.apply(self.topic, heard, false);
                 if has_news {
-                    return Ok(self.sink.pause(self.topic));
+                    return Ok(self.sink.pause_after_change(self.topic));
                 }
             }
-            Watched::HistoryLost => {
+            WatchOutcome::HistoryLost => {
                 log::warn!(
                     topic = self.topic.code(),
                     revision = after;
--- a/transport/tests/store_outages.rs
+++ b/transport/tests/store_outages.rs
@@ -13,7 +13,9 @@
     chalkcart_state::published::{Snapshot, Topic},
     chalkcart_transport::{
         client::{ClientError, ClientStep},
-        metadata::{Follower, Heard, MetadataSource, RecordSink, SourceError, Watched},
+        metadata::{
+            MetadataSource, RecordSink, SourceError, StoreWatcher, WatchOutcome, WatchUpdate,
+        },
     },
     std::{
         net::SocketAddr,
@@ -60,9 +62,9 @@
     async fn is_lost(&self, began: Instant) -> bool {
         self.is_silent() || began < self.silent_from && Instant::now() >= self.silent_from
     }
-    fn heard(&self, at: u64) -> Heard {
+    fn heard(&self, at: u64) -> WatchUpdate {
         let records = Vec::new();
-        Heard {
+        WatchUpdate {
             snapshot: Snapshot { records, at },
             current_at: std::time::Instant::now(),
         }
@@ -79,7 +81,7 @@
 impl MetadataSource for SilentStore {
     fn set_addr(&self, _addr: SocketAddr) {}
 
-    async fn snapshot(&self, _topic: Topic) -> Result<Heard, SourceError> {
+    async fn snapshot(&self, _topic: Topic) -> Result<WatchUpdate, SourceError> {
         let began = Instant::now();
         self.calls.fetch_add(1, Ordering::Relaxed);
         sleep(ANSWER).await;
@@ -94,7 +96,7 @@
         _topic: Topic,
         after: u64,
         times: WatchTimes,
-    ) -> Result<Watched, SourceError> {
+    ) -> Result<WatchOutcome, SourceError> {
         let began = Instant::now();
         self.calls.fetch_add(1, Ordering::Relaxed);
         loop {
@@ -105,7 +107,7 @@
                 sleep(ANSWER).await;
                 return match self.is_lost(began).await {
                     true => Err(time_out(began, times.timeout()).await),
-                    false => Ok(Watched::Records(self.heard(self.revision()))),
+                    false => Ok(WatchOutcome::Records(self.heard(self.revision()))),
                 };
             }
             sleep(STEP).await;
@@ -118,11 +120,11 @@
 struct HeardAt(Mutex<Vec<(u64, Instant)>>);
 
 impl RecordSink for HeardAt {
-    fn take_in(&self, _topic: Topic, heard: Heard, _is_whole: bool) {
+    fn apply(&self, _topic: Topic, heard: WatchUpdate, _is_full: bool) {
         let mut rows = self.0.lock().unwrap();
         rows.push((heard.snapshot.at, Instant::now()));
     }
-    fn pause(&self, _topic: Topic) -> Duration {
+    fn pause_after_change(&self, _topic: Topic) -> Duration {
         Duration::ZERO
     }
 }
@@ -144,7 +146,7 @@
     });
     let sink = Arc::new(HeardAt::default());
     let pacing = WatchPacing::default();
-    let follower = Follower::new(store.clone(), sink.clone(), Topic::Configuration, pacing);
+    let follower = StoreWatcher::new(store.clone(), sink.clone(), Topic::Configuration, pacing);
     let task = tokio::spawn(follower.run());
     let back = store.silent_to;
     let known = loop {
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -21,7 +21,9 @@
     },
     chalkcart_transport::{
         clock::{self, before_deadline, sleep_until_deadline, Clock, DeadlineElapsed},
-        metadata::{Follower, Heard, MetadataSource, RecordSink, SourceError, Watched},
+        metadata::{
+            MetadataSource, RecordSink, SourceError, StoreWatcher, WatchOutcome, WatchUpdate,
+        },
     },
     std::{
         cell::Cell,
@@ -100,22 +102,27 @@
 impl MetadataSource for Store {
     fn set_addr(&self, _addr: SocketAddr) {}
 
-    async fn snapshot(&self, _topic: Topic) -> Result<Heard, SourceError> {
+    async fn snapshot(&self, _topic: Topic) -> Result<WatchUpdate, SourceError> {
         Ok(nothing_newer(clock::now()))
     }
 
     /// the answer comes before the machine is suspended, and is read after
-    async fn watch(&self, _: Topic, _: u64, times: WatchTimes) -> Result<Watched, SourceError> {
+    async fn watch(
+        &self,
+        _: Topic,
+        _: u64,
+        times: WatchTimes,
+    ) -> Result<WatchOutcome, SourceError> {
         let asked = clock::now();
         sleep(times.hold).await;
         suspend(SUSPENDED);
-        Ok(Watched::Records(nothing_newer(asked)))
+        Ok(WatchOutcome::Records(nothing_newer(asked)))
     }
 }
 
-fn nothing_newer(current_at: Instant) -> Heard {
+fn nothing_newer(current_at: Instant) -> WatchUpdate {
     let records = Vec::new();
-    Heard {
+    WatchUpdate {
         snapshot: Snapshot { records, at: 1 },
         current_at,
     }
@@ -125,12 +132,12 @@
 struct Entry(Mutex<(ConfigLease, u32)>);
 
 impl RecordSink for Entry {
-    fn take_in(&self, _topic: Topic, heard: Heard, is_whole: bool) {
+    fn apply(&self, _topic: Topic, heard: WatchUpdate, is_full: bool) {
         let mut entry = self.0.lock().expect("no holder panics");
         entry.0.on_current(heard.current_at);
-        entry.1 += u32::from(!is_whole);
+        entry.1 += u32::from(!is_full);
     }
-    fn pause(&self, _topic: Topic) -> Duration {
+    fn pause_after_change(&self, _topic: Topic) -> Duration {
         Duration::ZERO
     }
 }
@@ -142,7 +149,7 @@
     let lease = ConfigLease::new(Some(REVOKED_WITHIN));
     let entry = Arc::new(Entry(Mutex::new((lease, 0))));
     let pacing = WatchPacing::for_change_delay(ms(2_000));
-    let follower = Follower::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
+    let follower = StoreWatcher::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
     let following = tokio::spawn(follower.run());
     let holds = || {
         let entry = entry.0.lock().expect("no holder panics");
