--- a/sidecar/src/placement/keeper.rs
+++ b/sidecar/src/placement/keeper.rs
@@ -7,7 +7,7 @@
     chalkcart_protocol::peer::EngineView,
     chalkcart_transport::{
         clock,
-        orders::{OrderedEngine, Told},
+        orders::{EngineControl, Reported},
     },
     log::Level,
     std::{
@@ -27,7 +27,7 @@
 /// the one task that reads the engine and gives it orders
 pub struct Keeper {
     shared: Arc<Shared>,
-    engine: Arc<dyn OrderedEngine>,
+    engine: Arc<dyn EngineControl>,
     published: Option<Instant>,
     is_reachable: bool,
     read_at: Option<Instant>,
@@ -36,7 +36,7 @@
 }
 
 impl Keeper {
-    pub fn new(shared: Arc<Shared>, engine: Arc<dyn OrderedEngine>) -> Self {
+    pub fn new(shared: Arc<Shared>, engine: Arc<dyn EngineControl>) -> Self {
         Self {
             shared,
             engine,
@@ -83,8 +83,11 @@
     }
 
     /// take in what the engine says of itself, and give the rest of the answer
-    fn take_word<T>(&mut self, told: Told<T>) -> T {
-        let Told { value, word } = told;
+    fn take_word<T>(&mut self, told: Reported<T>) -> T {
+        let Reported {
+            value,
+            signals: word,
+        } = told;
         let Some(word) = word else {
             return value;
         };
@@ -115,16 +118,22 @@
         // another engine may answer, whose own word is news
         self.said = BackendSignals::default();
         let told = self.engine.identity(health_path).await;
-        let Told { value, word } = told;
+        let Reported {
+            value,
+            signals: word,
+        } = told;
         log::info!("engine: it is {value:?}");
         // a new life forgets what the one before it said
         self.shared.handle(PlacementEvent::Identified(value));
-        self.take_word(Told { value: (), word });
+        self.take_word(Reported {
+            value: (),
+            signals: word,
+        });
         self.publish();
     }
 
     async fn read(&mut self) {
-        let told = self.engine.read().await;
+        let told = self.engine.report().await;
         let event = match self.take_word(told) {
             Ok(report) => {
                 if !self.is_reachable {
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -18,7 +18,7 @@
         runtime::run_on_one_thread, settings::SettingsReloader, signals::stop_signal,
     },
     chalkcart_protocol::wire::WireVersion,
-    chalkcart_transport::{metadata::MetadataSource, orders::OrderedEngine, server},
+    chalkcart_transport::{metadata::MetadataSource, orders::EngineControl, server},
     std::{
         sync::Arc,
         time::{Duration, SystemTime, UNIX_EPOCH},
@@ -30,7 +30,7 @@
 pub fn serve(
     settings: PlacementSettings,
     follower: SettingsReloader,
-    engine: Arc<dyn OrderedEngine>,
+    engine: Arc<dyn EngineControl>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
     let (name, log) = (settings.name.clone(), settings.log.clone());
@@ -40,7 +40,7 @@
 async fn run(
     settings: PlacementSettings,
     follower: SettingsReloader,
-    engine: Arc<dyn OrderedEngine>,
+    engine: Arc<dyn EngineControl>,
     store: Option<Arc<dyn MetadataSource>>,
 ) -> Result<()> {
     log::info!(
--- a/transport/src/orders/ordered_engine.rs
+++ b/transport/src/orders/engine_control.rs
@@ -10,17 +10,17 @@
 
 /// what came of a call to an engine, and what the engine said of itself besides
 #[derive(Debug, Clone)]
-pub struct Told<T> {
+pub struct Reported<T> {
     pub value: T,
     /// none if no answer came
-    pub word: Option<BackendSignals>,
+    pub signals: Option<BackendSignals>,
 }
 
 /// an engine that a sidecar gives orders to
 #[async_trait]
-pub trait OrderedEngine: Send + Sync {
-    async fn read(&self) -> Told<Result<EngineReport, ClientError>>;
+pub trait EngineControl: Send + Sync {
+    async fn report(&self) -> Reported<Result<EngineReport, ClientError>>;
     /// which incarnation it is; none if it does not say
-    async fn identity(&self, health_path: &str) -> Told<Option<BackendName>>;
-    async fn order(&self, order: &EngineOrder) -> Told<OrderAnswer>;
+    async fn identity(&self, health_path: &str) -> Reported<Option<BackendName>>;
+    async fn order(&self, order: &EngineOrder) -> Reported<OrderAnswer>;
 }
--- a/transport/src/orders/mod.rs
+++ b/transport/src/orders/mod.rs
@@ -1,5 +1,5 @@
 //! orders to an engine, and what it says of itself
 
-mod ordered_engine;
+mod engine_control;
 
-pub use ordered_engine::{OrderedEngine, Told};
+pub use engine_control::{EngineControl, Reported};
