--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -107,13 +107,13 @@
         self.tell(DispatchEvent::ViewReceived { addr: engine, view });
     }
     /// figures wait here, without waking the control thread
-    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
+    fn on_stats(&self, _engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
         self.figures.put(backend, figures);
     }
-    fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
+    fn on_unresponsive(&self, _engine: SocketAddr, backend: &BackendId) {
         self.tell(DispatchEvent::ViewLost(backend.clone()));
     }
-    fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
+    fn on_demand_result(&self, engine: SocketAddr, is_taken: bool) {
         self.tell(DispatchEvent::DemandSent {
             addr: engine,
             is_accepted: is_taken,
--- a/entry/src/ingress/fleet_links.rs
+++ b/entry/src/ingress/fleet_links.rs
@@ -52,10 +52,10 @@
     pub fn follow(&mut self, engines: Vec<RelayCandidate>) {
         if !self.wants_relay(engines.len()) {
             self.relay = None;
-            self.direct.follow(engines.iter().map(|c| c.engine));
+            self.direct.set_engines(engines.iter().map(|c| c.engine));
             return;
         }
-        self.direct.follow(iter::empty());
+        self.direct.set_engines(iter::empty());
         let relay = self.relay.get_or_insert_with(|| {
             RelayLink::open(&self.runtime, &self.settings, self.control.clone())
         });
@@ -74,7 +74,7 @@
     pub fn send(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
         match &mut self.relay {
             Some(relay) => relay.send(engine, demand),
-            None => self.direct.send(engine, demand, now),
+            None => self.direct.send_demand(engine, demand, now),
         }
     }
 }
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -201,7 +201,7 @@
             EngineViewState::View(ViewUpdate::Figures(mut figures)) => {
                 figures.age_ms = age_ms;
                 if let Some(view) = self.views.get(&engine) {
-                    self.control.on_figures(engine, &view.backend, figures);
+                    self.control.on_stats(engine, &view.backend, figures);
                 }
             }
             EngineViewState::View(update) => {
@@ -225,7 +225,7 @@
 
     fn forget(&mut self, engine: SocketAddr) {
         if let Some(view) = self.views.remove(&engine) {
-            self.control.on_silent(engine, &view.backend);
+            self.control.on_unresponsive(engine, &view.backend);
         }
     }
 }
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -132,17 +132,17 @@
         let is_urgent = self.book().on_view(engine, view, clock::now());
         self.wake(is_urgent);
     }
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
+    fn on_stats(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats) {
         let now = clock::now();
         let is_urgent = self.book().on_stats(engine, backend, figures, now);
         self.wake(is_urgent);
     }
-    fn on_silent(&self, engine: SocketAddr, _backend: &BackendId) {
+    fn on_unresponsive(&self, engine: SocketAddr, _backend: &BackendId) {
         self.book().on_unresponsive(engine, clock::now());
         self.wake(true);
     }
     /// entries that hear by a relay learn it from what engines answer
-    fn on_demanded(&self, _engine: SocketAddr, _is_taken: bool) {}
+    fn on_demand_result(&self, _engine: SocketAddr, _is_taken: bool) {}
 }
 
 fn encoded(update: &RelayUpdate, form: WireEncoding) -> Option<Bytes> {
--- a/sidecar/src/relay/pump.rs
+++ b/sidecar/src/relay/pump.rs
@@ -28,12 +28,12 @@
             let book = hub.book();
             log::info!(entries = book.entry_count(), engines = book.engines().count();
                 "relay: engines to follow changed");
-            links.follow(book.engines());
+            links.set_engines(book.engines());
         }
         for (engine, demand) in hub.book().take_due_demands() {
-            links.send(engine, demand, now);
+            links.send_demand(engine, demand, now);
         }
-        links.keep_alive(now);
+        links.send_keep_alives(now);
         if hub.take_urgency() || now.saturating_duration_since(told) >= FIGURES_EVERY {
             told = now;
             hub.tell_news(now);
--- a/transport/src/links/sidecar_links.rs
+++ b/transport/src/links/sidecar_links.rs
@@ -69,7 +69,7 @@
     }
 
     /// hold a link to the sidecar of each of these engines, and no other
-    pub fn follow(&mut self, engines: impl Iterator<Item = SocketAddr>) {
+    pub fn set_engines(&mut self, engines: impl Iterator<Item = SocketAddr>) {
         let addrs: HashSet<SocketAddr> = engines.collect();
         self.links.retain(|addr, _| addrs.contains(addr));
         for addr in addrs {
@@ -81,7 +81,7 @@
     }
 
     /// tell the sidecar of an engine what is needed of it, unless it knows
-    pub fn send(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
+    pub fn send_demand(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
         let Some(link) = self.links.get_mut(&engine) else {
             return;
         };
@@ -97,7 +97,7 @@
     }
 
     /// repeat what sidecars know already, as a sign of life
-    pub fn keep_alive(&mut self, now: Instant) {
+    pub fn send_keep_alives(&mut self, now: Instant) {
         let due = self.links.values_mut().filter(|link| link.is_due(now));
         for link in due.filter(|link| link.demand.borrow().is_some()) {
             link.sent_at = Some(now);
@@ -135,7 +135,7 @@
         };
         if !backend.is_empty() {
             log::warn!("links: sidecar {sidecar} lost: {e}");
-            sink.on_silent(engine, &backend);
+            sink.on_unresponsive(engine, &backend);
         }
         let is_read = !backend.is_empty() || e.step != ClientStep::Decode;
         pause = match is_read {
@@ -168,7 +168,7 @@
         let update = update?;
         match update {
             ViewUpdate::Figures(figures) => {
-                sink.on_figures(engine, backend, figures);
+                sink.on_stats(engine, backend, figures);
                 continue;
             }
             ViewUpdate::Unknown => continue,
@@ -207,7 +207,7 @@
             Ok(_) => {
                 log::info!("links: sidecar {sidecar} takes demands again");
                 was_taken = true;
-                sink.on_demanded(engine, true);
+                sink.on_demand_result(engine, true);
             }
             Err(e) => {
                 if was_taken {
@@ -215,7 +215,7 @@
                 }
                 was_taken = false;
                 // each failure is told: the engine may be another one by then
-                sink.on_demanded(engine, false);
+                sink.on_demand_result(engine, false);
                 sleep(RETRY).await;
                 demands.mark_changed();
             }
--- a/transport/src/links/view_sink.rs
+++ b/transport/src/links/view_sink.rs
@@ -8,10 +8,10 @@
 pub trait ViewSink: Send + Sync {
     fn on_view(&self, engine: SocketAddr, view: EngineView);
     /// nothing but these figures has changed
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats);
+    fn on_stats(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats);
     /// the sidecar is silent; `backend` is what it spoke of
-    fn on_silent(&self, engine: SocketAddr, backend: &BackendId);
+    fn on_unresponsive(&self, engine: SocketAddr, backend: &BackendId);
     /// whether the sidecar has taken the newest demand: each time that it has not, and when
     /// it has again
-    fn on_demanded(&self, engine: SocketAddr, is_taken: bool);
+    fn on_demand_result(&self, engine: SocketAddr, is_accepted: bool);
 }
