--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -5,7 +5,9 @@
         control::{ControlHandle, EntryEvent},
     },
     chalkcart_coordination::membership::select_permit_issuer,
-    chalkcart_transport::{client::PeerClient, metrics::RequestMetrics, server::pages::Observed},
+    chalkcart_transport::{
+        client::PeerClient, metrics::RequestMetrics, server::pages::ProcessStatus,
+    },
     std::{
         net::SocketAddr,
         sync::atomic::{AtomicBool, Ordering},
@@ -62,7 +64,7 @@
     }
 }
 
-impl Observed for Shared {
+impl ProcessStatus for Shared {
     fn metrics_text(&self) -> String {
         self.metrics.text()
     }
--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -148,7 +148,7 @@
             cause = e.to_string().as_str(); "crashes: no answer");
         let now = clock::now();
         match present.heard {
-            _ if e.proves_other_build() => self.choice().on_unsupported(present.engine, now),
+            _ if e.is_unsupported_by_peer() => self.choice().on_unsupported(present.engine, now),
             Some(_) => self.choice().on_timeout(present.engine, now),
             None => self.choice().on_failure(present.engine, now),
         }
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/exchange.rs
@@ -421,7 +421,7 @@
             return;
         }
         word.codes()
-            .for_each(|code| self.shared.metrics.on_backend_word(code));
+            .for_each(|code| self.shared.metrics.on_backend_signal(code));
         log::info!(
             request = self.accepted.head.id.as_str(),
             backend = backend.as_str(),
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/intake_exchange.rs
@@ -54,7 +54,7 @@
 fn no_deal(dealer: SocketAddr, e: &ClientError) -> PermitError {
     log::warn!(dealer = dealer.to_string().as_str(), cause = e.to_string().as_str();
         "intake: no answer");
-    match e.proves_other_build() {
+    match e.is_unsupported_by_peer() {
         true => PermitError::Unsupported,
         false => PermitError::NoResponse,
     }
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -133,7 +133,7 @@
             return Ok(None);
         };
         let judged = self.shared.admission.ages(account.fingerprint);
-        self.shared.metrics.on_judged(judged.0, judged.1);
+        self.shared.metrics.on_decision_inputs(judged.0, judged.1);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
@@ -159,7 +159,7 @@
 
     /// a client has set what is not its own to set; its request goes on without
     fn note_withheld(&self, request: &str, names: &[HeaderName]) {
-        self.shared.metrics.on_withheld(names.len());
+        self.shared.metrics.on_headers_removed(names.len());
         let names = names.iter().take(MAX_NAMES_LOGGED);
         let names: Vec<&str> = names.map(HeaderName::as_str).collect();
         log::info!(
@@ -240,7 +240,7 @@
 
 #[async_trait]
 impl IngressService for RoutedIngress {
-    async fn answer(&self, req: ClientRequest) -> ClientResponse {
+    async fn respond(&self, req: ClientRequest) -> ClientResponse {
         let mut response = match self.accept(req).await {
             Ok(accepted) => self.exchange(accepted).await,
             Err(response) => response,
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -14,7 +14,7 @@
         clock,
         ingress::{Dialect, Phase},
         metrics::IngressMetrics,
-        server::pages::Observed,
+        server::pages::ProcessStatus,
     },
     std::{
         collections::HashMap,
@@ -131,7 +131,7 @@
     }
 }
 
-impl Observed for Shared {
+impl ProcessStatus for Shared {
     fn metrics_text(&self) -> String {
         self.metrics.on_waiting(self.control.waiting());
         self.metrics.text()
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -63,7 +63,7 @@
             limits.on_response(&report, &answer, now);
             shared
                 .metrics
-                .on_usage_answer(answer.entries, report.entries);
+                .on_usage_response(answer.entries, report.entries);
             Some(true)
         }
         Err(e) => {
--- a/entry/src/rpc/admission.rs
+++ b/entry/src/rpc/admission.rs
@@ -12,7 +12,7 @@
         config::{Configuration, ResolvedAdapter},
         ids::{ClassName, GroupName, ReservedId},
     },
-    chalkcart_transport::{clock, server::pages::Observed},
+    chalkcart_transport::{clock, server::pages::ProcessStatus},
     std::{sync::Arc, time::Duration},
     tonic::Status,
 };
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -119,7 +119,7 @@
 
     fn read_engine(&self) {
         self.with_engine(|engine| async move {
-            let status = engine.read().await;
+            let status = engine.status().await;
             if let Err(e) = &status {
                 log::debug!("engine: not read: {e}");
             }
--- a/sidecar/src/app/shared.rs
+++ b/sidecar/src/app/shared.rs
@@ -4,7 +4,7 @@
     arc_swap::ArcSwap,
     chalkcart_coordination::sidecar::SidecarEvent,
     chalkcart_protocol::peer::{Outcome, ReserveAnswer, TargetReport},
-    chalkcart_transport::{metrics::RequestMetrics, server::pages::Observed},
+    chalkcart_transport::{metrics::RequestMetrics, server::pages::ProcessStatus},
     std::sync::{
         atomic::{AtomicBool, Ordering},
         mpsc, Arc,
@@ -54,7 +54,7 @@
     }
 }
 
-impl Observed for Shared {
+impl ProcessStatus for Shared {
     fn metrics_text(&self) -> String {
         self.metrics.text()
     }
--- a/testkit/examples/experiment/overhead.rs
+++ b/testkit/examples/experiment/overhead.rs
@@ -91,7 +91,7 @@
 impl Direct {
     async fn start(stand_in: &EngineStandIn, documents: &Documents) -> Result<Self> {
         let engine = HttpEngine::new(stand_in.addr());
-        let incarnation = engine.read().await?.incarnation;
+        let incarnation = engine.status().await?.incarnation;
         let order = OrderFence {
             incarnation,
             fence: FENCE,
--- a/testkit/tests/interface_contracts.rs
+++ b/testkit/tests/interface_contracts.rs
@@ -68,7 +68,7 @@
     let stand_in = EngineStandIn::start(settings, store.clone()).await?;
     let engine = HttpEngine::new(stand_in.addr());
     let order = OrderFence {
-        incarnation: engine.read().await?.incarnation,
+        incarnation: engine.status().await?.incarnation,
         fence: FENCE,
     };
     engine.take_fence(order).await?;
@@ -164,7 +164,7 @@
     let (stand_in, engine, order, _store) = fenced_engine().await?;
     engine.load(order, &key(1)).await?;
     stand_in.restart();
-    let status = engine.read().await?;
+    let status = engine.status().await?;
     assert_ne!(status.incarnation, order.incarnation);
     assert!(status.loaded.is_empty());
     assert_eq!(
@@ -191,7 +191,7 @@
     let mut long = engine.generate(order, &run(1, "long", 10_000)).await?;
     long.next().await.expect("a token")?;
     engine.cancel(&"long".to_string()).await?;
-    assert!(engine.read().await?.running.is_empty());
+    assert!(engine.status().await?.running.is_empty());
     engine.cancel(&"long".to_string()).await?;
     engine.cancel(&"never sent".to_string()).await?;
     Ok(())
--- a/transport/src/client/errors.rs
+++ b/transport/src/client/errors.rs
@@ -42,7 +42,7 @@
         matches!(self.step, ClientStep::Connect | ClientStep::Refused)
     }
     /// the peer's build does not know this matter, and will not until it is replaced
-    pub fn proves_other_build(&self) -> bool {
+    pub fn is_unsupported_by_peer(&self) -> bool {
         self.step == ClientStep::UnknownPath
     }
     /// nobody listens at the peer's address
--- a/transport/src/engine/engine_client.rs
+++ b/transport/src/engine/engine_client.rs
@@ -23,7 +23,7 @@
 /// a model engine
 #[async_trait]
 pub trait Engine: Send + Sync {
-    async fn read(&self) -> Result<EngineStatus, EngineError>;
+    async fn status(&self) -> Result<EngineStatus, EngineError>;
     async fn take_fence(&self, order: OrderFence) -> Result<(), EngineError>;
     /// returns when the adapter is loaded
     async fn load(&self, order: OrderFence, adapter: &AdapterKey) -> Result<(), EngineError>;
--- a/transport/src/engine/http_engine.rs
+++ b/transport/src/engine/http_engine.rs
@@ -102,7 +102,7 @@
 
 #[async_trait]
 impl Engine for HttpEngine {
-    async fn read(&self) -> Result<EngineStatus, EngineError> {
+    async fn status(&self) -> Result<EngineStatus, EngineError> {
         let reply = self
             .http
             .get_json::<StatusReply>(self.addr, "/engine/status", ORDER_TIMEOUT)
--- a/transport/src/ingress/server.rs
+++ b/transport/src/ingress/server.rs
@@ -38,7 +38,7 @@
 /// answers clients' requests
 #[async_trait]
 pub trait IngressService: Send + Sync + 'static {
-    async fn answer(&self, req: ClientRequest) -> ClientResponse;
+    async fn respond(&self, req: ClientRequest) -> ClientResponse;
     /// largest head that a client may send, in bytes
     fn max_header_bytes(&self) -> usize;
     /// time to receive a head, from the end of the answer before
@@ -94,7 +94,7 @@
         .max_buf_size(service.max_header_bytes().max(MIN_HEAD_BUFFER));
     let handled = service_fn(move |req| {
         let service = service.clone();
-        async move { Ok::<_, Infallible>(service.answer(req).await) }
+        async move { Ok::<_, Infallible>(service.respond(req).await) }
     });
     let connection = builder.serve_connection(TokioIo::new(socket), handled);
     tokio::pin!(connection);
--- a/transport/src/metrics/bounded_names.rs
+++ b/transport/src/metrics/bounded_names.rs
@@ -23,7 +23,7 @@
     }
 
     /// the name under which this one counts
-    pub fn counted_as(&self, name: &str) -> String {
+    pub fn label_for(&self, name: &str) -> String {
         // no holder panics halfway through a change
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         if named.len() < self.most {
--- a/transport/src/metrics/ingress_metrics.rs
+++ b/transport/src/metrics/ingress_metrics.rs
@@ -138,7 +138,7 @@
         }
     }
     /// headers of clients that were not passed on
-    pub fn on_withheld(&self, headers: usize) {
+    pub fn on_headers_removed(&self, headers: usize) {
         self.withheld.inc_by(headers as u64);
     }
     /// a record of the platform's store could not be read
@@ -147,7 +147,7 @@
     }
     /// a request of an account was beyond its limit, by a keeper's word or without one
     pub fn on_over_limit(&self, account: &str, by_word: bool) {
-        let account = self.named_accounts.counted_as(account);
+        let account = self.named_accounts.label_for(account);
         let by_word = u8::from(by_word);
         let label = AccountLabel { account, by_word };
         self.over_limit.get_or_create(&label).inc();
@@ -155,7 +155,7 @@
     /// An answer of a back end had a header that this build does not know. Says whether it
     /// counts under its own name.
     pub fn on_unknown_header(&self, name: &str) -> bool {
-        let header = self.named_headers.counted_as(name);
+        let header = self.named_headers.label_for(name);
         let is_named = header == name;
         let label = HeaderLabel { header };
         self.unknown_headers.get_or_create(&label).inc();
@@ -163,13 +163,13 @@
     }
     /// no region in which a request of an account may be served had a back end for it
     pub fn on_outside_regions(&self, account: &str) {
-        let account = self.named_accounts.counted_as(account);
+        let account = self.named_accounts.label_for(account);
         let label = AccountNameLabel { account };
         self.outside_regions.get_or_create(&label).inc();
     }
     /// a request was judged by a configuration, and a limit by a keeper's word, of these
     /// ages
-    pub fn on_judged(&self, configuration: Option<Duration>, limit: Option<Duration>) {
+    pub fn on_decision_inputs(&self, configuration: Option<Duration>, limit: Option<Duration>) {
         for (what, age) in [("configuration", configuration), ("limit", limit)] {
             if let Some(age) = age {
                 observe(&self.knowledge_age, what, age);
@@ -177,7 +177,7 @@
         }
     }
     /// the keeper of limits has answered, and hears so many of the fleet's entries
-    pub fn on_usage_answer(&self, heard: u32, of: u32) {
+    pub fn on_usage_response(&self, heard: u32, of: u32) {
         self.keeper_entries.set(i64::from(heard));
         self.fleet_entries.set(i64::from(of));
     }
@@ -185,7 +185,7 @@
         self.sends.get_or_create(&CodeLabel { code }).inc();
     }
     /// a back end said this of itself in the head of an answer
-    pub fn on_backend_word(&self, code: &'static str) {
+    pub fn on_backend_signal(&self, code: &'static str) {
         self.backend_words.get_or_create(&CodeLabel { code }).inc();
     }
     /// the first part of an answer, or the whole of one, after this time
--- a/transport/src/server/pages.rs
+++ b/transport/src/server/pages.rs
@@ -7,7 +7,7 @@
 };
 
 /// a process that its operators can look at
-pub trait Observed: Send + Sync + 'static {
+pub trait ProcessStatus: Send + Sync + 'static {
     /// the text of `/metrics`
     fn metrics_text(&self) -> String;
     /// whether it takes new work
@@ -15,7 +15,7 @@
 }
 
 /// `/metrics`
-pub async fn metrics<T: Observed>(state: State) -> HandlerResult {
+pub async fn metrics<T: ProcessStatus>(state: State) -> HandlerResult {
     let text = SharedData::<T>::of(&state).metrics_text();
     Ok((state, text_reply(StatusCode::OK, text)))
 }
@@ -26,7 +26,7 @@
 }
 
 /// `/readyz`: the process takes new work
-pub async fn readyz<T: Observed>(state: State) -> HandlerResult {
+pub async fn readyz<T: ProcessStatus>(state: State) -> HandlerResult {
     let reply = match SharedData::<T>::of(&state).is_ready() {
         true => text_reply(StatusCode::OK, "ready\n"),
         false => text_reply(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
