--- a/transport/src/backend/mod.rs
+++ b/transport/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! requests to back ends, one connection each
+//! Requests to back ends, each on its own connection.
 
 mod sender;
 
--- a/transport/src/backend/sender.rs
+++ b/transport/src/backend/sender.rs
@@ -10,7 +10,7 @@
     tokio::{net::TcpStream, task::JoinHandle, time::timeout},
 };
 
-/// a connection to a back end that serves one request; closed when dropped
+/// A connection to a back end that carries one request and is closed when dropped.
 #[derive(Debug)]
 pub struct Connection(JoinHandle<()>);
 
@@ -20,39 +20,40 @@
     }
 }
 
-/// the head of a back end's answer, with what its body needs
+/// The head of a back end's response, with the connection that its body is read from.
 #[derive(Debug)]
 pub struct BackendResponse {
     pub response: Response<Incoming>,
     pub connection: Connection,
 }
 
-/// a send that brought no answer
+/// A send that brought no response.
 #[derive(Debug, Error)]
 pub enum BackendSendError {
-    /// nothing was sent: the request did not run
+    /// Nothing was sent, so the request did not run.
     #[error("connect to {addr}: {problem}")]
     NotSent { addr: SocketAddr, problem: String },
-    /// it may have run
-    #[error("answer of {addr}: {problem}")]
+    /// The connection failed after the request was sent, which may have run.
+    #[error("response from {addr}: {problem}")]
     Lost { addr: SocketAddr, problem: String },
 }
 
-/// send one request on a connection of its own, and return once the head of
-/// the answer is there.
+/// Sends one request on a new connection, and returns when the head of the
+/// response has arrived.
 ///
-/// A kept connection could carry the rest of an earlier answer, or be closed
-/// under the request; docs/design/platform.md has the price of a new one.
+/// A reused connection could still carry the end of an earlier response, or be
+/// closed by the back end while the request is sent; docs/design/platform.md
+/// has the cost of a new one.
 pub async fn send(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 ) -> Result<BackendResponse, BackendSendError> {
     let not_sent = |problem: String| BackendSendError::NotSent { addr, problem };
-    let stream = connect(addr, connect_limit).await;
+    let stream = connect(addr, connect_timeout).await;
     let stream = stream.map_err(|e| not_sent(e.to_string()))?;
-    let made = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = made.map_err(|e| not_sent(e.to_string()))?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(|e| not_sent(e.to_string()))?;
     let connection = Connection(tokio::spawn(async move {
         if let Err(e) = connection.await {
             log::debug!("backend: connection to {addr} ended: {e}");
@@ -70,8 +71,8 @@
     }
 }
 
-async fn connect(addr: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
-    let connected = timeout(limit, TcpStream::connect(addr)).await;
+async fn connect(addr: SocketAddr, max_duration: Duration) -> io::Result<TcpStream> {
+    let connected = timeout(max_duration, TcpStream::connect(addr)).await;
     let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     tune_stream(&stream);
     Ok(stream)
--- a/transport/src/client/errors.rs
+++ b/transport/src/client/errors.rs
@@ -3,24 +3,24 @@
     thiserror::Error,
 };
 
-/// how far a call came
+/// The step at which a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientStep {
-    /// no connection: the peer has seen nothing
+    /// No connection was made, so the peer has not seen the call.
     Connect,
-    /// the same, as nobody listens there: its machine lives, and said so
+    /// The peer's box is up and refused the connection: no process listens on the port.
     Refused,
-    /// the request may have reached the peer
+    /// The request may have reached the peer.
     Send,
-    /// the answer broke off
+    /// The response ended early.
     Receive,
-    /// the answer can't be read
+    /// The response can't be decoded.
     Decode,
-    /// the peer's build does not know the path
+    /// The peer's build does not serve the path.
     UnknownPath,
 }
 
-/// a call that failed, with the step and the peer
+/// A failed call, with the step and the peer.
 #[derive(Debug, Clone, Error)]
 #[error("{step} {peer}: {detail}")]
 pub struct ClientError {
@@ -37,15 +37,15 @@
             detail: cause.to_string(),
         }
     }
-    /// the peer can't have acted on the call
+    /// Whether the peer can't have acted on the call.
     pub fn proves_not_sent(&self) -> bool {
         matches!(self.step, ClientStep::Connect | ClientStep::Refused)
     }
-    /// the peer's build does not know this matter, and will not until it is replaced
+    /// Whether the peer's build does not serve the path, which lasts until it is replaced.
     pub fn is_unsupported_by_peer(&self) -> bool {
         self.step == ClientStep::UnknownPath
     }
-    /// nobody listens at the peer's address
+    /// Whether no process listens at the peer's address.
     pub fn proves_no_listener(&self) -> bool {
         self.step == ClientStep::Refused
     }
--- a/transport/src/client/http_client.rs
+++ b/transport/src/client/http_client.rs
@@ -14,17 +14,17 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// shorter than any server of ours keeps an idle connection
-const POOL_IDLE: Duration = Duration::from_secs(5);
+/// Shorter than the idle timeout of any chalkcart server.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// a status and a decoded JSON body
+/// A status and a decoded JSON body.
 #[derive(Debug)]
 pub struct JsonReply<T> {
     pub status: StatusCode,
     pub body: T,
 }
 
-/// a pooled HTTP/1 client that tells whether a call can have been seen
+/// A pooled HTTP/1 client whose errors tell whether the peer can have seen the call.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -43,14 +43,14 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(POOL_IDLE)
-            // a repeat is for the caller to decide
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            // only the caller knows whether the request may be repeated
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// send a request and return once the head of the answer is there
+    /// Sends a request, and returns when the head of the response has arrived.
     pub async fn send(
         &self,
         peer: SocketAddr,
@@ -71,8 +71,8 @@
         self.request(peer, req).await
     }
 
-    /// send a request whose URI names the peer, and return once the head of the
-    /// answer is there
+    /// Sends a request whose URI names the peer, and returns when the head of the
+    /// response has arrived.
     pub async fn request(
         &self,
         peer: SocketAddr,
@@ -88,7 +88,7 @@
         })
     }
 
-    /// exchange whole bodies within a time limit
+    /// Sends a request and reads the complete response within a time limit.
     pub async fn exchange(
         &self,
         peer: SocketAddr,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// post JSON and read JSON
+    /// Posts a JSON message and decodes the JSON response.
     pub async fn post_json<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -137,7 +137,6 @@
         decode_json(peer, status, &body)
     }
 
-    /// get JSON
     pub async fn get_json<A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -174,14 +173,14 @@
     Ok(JsonReply { status, body })
 }
 
-/// whether an error comes from a port at which nobody listens
+/// Whether an error or one of its causes is a refused connection.
 fn is_refused(e: &(dyn Error + 'static)) -> bool {
     let io = e.downcast_ref::<io::Error>();
-    let is_own = io.is_some_and(|io| io.kind() == io::ErrorKind::ConnectionRefused);
-    is_own || e.source().is_some_and(is_refused)
+    let is_refusal = io.is_some_and(|io| io.kind() == io::ErrorKind::ConnectionRefused);
+    is_refusal || e.source().is_some_and(is_refused)
 }
 
-/// an error with its causes
+/// Formats an error with its causes.
 fn detail(e: &dyn Error) -> String {
     match e.source() {
         Some(source) => format!("{e}: {}", detail(source)),
--- a/transport/src/client/mod.rs
+++ b/transport/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP clients
+//! HTTP clients for services and for chalkcart's own processes.
 
 mod errors;
 mod http_client;
--- a/transport/src/client/peer_client.rs
+++ b/transport/src/client/peer_client.rs
@@ -18,13 +18,13 @@
 
 const MESSAGE_TYPE: &str = "application/msgpack";
 
-/// messages as they come in
+/// Messages as they arrive.
 pub type MessageStream<A> = Pin<Box<dyn Stream<Item = Result<A, ClientError>> + Send>>;
-/// frames of an answer as they come in
+/// Frames of a response as they arrive.
 pub type FrameStream = MessageStream<Frame>;
 
-/// Calls between chalkcart's own processes, whose builds may differ: each side says its wire
-/// version with each call and each answer.
+/// A client for calls between chalkcart's own processes. Their builds may differ, so each
+/// request and response carries the sender's wire version.
 #[derive(Debug, Clone, Default)]
 pub struct PeerClient {
     http: HttpClient,
@@ -36,12 +36,12 @@
         Self::default()
     }
 
-    /// what a peer said of itself with its last answer
+    /// Returns the wire version in a peer's last response.
     pub fn version(&self, peer: SocketAddr) -> Option<WireVersion> {
         self.encodings.version(peer)
     }
 
-    /// send a message and read the answer
+    /// Sends a message and decodes the response.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -50,40 +50,40 @@
         limit: Duration,
     ) -> Result<A, ClientError> {
         let call = async {
-            let response = self.post_read(peer, path, message).await?;
+            let response = self.post_with_fallback(peer, path, message).await?;
             let body = response.into_body().collect().await;
             let body = body.map_err(|e| ClientError::new(ClientStep::Receive, peer, e))?;
-            decode(&body.to_bytes()).map_err(|e| self.not_decoded(peer, e))
+            decode(&body.to_bytes()).map_err(|e| self.decode_error(peer, e))
         };
-        let late = |_| {
+        let timed_out = |_| {
             let detail = format!("no answer within {} ms", limit.as_millis());
             ClientError::new(ClientStep::Send, peer, detail)
         };
-        timeout(limit, call).await.map_err(late)?
+        timeout(limit, call).await.map_err(timed_out)?
     }
 
-    /// send a message and read frames until the peer ends the stream
+    /// Sends a message and reads frames until the peer ends the stream.
     pub async fn stream<Q: Serialize, A: DeserializeOwned + 'static>(
         &self,
         peer: SocketAddr,
         path: &str,
         message: &Q,
     ) -> Result<MessageStream<A>, ClientError> {
-        let response = self.post_read(peer, path, message).await?;
+        let response = self.post_with_fallback(peer, path, message).await?;
         let data = response.into_body().into_data_stream();
         let reader = StreamReader::new(data.map_err(io::Error::other));
         let frames = FramedRead::new(reader, frame_codec());
         let client = self.clone();
         let decoded = frames.map(move |frame| {
             let frame = frame.map_err(|e| ClientError::new(ClientStep::Receive, peer, e))?;
-            decode(&frame).map_err(|e| client.not_decoded(peer, e))
+            decode(&frame).map_err(|e| client.decode_error(peer, e))
         });
         Ok(Box::pin(decoded))
     }
 
-    /// Post a message, in the other form of builds that say no version if the peer can't
-    /// read the first one. Gives an answer of success.
-    async fn post_read<Q: Serialize>(
+    /// Posts a message and returns a successful response. A peer that reports no wire version
+    /// and rejects the message gets it once more in the other encoding of such builds.
+    async fn post_with_fallback<Q: Serialize>(
         &self,
         peer: SocketAddr,
         path: &str,
@@ -116,8 +116,8 @@
         Ok(response)
     }
 
-    /// with both versions, so that a log tells which builds do not understand each other
-    fn not_decoded(&self, peer: SocketAddr, e: impl std::fmt::Display) -> ClientError {
+    /// Names both wire versions, so that a log shows which builds are incompatible.
+    fn decode_error(&self, peer: SocketAddr, e: impl std::fmt::Display) -> ClientError {
         let own = WireVersion::CURRENT;
         let detail = match self.version(peer) {
             Some(version) => format!("{e} (its wire version {version}, own {own})"),
@@ -136,7 +136,7 @@
         .body(Full::new(body))
 }
 
-/// the wire version that a head says; one that can't be read counts as none
+/// Returns the wire version in a head, or `None` if it is absent or malformed.
 pub fn peer_version(headers: &HeaderMap) -> Option<WireVersion> {
     headers.get(PEER_VERSION)?.to_str().ok()?.parse().ok()
 }
--- a/transport/src/client/peer_encodings.rs
+++ b/transport/src/client/peer_encodings.rs
@@ -7,20 +7,20 @@
     },
 };
 
-/// what is known of how each peer writes
+/// The message encoding that each peer reads.
 #[derive(Debug, Clone, Default)]
 pub struct PeerEncodings(Arc<Mutex<HashMap<SocketAddr, PeerEncoding>>>);
 
 #[derive(Debug, Clone, Copy, Default)]
 struct PeerEncoding {
-    /// none before an answer, and of a build that says none
+    /// `None` before the first response, and for a build that reports no version.
     version: Option<WireVersion>,
-    /// it reads lives as texts only
+    /// The peer reads backend ids as text only.
     has_text_ids: bool,
 }
 
 impl PeerEncodings {
-    /// the form of messages to a peer
+    /// Returns the encoding of messages to a peer.
     pub fn encoding_for(&self, peer: SocketAddr) -> WireEncoding {
         let known = self.peers().get(&peer).copied().unwrap_or_default();
         match (known.version, known.has_text_ids) {
@@ -31,12 +31,12 @@
     pub fn version(&self, peer: SocketAddr) -> Option<WireVersion> {
         self.peers().get(&peer)?.version
     }
-    /// A peer has answered. It may be another build than before, and says so each time.
+    /// Records the version in a response: a peer may restart as another build.
     pub fn on_response(&self, peer: SocketAddr, version: Option<WireVersion>) {
         self.peers().entry(peer).or_default().version = version;
     }
-    /// A peer that says no version could not read a message: it is written in the other of
-    /// the two encodings of such builds from now on.
+    /// Switches to the other encoding of builds without a version, after such a peer could
+    /// not decode a message.
     pub fn on_message_rejected(&self, peer: SocketAddr) {
         let mut peers = self.peers();
         let known = peers.entry(peer).or_default();
@@ -44,7 +44,7 @@
     }
 
     fn peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, PeerEncoding>> {
-        // no holder panics halfway through a change
+        // no code panics with the map half changed
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/transport/src/clock/boot_clock.rs
+++ b/transport/src/clock/boot_clock.rs
@@ -4,37 +4,38 @@
     std::time::{Duration, Instant},
 };
 
-/// `CLOCK_BOOTTIME`: steady, and it counts the time for which the machine was suspended
+/// `CLOCK_BOOTTIME`: a monotonic clock that also advances while the machine is suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock {
-    began: Instant,
-    /// what the boot clock showed then
-    shown: Duration,
+    started_at: Instant,
+    /// The boot time at `started_at`.
+    start_boot_time: Duration,
 }
 
 impl BootClock {
     /// # Errors
-    /// the system has no such clock
+    /// Fails if the system has no such clock.
     pub fn new() -> Result<Self, ClockError> {
         Ok(Self {
-            began: Instant::now(),
-            shown: boot_time()?,
+            started_at: Instant::now(),
+            start_boot_time: boot_time()?,
         })
     }
 }
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        // it was read once, so that it can be read; the steady clock is the nearest to it
+        // `new` has read the clock, so an error is not expected; the monotonic clock is the
+        // closest substitute
         match boot_time() {
-            Ok(shown) => self.began + shown.saturating_sub(self.shown),
+            Ok(time) => self.started_at + time.saturating_sub(self.start_boot_time),
             Err(_) => Instant::now(),
         }
     }
 }
 
 fn boot_time() -> Result<Duration, ClockError> {
-    let shown = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    let shown = shown.map_err(|e| ClockError::Unreadable(e.to_string()))?;
-    Ok(Duration::from(shown))
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+    let time = time.map_err(|e| ClockError::Unreadable(e.to_string()))?;
+    Ok(Duration::from(time))
 }
--- a/transport/src/clock/deadlines.rs
+++ b/transport/src/clock/deadlines.rs
@@ -8,32 +8,32 @@
     tokio::time::sleep,
 };
 
-/// A timer that was set before the machine was suspended fires late by the time for which
-/// it was. So no timer is set for longer than this: a deadline that passed meanwhile is seen
-/// that long after the wake at the latest.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// The longest single timer. The runtime's timers stop while the machine is suspended, so a
+/// deadline that passed during a suspension is noticed at most this long after the resume.
+const MAX_TIMER: Duration = Duration::from_secs(1);
 
-/// the deadline passed first
+/// The deadline passed before the awaited value was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the deadline has passed")]
 pub struct DeadlineElapsed;
 
-/// sleep until a deadline, also one that passes while the machine is suspended
+/// Sleeps until a deadline, which may pass while the machine is suspended.
 pub async fn sleep_until_deadline(deadline: Instant) {
     loop {
         let left = deadline.saturating_duration_since(now());
         if left.is_zero() {
             return;
         }
-        sleep(left.min(LOOK_EVERY)).await;
+        sleep(left.min(MAX_TIMER)).await;
     }
 }
 
-/// Wait for something until a deadline, also one that passes while the machine is suspended.
-/// What is there by then is given, also late: it is no use to its caller to throw it away.
+/// Awaits a future until a deadline, which may pass while the machine is suspended.
+///
+/// A value that is ready is returned even if the deadline has passed.
 ///
 /// # Errors
-/// the deadline passed first
+/// Fails if the deadline passes while the future is pending.
 pub async fn before_deadline<T>(
     deadline: Instant,
     future: impl Future<Output = T>,
--- a/transport/src/clock/errors.rs
+++ b/transport/src/clock/errors.rs
@@ -1,6 +1,6 @@
 use thiserror::Error;
 
-/// the clock can't be used
+/// The process's clock can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClockError {
     #[error("the boot clock can't be read: {0}")]
--- a/transport/src/clock/mod.rs
+++ b/transport/src/clock/mod.rs
@@ -1,8 +1,7 @@
-//! the one clock by which leases, fences, ages and deadlines are judged
+//! The clock for leases, fences, ages and deadlines.
 //!
-//! The runtime's timers go by the steady clock, which stands still while the machine is
-//! suspended; so does `Instant::now`. What is believed must not: all of it is dated and
-//! judged by `now` of this module.
+//! The runtime's timers and `Instant::now` use the monotonic clock, which stops while the
+//! machine is suspended. Leases and deadlines must go on, so they use `now` of this module.
 
 mod boot_clock;
 mod deadlines;
@@ -18,7 +17,7 @@
 
 use std::time::Instant;
 
-/// tells the time, on the scale of `Instant`; it never goes back
+/// A clock on the scale of `Instant` that never goes back.
 pub trait Clock: Send + Sync {
     fn now(&self) -> Instant;
 }
--- a/transport/src/clock/process_clock.rs
+++ b/transport/src/clock/process_clock.rs
@@ -6,10 +6,10 @@
     },
 };
 
-/// what stands in for a boot clock that the system does not have
-struct SteadyClock;
+/// The fallback where the system has no boot clock.
+struct MonotonicClock;
 
-impl Clock for SteadyClock {
+impl Clock for MonotonicClock {
     fn now(&self) -> Instant {
         Instant::now()
     }
@@ -17,20 +17,20 @@
 
 static CLOCK: OnceLock<Box<dyn Clock>> = OnceLock::new();
 
-/// have this process go by a clock; before it asks for the time first
+/// Sets the clock of this process. Must be called before the first call of `now`.
 ///
 /// # Errors
-/// the process goes by a clock already
+/// Fails if the process already has a clock.
 pub fn install(clock: Box<dyn Clock>) -> Result<(), ClockError> {
     CLOCK.set(clock).map_err(|_| ClockError::InUse)
 }
 
-/// the time; by the boot clock unless another one was installed
+/// Returns the current time, by the boot clock unless another one was installed.
 pub fn now() -> Instant {
     CLOCK.get_or_init(boot_clock).now()
 }
 
-/// time since a moment, also while the machine was suspended
+/// Returns the time since a moment, including time for which the machine was suspended.
 pub fn elapsed(since: Instant) -> Duration {
     now().saturating_duration_since(since)
 }
@@ -40,7 +40,7 @@
         Ok(clock) => Box::new(clock),
         Err(e) => {
             log::error!("clock: {e}: time spent suspended is not counted");
-            Box::new(SteadyClock)
+            Box::new(MonotonicClock)
         }
     }
 }
--- a/transport/src/engine/engine_client.rs
+++ b/transport/src/engine/engine_client.rs
@@ -8,24 +8,24 @@
     std::pin::Pin,
 };
 
-/// events as the engine sends them: perhaps late, repeated, out of order
+/// Events as the engine sends them: they may be late, repeated or out of order.
 pub type EngineEvents = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>> + Send>>;
 
-/// a request for an engine
+/// A request to run on an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
     pub request: RequestId,
     pub work: GenerateWork,
-    /// 0 is the most urgent
+    /// 0 is the most urgent.
     pub priority: u8,
 }
 
-/// a model engine
+/// A client of a model engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
     async fn status(&self) -> Result<EngineStatus, EngineError>;
     async fn take_fence(&self, order: OrderFence) -> Result<(), EngineError>;
-    /// returns when the adapter is loaded
+    /// Returns when the adapter is loaded.
     async fn load(&self, order: OrderFence, adapter: &AdapterKey) -> Result<(), EngineError>;
     async fn unload(&self, order: OrderFence, adapter: &AdapterKey) -> Result<(), EngineError>;
     async fn generate(
@@ -33,12 +33,12 @@
         order: OrderFence,
         run: &EngineRun,
     ) -> Result<EngineEvents, EngineError>;
-    /// the rest of a stream that broke
+    /// Continues an interrupted stream from a sequence number.
     async fn resume(
         &self,
         request: &RequestId,
         from: Sequence,
     ) -> Result<EngineEvents, EngineError>;
-    /// returns when the request runs no more
+    /// Returns when the request has stopped running.
     async fn cancel(&self, request: &RequestId) -> Result<(), EngineError>;
 }
--- a/transport/src/engine/errors.rs
+++ b/transport/src/engine/errors.rs
@@ -1,20 +1,20 @@
 use {crate::client::ClientError, chalkcart_coordination::sidecar::OrderResult, thiserror::Error};
 
-/// how an order or a run at an engine failed
+/// A failed order to an engine, or a failed run on it.
 #[derive(Debug, Error)]
 pub enum EngineError {
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// the engine refused the fence or the incarnation
+    /// The engine refused the fence or the incarnation.
     #[error("engine refused the fence: {0}")]
     Fenced(String),
-    /// the engine says that it did nothing
+    /// The engine refused the order without effect.
     #[error("engine refused: {0}")]
     Refused(String),
 }
 
 impl EngineError {
-    /// the order can't have been carried out, and never will
+    /// Whether the order was not executed and never will be.
     pub fn proves_not_done(&self) -> bool {
         match self {
             Self::Client(e) => e.proves_not_sent(),
--- a/transport/src/engine/http_engine.rs
+++ b/transport/src/engine/http_engine.rs
@@ -26,14 +26,14 @@
 const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_LINE_BYTES: usize = 1024 * 1024;
 
-/// an engine over HTTP with JSON
+/// An engine that is called over HTTP with JSON bodies.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     http: HttpClient,
     addr: SocketAddr,
 }
 
-/// an order on one adapter
+/// The body of an order for one adapter.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AdapterOrder {
     pub order: FenceBody,
--- a/transport/src/engine/messages.rs
+++ b/transport/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the engines' HTTP interface
+//! JSON bodies of the engines' HTTP interface.
 
 use {
     chalkcart_state::ids::{
@@ -8,7 +8,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// an adapter's version, in orders and in the status
+/// A version of an adapter, in orders and in the engine's status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterBody {
     pub adapter: AdapterName,
@@ -16,7 +16,7 @@
     pub digest: WeightsDigest,
 }
 
-/// `GET /engine/status`
+/// The response to `GET /engine/status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReply {
     pub incarnation: Incarnation,
@@ -28,47 +28,47 @@
     pub running: Vec<RunningBody>,
 }
 
-/// a request that the engine has, whoever ordered it
+/// A request that the engine runs, whichever process ordered it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningBody {
     pub request: RequestId,
     pub adapter: AdapterBody,
 }
 
-/// `POST /engine/fence`, and the head of each order
+/// The body of `POST /engine/fence`, and the first field of each order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceBody {
     pub incarnation: Incarnation,
     pub fence: Fence,
 }
 
-/// `POST /engine/generate`
+/// The body of `POST /engine/generate`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateBody {
     pub order: FenceBody,
     pub request: RequestId,
     pub adapter: AdapterBody,
     pub prompt: String,
-    /// tokens already generated; the answer goes on behind them
+    /// Tokens already generated; the engine continues after them.
     pub generated: Vec<String>,
     pub max_tokens: u32,
     pub priority: u8,
 }
 
-/// `POST /engine/resume`
+/// The body of `POST /engine/resume`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeBody {
     pub request: RequestId,
     pub from: Sequence,
 }
 
-/// `POST /engine/cancel`
+/// The body of `POST /engine/cancel`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelBody {
     pub request: RequestId,
 }
 
-/// where a request stood when it was cancelled
+/// The state of a request when its cancellation arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CancelState {
@@ -77,21 +77,21 @@
     Unknown,
 }
 
-/// answer to a cancel: the request runs no more
+/// The response to a cancellation: the request no longer runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelReply {
     pub state: CancelState,
 }
 
-/// answer to an order
+/// The response to an order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// empty if the order was carried out
+    /// The reason for a refusal; empty if the order was executed.
     #[serde(default)]
     pub refused: String,
 }
 
-/// a line of a stream of tokens
+/// A line of a token stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEvent {
     pub sequence: Sequence,
@@ -99,12 +99,12 @@
     pub body: EventBody,
 }
 
-/// content of a line
+/// The content of a line of a token stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventBody {
     Token(String),
-    /// the end, with what was run
+    /// The end of the stream, with the adapter version that ran.
     Finished(AdapterBody),
     Failed(String),
 }
--- a/transport/src/engine/mod.rs
+++ b/transport/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! model engines
+//! Clients of model engines.
 
 mod engine_client;
 mod errors;
