--- a/transport/src/ingress/dialect.rs
+++ b/transport/src/ingress/dialect.rs
@@ -10,73 +10,73 @@
     thiserror::Error,
 };
 
-/// what a client's head says beyond HTTP
+/// The platform's fields in the head of a client's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
     pub id: String,
-    /// how long the client waits
+    /// How long the client waits for the response.
     pub timeout: Option<Duration>,
-    /// the base model, also of requests without an adapter
+    /// The base model, which requests without an adapter have as well.
     pub model: Option<BaseModelName>,
     pub adapter: Option<AdapterRef>,
-    /// 0 for requests without a prompt
+    /// 0 for a request without a prompt.
     pub prompt_tokens: u32,
     pub output_tokens: u32,
 }
 
-/// what an entry adds when it sends a request on
+/// The fields that an entry adds to a request that it forwards to a back end.
 #[derive(Debug, Clone)]
 pub struct BackendRequestHead<'s> {
-    /// time left
+    /// The time left until the request's deadline.
     pub time_left: Duration,
-    /// the one back end that may run it
+    /// The only back end that may run the request.
     pub backend: &'s BackendName,
-    /// the version of the adapter that must run
+    /// The version of the adapter that must be used.
     pub version: Option<u64>,
-    /// 0 is the most urgent, 9 the least
+    /// From 0, the most urgent, to 9.
     pub urgency: u8,
-    /// the client account that asks
+    /// The client account that sent the request.
     pub account: Option<&'s str>,
 }
 
-/// what a back end's head says beyond HTTP
+/// The platform's fields in the head of a back end's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendResponseHead {
-    /// of the request that it answers
+    /// The id of the request that it answers.
     pub request_id: Option<String>,
-    /// the incarnation that answered, if it says so
+    /// The incarnation that sent the response, if named.
     pub backend: Option<BackendName>,
-    /// it states that the request did not run
+    /// The back end states that the request did not run.
     pub proves_not_run: bool,
-    /// it bears a back end's signature
+    /// The head has a back end's signature.
     pub is_signed: bool,
-    /// the body was encoded on the way
+    /// The body has a content encoding.
     pub is_encoded: bool,
-    /// the back end says that it leaves: it wants no more requests
+    /// The back end is shutting down and accepts no more requests.
     pub is_leaving: bool,
-    /// time after which the request may come again, if it was turned away
+    /// Time after which a rejected request may be repeated.
     pub retry_after: Option<Duration>,
-    /// how many requests the back end takes
+    /// The request rate that the back end accepts.
     pub limit: LimitSignal,
-    /// how much longer the back end is cold, if it says so
+    /// How much longer the back end is in slow start, if reported.
     pub slow_start_left: Option<Duration>,
 }
 
 impl BackendResponseHead {
-    /// what the back end says of itself in an answer of this status
+    /// Returns the back end's signals in a response of this status.
     pub fn signals(&self, status: StatusCode) -> BackendSignals {
-        let turned_away = matches!(
+        let is_rejected = matches!(
             status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
         );
-        let rest = self.retry_after.filter(|_| turned_away);
-        BackendSignals::new(self.is_leaving, rest)
+        let backoff = self.retry_after.filter(|_| is_rejected);
+        BackendSignals::new(self.is_leaving, backoff)
             .with_limit(self.limit)
             .with_slow_start_left(self.slow_start_left)
     }
 }
 
-/// a client's head that can't be used
+/// A malformed head of a client's request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HeadError {
     #[error("no request id")]
@@ -85,23 +85,23 @@
     Value(&'static str, String),
 }
 
-/// the names of headers and paths that clients and back ends speak
+/// The platform's conventions for headers and paths of clients and back ends.
 pub trait Dialect: Send + Sync {
     fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, HeadError>;
-    /// take out of a client's head what only this system and back ends may set;
-    /// gives the names
+    /// Removes headers that clients may not set from a client's head, and returns
+    /// their names.
     fn remove_reserved_headers(&self, headers: &mut HeaderMap) -> Vec<HeaderName>;
-    /// take a client's key out of its head, where requests carry keys; no back end
-    /// is shown one
+    /// Removes the API key from a client's head, as back ends must not see it, and
+    /// returns its digest.
     fn take_api_key(&self, headers: &mut HeaderMap) -> Result<ApiKeyDigest, ApiKeyError>;
     fn write_backend_request(&self, headers: &mut HeaderMap, send: &BackendRequestHead);
-    /// headers that always reach the other end of a request or an answer
+    /// Returns headers that no `Connection` header removes.
     fn end_to_end_headers(&self) -> &'static [HeaderName];
-    /// whether this build knows what a header of this name says in an answer
+    /// Whether this build knows a response header of this name.
     fn is_known_response_header(&self, name: &HeaderName) -> bool;
     fn read_response(&self, headers: &HeaderMap) -> BackendResponseHead;
-    /// mark an answer of our own as one to a request
+    /// Adds the request's id to a response that this process generates itself.
     fn write_local_response(&self, headers: &mut HeaderMap, request_id: &str);
-    /// at which the platform asks whether this process takes connections
+    /// Returns the path of the platform's readiness probe.
     fn readiness_path(&self) -> &'static str;
 }
--- a/transport/src/ingress/headers.rs
+++ b/transport/src/ingress/headers.rs
@@ -1,6 +1,6 @@
 use http::{header, HeaderMap, HeaderName};
 
-/// headers that apply to one connection only
+/// Hop-by-hop headers, which apply to one connection only.
 const CONNECTION_HEADERS: &[HeaderName] = &[
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -14,8 +14,8 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// remove what applies to one connection only, also what the head names so,
-/// except headers that are always meant for the other end
+/// Removes the hop-by-hop headers, including those that `Connection` names, except
+/// end-to-end headers.
 pub fn remove_connection_headers(headers: &mut HeaderMap, end_to_end: &[HeaderName]) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/transport/src/ingress/mod.rs
+++ b/transport/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 from clients: heads, connections, and answers that are passed on
+//! HTTP/1.1 server for clients: heads, connections and proxied responses.
 
 mod dialect;
 mod headers;
--- a/transport/src/ingress/proxy_body.rs
+++ b/transport/src/ingress/proxy_body.rs
@@ -15,35 +15,34 @@
     },
 };
 
-/// how a body that was passed on ended
+/// How a proxied body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyBodyEnd {
     Complete,
-    /// the back end broke it off
+    /// The connection to the back end failed.
     Broken,
-    /// its time ran out
+    /// The deadline passed.
     TimedOut,
-    /// the client left
     ClientDisconnected,
 }
 
-/// is told how a body goes
+/// Observes the progress of a proxied body.
 pub trait ProxyBodyObserver: Send + Sync {
-    /// the first part came
+    /// The first frame has arrived.
     fn on_first_frame(&mut self);
-    /// called once, with the longest pause between two parts
+    /// The body has ended; called once, with the longest pause between two frames.
     fn on_end(&mut self, end: ProxyBodyEnd, longest_pause: Duration);
 }
 
-/// a back end's body on its way to the client, part by part.
+/// A back end's response body that is forwarded to the client frame by frame.
 ///
-/// When it is dropped, the connection to the back end is closed.
+/// Dropping it closes the connection to the back end.
 pub struct ProxyBody {
     body: Incoming,
     _connection: Connection,
     deadline: Instant,
     timer: Pin<Box<dyn Future<Output = ()> + Send + Sync>>,
-    last: Option<Instant>,
+    last_frame_at: Option<Instant>,
     longest_pause: Duration,
     observer: Box<dyn ProxyBodyObserver>,
     has_ended: bool,
@@ -61,7 +60,7 @@
             _connection: connection,
             deadline,
             timer: Box::pin(sleep_until_deadline(deadline)),
-            last: None,
+            last_frame_at: None,
             longest_pause: Duration::ZERO,
             observer,
             has_ended: false,
@@ -74,15 +73,15 @@
             self.observer.on_end(end, self.longest_pause);
         }
     }
-    fn on_part(&mut self) {
+    fn on_frame(&mut self) {
         let now = clock::now();
-        match self.last {
+        match self.last_frame_at {
             Some(last) => {
                 self.longest_pause = self.longest_pause.max(now.saturating_duration_since(last))
             }
             None => self.observer.on_first_frame(),
         }
-        self.last = Some(now);
+        self.last_frame_at = Some(now);
     }
 }
 
@@ -94,14 +93,14 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let is_over = clock::now() >= self.deadline;
-        if is_over || self.timer.as_mut().poll(cx).is_ready() {
+        let is_past_deadline = clock::now() >= self.deadline;
+        if is_past_deadline || self.timer.as_mut().poll(cx).is_ready() {
             self.end(ProxyBodyEnd::TimedOut);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
             Some(Ok(frame)) => {
-                self.on_part();
+                self.on_frame();
                 if self.body.is_end_stream() {
                     self.end(ProxyBodyEnd::Complete);
                 }
--- a/transport/src/ingress/server.rs
+++ b/transport/src/ingress/server.rs
@@ -15,38 +15,38 @@
     },
 };
 
-/// pause after a failed accept, so that a lack of descriptors is no busy loop
+/// Pause after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// smallest buffer for heads that hyper takes
+/// The smallest head buffer that hyper accepts.
 const MIN_HEAD_BUFFER: usize = 8 * 1024;
 
 pub type ClientRequest = Request<Incoming>;
-/// an answer of our own, or one that is passed on
+/// A locally generated body or a proxied one.
 pub type ClientBody = Either<Full<Bytes>, ProxyBody>;
 pub type ClientResponse = Response<ClientBody>;
 
-/// where the process stands
+/// The phase of the server's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Serving,
-    /// answers announce that their connection closes
+    /// Responses announce that their connection closes.
     Draining,
-    /// connections at rest are closed, and no new one is taken
+    /// Idle connections are closed and no new ones are accepted.
     Closing,
 }
 
-/// answers clients' requests
+/// Handles clients' requests.
 #[async_trait]
 pub trait IngressService: Send + Sync + 'static {
     async fn respond(&self, req: ClientRequest) -> ClientResponse;
-    /// largest head that a client may send, in bytes
+    /// Returns the size limit of a request head, in bytes.
     fn max_header_bytes(&self) -> usize;
-    /// time to receive a head, from the end of the answer before
+    /// Returns the time limit for receiving a head, from the end of the previous response.
     fn header_timeout(&self) -> Duration;
 }
 
-/// serve clients until the phase is `Closing`; returns when the last
-/// connection has ended
+/// Serves clients until the phase is `Closing`, and returns when the last connection
+/// has ended.
 pub async fn serve(
     listener: TcpListener,
     service: Arc<dyn IngressService>,
@@ -66,17 +66,17 @@
                 }
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             },
-            () = reached(&mut phase, Phase::Closing) => break,
+            () = wait_for_phase(&mut phase, Phase::Closing) => break,
         }
     }
     drop(listener);
     drop(alive);
-    // nothing is ever sent: this waits for the last sender to be dropped
+    // nothing is sent; `recv` returns when the last sender has been dropped
     all_ended.recv().await;
 }
 
-async fn reached(phase: &mut watch::Receiver<Phase>, wanted: Phase) {
-    // an error says that the process is at its end
+async fn wait_for_phase(phase: &mut watch::Receiver<Phase>, wanted: Phase) {
+    // an error means that the process is exiting
     let _ = phase.wait_for(|phase| *phase >= wanted).await;
 }
 
@@ -100,7 +100,7 @@
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = reached(&mut phase, Phase::Closing) => {
+        () = wait_for_phase(&mut phase, Phase::Closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/transport/src/links/mod.rs
+++ b/transport/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! connections to the sidecars of engines, of entries and of relays
+//! Connections from entries and relays to the sidecars of engines.
 
 mod sidecar_links;
 mod view_sink;
--- a/transport/src/links/sidecar_links.rs
+++ b/transport/src/links/sidecar_links.rs
@@ -18,16 +18,16 @@
     },
 };
 
-/// a sidecar sends a view at least each 400 ms
-const SILENCE: Duration = Duration::from_millis(1_000);
-const RETRY: Duration = Duration::from_millis(150);
-/// pause while nothing of a sidecar can be read, which grows to this
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
-/// a sidecar forgets an entry or a relay that is silent for 3 s
-const SIGN_OF_LIFE: Duration = Duration::from_millis(900);
-const POST_LIMIT: Duration = Duration::from_millis(400);
+/// A sidecar sends a view at least every 400 ms.
+const VIEW_TIMEOUT: Duration = Duration::from_millis(1_000);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// The limit of the growing delay while a sidecar's messages can't be decoded.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// A sidecar drops the demand of an entry or a relay that sends nothing for 3 s.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(900);
+const POST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// the connections to the sidecars of engines
+/// The connections to the sidecars of engines.
 pub struct SidecarLinks {
     runtime: Handle,
     sink: Arc<dyn ViewSink>,
@@ -36,7 +36,7 @@
     links: HashMap<SocketAddr, Link>,
 }
 
-/// one sidecar's; its tasks end when it is dropped
+/// The connection to one sidecar; dropping it aborts its tasks.
 struct Link {
     demand: watch::Sender<Option<AdapterDemand>>,
     sent_at: Option<Instant>,
@@ -44,10 +44,10 @@
 }
 
 impl Link {
-    /// whether a sign of life is due
-    fn is_due(&self, now: Instant) -> bool {
+    /// Whether a keep-alive is due.
+    fn is_keep_alive_due(&self, now: Instant) -> bool {
         let sent = self.sent_at;
-        sent.is_none_or(|at| now.saturating_duration_since(at) >= SIGN_OF_LIFE)
+        sent.is_none_or(|at| now.saturating_duration_since(at) >= KEEP_ALIVE_INTERVAL)
     }
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// hold a link to the sidecar of each of these engines, and no other
+    /// Opens links to the sidecars of these engines and closes all others.
     pub fn set_engines(&mut self, engines: impl Iterator<Item = SocketAddr>) {
         let addrs: HashSet<SocketAddr> = engines.collect();
         self.links.retain(|addr, _| addrs.contains(addr));
@@ -80,25 +80,28 @@
         }
     }
 
-    /// tell the sidecar of an engine what is needed of it, unless it knows
+    /// Sends an engine's demand to its sidecar, unless an equivalent one was sent recently.
     pub fn send_demand(&mut self, engine: SocketAddr, demand: AdapterDemand, now: Instant) {
         let Some(link) = self.links.get_mut(&engine) else {
             return;
         };
-        let told = link.demand.borrow();
-        let is_known = told
+        let last_demand = link.demand.borrow();
+        let is_known = last_demand
             .as_ref()
-            .is_some_and(|told| told.is_equivalent_to(&demand));
-        drop(told);
-        if !is_known || link.is_due(now) {
+            .is_some_and(|last| last.is_equivalent_to(&demand));
+        drop(last_demand);
+        if !is_known || link.is_keep_alive_due(now) {
             link.sent_at = Some(now);
             link.demand.send_replace(Some(demand));
         }
     }
 
-    /// repeat what sidecars know already, as a sign of life
+    /// Repeats the last demand to each sidecar that has been sent nothing recently.
     pub fn send_keep_alives(&mut self, now: Instant) {
-        let due = self.links.values_mut().filter(|link| link.is_due(now));
+        let due = self
+            .links
+            .values_mut()
+            .filter(|link| link.is_keep_alive_due(now));
         for link in due.filter(|link| link.demand.borrow().is_some()) {
             link.sent_at = Some(now);
             link.demand.send_modify(|_| {});
@@ -126,7 +129,7 @@
     sidecar: SocketAddr,
     sink: Arc<dyn ViewSink>,
 ) {
-    let mut pause = RETRY;
+    let mut delay = MIN_RETRY_DELAY;
     loop {
         let mut backend = BackendId::default();
         let e = match read_until_error(&peers, engine, sidecar, sink.as_ref(), &mut backend).await {
@@ -137,16 +140,16 @@
             log::warn!("links: sidecar {sidecar} lost: {e}");
             sink.on_unresponsive(engine, &backend);
         }
-        let is_read = !backend.is_empty() || e.step != ClientStep::Decode;
-        pause = match is_read {
-            true => RETRY,
-            false => (pause * 2).min(LONGEST_RETRY),
+        let is_decoded = !backend.is_empty() || e.step != ClientStep::Decode;
+        delay = match is_decoded {
+            true => MIN_RETRY_DELAY,
+            false => (delay * 2).min(MAX_RETRY_DELAY),
         };
-        if !is_read && pause == RETRY * 2 {
-            // once: it goes on until one of both is replaced
-            log::warn!("links: sidecar {sidecar} not understood: {e}");
+        if !is_decoded && delay == MIN_RETRY_DELAY * 2 {
+            // logged once, as it lasts until one of the two processes is replaced
+            log::warn!("links: messages of sidecar {sidecar} can't be decoded: {e}");
         }
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
@@ -157,18 +160,24 @@
     sink: &dyn ViewSink,
     backend: &mut BackendId,
 ) -> Result<(), ClientError> {
-    let opened = timeout(SILENCE, peers.stream(sidecar, path::VIEWS, &()));
-    let silent = |_| ClientError::new(ClientStep::Receive, sidecar, "silent");
-    let mut updates: MessageStream<ViewUpdate> = opened.await.map_err(silent)??;
+    let opened = timeout(VIEW_TIMEOUT, peers.stream(sidecar, path::VIEWS, &()));
+    let timed_out = |_| {
+        let detail = "no view update in time";
+        ClientError::new(ClientStep::Receive, sidecar, detail)
+    };
+    let mut updates: MessageStream<ViewUpdate> = opened.await.map_err(timed_out)??;
     let mut view = EngineView::default();
     loop {
-        let Some(update) = timeout(SILENCE, updates.next()).await.map_err(silent)? else {
+        let Some(update) = timeout(VIEW_TIMEOUT, updates.next())
+            .await
+            .map_err(timed_out)?
+        else {
             return Ok(());
         };
         let update = update?;
         match update {
-            ViewUpdate::Figures(figures) => {
-                sink.on_stats(engine, backend, figures);
+            ViewUpdate::Figures(stats) => {
+                sink.on_stats(engine, backend, stats);
                 continue;
             }
             ViewUpdate::Unknown => continue,
@@ -177,13 +186,13 @@
         view.apply(update);
         if backend.is_empty() && !view.backend.is_empty() {
             let version = peers.version(sidecar).map_or(0, |version| version.0);
-            log::info!(peer_version = version; "links: sidecar {sidecar} speaks of {}", view.backend);
+            log::info!(peer_version = version; "links: sidecar {sidecar} reports {}", view.backend);
         }
         backend.clone_from(&view.backend);
-        let told = view.clone();
-        // told once; the sink remembers
+        let reported = view.clone();
+        // recently held adapters are passed on once, as the sink remembers them
         view.lately.clear();
-        sink.on_view(engine, told);
+        sink.on_view(engine, reported);
     }
 }
 
@@ -194,29 +203,30 @@
     sink: Arc<dyn ViewSink>,
     mut demands: watch::Receiver<Option<AdapterDemand>>,
 ) {
-    // it is taken to hear until a call has failed
-    let mut was_taken = true;
-    // an error says that the link was closed
+    let mut was_accepted = true;
+    // an error means that the link was closed
     while demands.changed().await.is_ok() {
         let Some(demand) = demands.borrow_and_update().clone() else {
             continue;
         };
-        let posted: Result<bool, _> = peers.call(sidecar, path::DEMAND, &demand, POST_LIMIT).await;
+        let posted: Result<bool, _> = peers
+            .call(sidecar, path::DEMAND, &demand, POST_TIMEOUT)
+            .await;
         match posted {
-            Ok(_) if was_taken => {}
+            Ok(_) if was_accepted => {}
             Ok(_) => {
                 log::info!("links: sidecar {sidecar} takes demands again");
-                was_taken = true;
+                was_accepted = true;
                 sink.on_demand_result(engine, true);
             }
             Err(e) => {
-                if was_taken {
+                if was_accepted {
                     log::warn!("links: sidecar {sidecar} takes no demands: {e}");
                 }
-                was_taken = false;
-                // each failure is told: the engine may be another one by then
+                was_accepted = false;
+                // each failure is reported, as the engine may have been replaced
                 sink.on_demand_result(engine, false);
-                sleep(RETRY).await;
+                sleep(MIN_RETRY_DELAY).await;
                 demands.mark_changed();
             }
         }
--- a/transport/src/links/view_sink.rs
+++ b/transport/src/links/view_sink.rs
@@ -4,14 +4,14 @@
     std::net::SocketAddr,
 };
 
-/// takes in what the sidecars of engines say, by the engine's address
+/// Receives the reports of engines' sidecars, by the engine's address.
 pub trait ViewSink: Send + Sync {
     fn on_view(&self, engine: SocketAddr, view: EngineView);
-    /// nothing but these figures has changed
-    fn on_stats(&self, engine: SocketAddr, backend: &BackendId, figures: EngineStats);
-    /// the sidecar is silent; `backend` is what it spoke of
+    /// Only these stats have changed.
+    fn on_stats(&self, engine: SocketAddr, backend: &BackendId, stats: EngineStats);
+    /// The sidecar is unresponsive; `backend` is the one that it last reported.
     fn on_unresponsive(&self, engine: SocketAddr, backend: &BackendId);
-    /// whether the sidecar has taken the newest demand: each time that it has not, and when
-    /// it has again
+    /// Reports each demand that the sidecar did not accept, and the first one that it accepts
+    /// after that.
     fn on_demand_result(&self, engine: SocketAddr, is_accepted: bool);
 }
