--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -9,7 +9,7 @@
     chalkcart_transport::{
         clock,
         server::{
-            caller_encoding, frames_reply, message_reply, pages, read_message, PeerEncodingsByHost,
+            caller_encoding, frames_reply, message_reply, pages, read_message, PeerEncodingsByIp,
             SharedData,
         },
     },
@@ -36,7 +36,7 @@
 ) -> Router {
     let pipeline = new_pipeline()
         .add(StateMiddleware::new(SharedData::new(Arc::new(
-            PeerEncodingsByHost::default(),
+            PeerEncodingsByIp::default(),
         ))))
         .add(StateMiddleware::new(SharedData::new(shared)))
         .add(StateMiddleware::new(SharedData::new(relay)))
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! how chalkcart's processes reach each other, the platform, engines and
-//! plain services.
+//! Communication of chalkcart's processes with each other, with the platform, and with
+//! engines and other services.
 //!
 //! Servers are built on `gotham`, clients on `hyper-util`.
 
--- a/transport/src/platform/errors.rs
+++ b/transport/src/platform/errors.rs
@@ -1,6 +1,6 @@
 use {crate::client::ClientError, thiserror::Error};
 
-/// why the platform gave nothing
+/// A failed read from the platform.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     #[error(transparent)]
--- a/transport/src/platform/http_platform.rs
+++ b/transport/src/platform/http_platform.rs
@@ -15,10 +15,10 @@
 
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// the platform over HTTP with JSON: `GET /config/KEY` and `GET /boxes`.
+/// A client of the platform over HTTP with JSON: `GET /config/KEY` and `GET /boxes`.
 ///
-/// `GET /config/root?after=GENERATION&wait_ms=MS` waits for a newer root and
-/// answers 304 if none came.
+/// `GET /config/root?after=GENERATION&wait_ms=MS` waits for a newer root, and returns 304 if
+/// there is none.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     http: HttpClient,
--- a/transport/src/platform/mod.rs
+++ b/transport/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! what the platform gives: configuration and the list of boxes, read-only
+//! Read-only clients of the platform's configuration and its list of boxes.
 
 mod errors;
 mod http_platform;
--- a/transport/src/platform/sources.rs
+++ b/transport/src/platform/sources.rs
@@ -9,11 +9,11 @@
     std::time::Duration,
 };
 
-/// the platform's configuration service
+/// The platform's configuration service.
 #[async_trait]
 pub trait ConfigSource: Send + Sync {
-    /// wait until the root is newer than `known`, or for `wait`; none if
-    /// nothing newer came
+    /// Waits up to `wait` for a root that is newer than `known`, and returns `None` if there
+    /// is none.
     async fn watch_root(
         &self,
         known: Generation,
@@ -22,7 +22,7 @@
     async fn shard(&self, index: usize) -> Result<Shard, PlatformError>;
 }
 
-/// the platform's list of boxes
+/// The platform's list of boxes.
 #[async_trait]
 pub trait BoxList: Send + Sync {
     async fn boxes(&self) -> Result<FleetList, PlatformError>;
--- a/transport/src/server/http_server.rs
+++ b/transport/src/server/http_server.rs
@@ -15,17 +15,16 @@
     },
 };
 
-/// pause after a failed accept, so that a lack of descriptors is no busy loop
+/// Pause after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// streams on one HTTP/2 connection; a caller may send all its requests
-/// through one
+/// HTTP/2 streams per connection; a caller may send all its requests on one connection.
 const MAX_STREAMS: u32 = 4_096;
 
-/// becomes true when the server is to stop
+/// Becomes true when the server must stop.
 pub type Stop = watch::Receiver<bool>;
 
-/// a server that could not start or end
+/// A server that failed to start or to stop.
 #[derive(Debug, Error)]
 pub enum ServeError {
     #[error("listen on {addr}: {source}")]
@@ -34,14 +33,14 @@
     StillOpen(Duration),
 }
 
-/// take the listening socket
+/// Binds the listening socket.
 pub async fn bind(addr: SocketAddr) -> Result<TcpListener, ServeError> {
     let listener = TcpListener::bind(addr).await;
     listener.map_err(|source| ServeError::Listen { addr, source })
 }
 
-/// serve HTTP/1 and HTTP/2 without TLS until `stop`; then take no new
-/// connection, let requests in flight end, and return
+/// Serves HTTP/1 and HTTP/2 without TLS until `stop`, then closes the listener and
+/// returns when all requests in flight have ended, or fails after `grace`.
 pub async fn serve<H>(
     listener: TcpListener,
     handler: H,
@@ -58,7 +57,7 @@
                 Ok((socket, addr)) => spawn_connection(socket, addr, handler.clone(), &graceful),
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             },
-            () = stopped(&mut stop) => break,
+            () = wait_for_stop(&mut stop) => break,
         }
     }
     drop(listener);
@@ -66,8 +65,8 @@
     ended.map_err(|_| ServeError::StillOpen(grace))
 }
 
-async fn stopped(stop: &mut Stop) {
-    // an error says that the sender is gone, which is a stop as well
+async fn wait_for_stop(stop: &mut Stop) {
+    // an error means that the sender was dropped, which stops the server as well
     let _ = stop.wait_for(|stopped| *stopped).await;
 }
 
@@ -75,7 +74,7 @@
 where
     H: NewHandler + Clone + Send + Sync + std::panic::UnwindSafe + 'static,
 {
-    // streams of small frames must not wait for each other
+    // Nagle's algorithm would delay small frames
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |req: Request<Incoming>| {
         let handler = handler.clone();
--- a/transport/src/server/mod.rs
+++ b/transport/src/server/mod.rs
@@ -1,15 +1,15 @@
-//! HTTP servers built on gotham, with a graceful stop
+//! HTTP servers built on gotham, with graceful shutdown.
 
 mod http_server;
 pub mod pages;
-mod peer_encodings_by_host;
+mod peer_encodings_by_ip;
 mod replies;
 mod requests;
 mod shared_data;
 
 pub use {
     http_server::{bind, serve, ServeError, Stop},
-    peer_encodings_by_host::PeerEncodingsByHost,
+    peer_encodings_by_ip::PeerEncodingsByIp,
     replies::{
         bytes_reply, encoded_frames_reply, frames_reply, json_reply, message_reply, text_reply,
         Reply,
--- a/transport/src/server/pages.rs
+++ b/transport/src/server/pages.rs
@@ -1,4 +1,4 @@
-//! the pages that operators' tools read, alike on each process
+//! Metrics and health pages, which all processes serve.
 
 use {
     super::{replies::with_version, text_reply, BodyError, Reply, SharedData},
@@ -6,26 +6,26 @@
     http::StatusCode,
 };
 
-/// a process that its operators can look at
+/// The state of a process as shown on the pages for operators.
 pub trait ProcessStatus: Send + Sync + 'static {
-    /// the text of `/metrics`
+    /// Returns the text of `/metrics`.
     fn metrics_text(&self) -> String;
-    /// whether it takes new work
+    /// Whether the process accepts new work.
     fn is_ready(&self) -> bool;
 }
 
-/// `/metrics`
+/// Handles `/metrics`.
 pub async fn metrics<T: ProcessStatus>(state: State) -> HandlerResult {
     let text = SharedData::<T>::of(&state).metrics_text();
     Ok((state, text_reply(StatusCode::OK, text)))
 }
 
-/// `/healthz`: the process lives
+/// Handles `/healthz`: the process is running.
 pub async fn healthz(state: State) -> HandlerResult {
     Ok((state, text_reply(StatusCode::OK, "ok\n")))
 }
 
-/// `/readyz`: the process takes new work
+/// Handles `/readyz`: the process accepts new work.
 pub async fn readyz<T: ProcessStatus>(state: State) -> HandlerResult {
     let reply = match SharedData::<T>::of(&state).is_ready() {
         true => text_reply(StatusCode::OK, "ready\n"),
@@ -34,7 +34,7 @@
     Ok((state, reply))
 }
 
-/// the answer to a message that can't be read
+/// Returns the response to a message that can't be decoded.
 pub fn bad_message(e: &BodyError) -> Reply {
     with_version(text_reply(StatusCode::BAD_REQUEST, e.to_string()))
 }
--- a/transport/src/server/replies.rs
+++ b/transport/src/server/replies.rs
@@ -13,19 +13,17 @@
     std::{convert::Infallible, io},
 };
 
-/// what handlers return
+/// The response type of handlers.
 pub type Reply = Response<Body>;
 
-/// any content
 pub fn bytes_reply(status: StatusCode, content_type: &'static str, body: Bytes) -> Reply {
-    let mut reply = Response::new(whole_body(body));
+    let mut reply = Response::new(full_body(body));
     *reply.status_mut() = status;
     let value = http::HeaderValue::from_static(content_type);
     reply.headers_mut().insert(CONTENT_TYPE, value);
     reply
 }
 
-/// plain text
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> Reply {
     bytes_reply(
         status,
@@ -34,7 +32,6 @@
     )
 }
 
-/// JSON
 pub fn json_reply<T: Serialize>(status: StatusCode, message: &T) -> Reply {
     match serde_json::to_vec(message) {
         Ok(body) => bytes_reply(status, "application/json", body.into()),
@@ -42,7 +39,7 @@
     }
 }
 
-/// a message between our processes
+/// Returns a response with one message between chalkcart's processes.
 pub fn message_reply<T: Serialize>(message: &T) -> Reply {
     match encode(message) {
         Ok(body) => with_version(bytes_reply(StatusCode::OK, "application/msgpack", body)),
@@ -50,13 +47,13 @@
     }
 }
 
-/// a stream of messages, in the form in which who asks reads them
+/// Returns a response with a stream of messages, in the encoding that the caller reads.
 pub fn frames_reply<T: Serialize + Send + 'static>(
     frames: impl Stream<Item = T> + Send + 'static,
-    form: WireEncoding,
+    encoding: WireEncoding,
 ) -> Reply {
     let encoded = frames.filter_map(move |frame| async move {
-        let encoded = encode_frame(&frame, form);
+        let encoded = encode_frame(&frame, encoding);
         encoded
             .inspect_err(|e| log::error!("server: frame not sent: {e}"))
             .ok()
@@ -64,14 +61,14 @@
     encoded_frames_reply(encoded)
 }
 
-/// this build's wire version, so that who asks writes what it can read
+/// Adds this build's wire version, which tells the caller how to encode its messages.
 pub fn with_version(mut reply: Reply) -> Reply {
     let version = http::HeaderValue::from(WireVersion::CURRENT.0);
     reply.headers_mut().insert(PEER_VERSION, version);
     reply
 }
 
-/// a stream of messages that were encoded before
+/// Returns a response with a stream of messages that are already encoded.
 pub fn encoded_frames_reply(frames: impl Stream<Item = Bytes> + Send + 'static) -> Reply {
     let chunks = frames.map(|chunk| Ok::<_, io::Error>(BodyFrame::data(chunk)));
     let mut reply = Response::new(Body::new(StreamBody::new(chunks)));
@@ -80,7 +77,7 @@
     with_version(reply)
 }
 
-fn whole_body(body: Bytes) -> Body {
+fn full_body(body: Bytes) -> Body {
     let never = |e: Infallible| match e {};
     Body::new(Full::new(body).map_err(never))
 }
--- a/transport/src/server/requests.rs
+++ b/transport/src/server/requests.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PeerEncodingsByHost, SharedData},
+    super::{PeerEncodingsByIp, SharedData},
     crate::client::peer_version,
     bytes::Bytes,
     chalkcart_protocol::{
@@ -17,10 +17,10 @@
     thiserror::Error,
 };
 
-/// of messages of one machine that can't be read, one in so many is logged
+/// One in so many undecodable messages of an address is logged.
 const LOG_EVERY: u64 = 1_000;
 
-/// a request body that can't be read
+/// A request body that can't be received or decoded.
 #[derive(Debug, Error)]
 pub enum BodyError {
     #[error("body not received: {0}")]
@@ -31,7 +31,7 @@
     Json(#[from] serde_json::Error),
 }
 
-/// take the whole body out of a request, up to the largest message
+/// Reads the complete request body, up to the maximum message size.
 pub async fn read_body(state: &mut State) -> Result<Bytes, BodyError> {
     let body = Body::take_from(state);
     let collected = Limited::new(body, MAX_MESSAGE_BYTES).collect().await;
@@ -39,66 +39,66 @@
     Ok(collected.to_bytes())
 }
 
-/// read a message between our processes
+/// Reads a message between chalkcart's processes.
 pub async fn read_message<T: DeserializeOwned>(state: &mut State) -> Result<T, BodyError> {
     let body = read_body(state).await?;
     if caller_version(state).is_none() {
-        note_asker(state, &body);
+        record_encoding(state, &body);
     }
     let message = decode(&body);
     if let Err(e) = &message {
-        log_unread(state, e);
+        log_undecodable(state, e);
     }
     Ok(message?)
 }
 
-/// said once for each machine, and then at each thousandth message
-fn log_unread(state: &State, e: &CodecError) {
-    let Some(asker) = client_addr(state) else {
+/// Logs the first undecodable message of each address, and then one in `LOG_EVERY`.
+fn log_undecodable(state: &State, e: &CodecError) {
+    let Some(caller) = client_addr(state) else {
         return;
     };
-    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
-    let unread = askers.map_or(0, |askers| askers.count_undecodable(asker.ip()));
-    if unread % LOG_EVERY != 1 {
+    let encodings = SharedData::<PeerEncodingsByIp>::try_of(state);
+    let undecodable = encodings.map_or(0, |known| known.count_undecodable(caller.ip()));
+    if undecodable % LOG_EVERY != 1 {
         return;
     }
     let version = caller_version(state).map_or(0, |version| version.0);
     log::warn!(
-        asker = asker.to_string().as_str(),
+        asker = caller.to_string().as_str(),
         its_version = version,
         own_version = WireVersion::CURRENT.0,
-        unread = unread,
+        unread = undecodable,
         cause = e.to_string().as_str();
         "peers: message not read"
     );
 }
 
-/// the wire version of who asks, none of a build that does not say it
+/// Returns the caller's wire version, or `None` for a build that reports none.
 pub fn caller_version(state: &State) -> Option<WireVersion> {
     peer_version(HeaderMap::borrow_from(state))
 }
 
-/// the form in which who asks reads frames
+/// Returns the encoding of frames that the caller reads.
 pub fn caller_encoding(state: &State) -> WireEncoding {
     let version = caller_version(state);
-    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
-    match (version, askers, client_addr(state)) {
-        (None, Some(askers), Some(asker)) => askers.encoding_for(asker.ip()),
+    let encodings = SharedData::<PeerEncodingsByIp>::try_of(state);
+    match (version, encodings, client_addr(state)) {
+        (None, Some(encodings), Some(caller)) => encodings.encoding_for(caller.ip()),
         (version, ..) => WireEncoding::for_peer(version),
     }
 }
 
-fn note_asker(state: &State, body: &[u8]) {
-    let askers = SharedData::<PeerEncodingsByHost>::try_of(state);
-    let (Some(askers), Some(asker)) = (askers, client_addr(state)) else {
+/// Records how a caller without a wire version encodes ids.
+fn record_encoding(state: &State, body: &[u8]) {
+    let encodings = SharedData::<PeerEncodingsByIp>::try_of(state);
+    let (Some(encodings), Some(caller)) = (encodings, client_addr(state)) else {
         return;
     };
-    if let Some(by_text) = has_text_ids(body) {
-        askers.set_text_ids(asker.ip(), by_text);
+    if let Some(has_text_ids) = has_text_ids(body) {
+        encodings.set_text_ids(caller.ip(), has_text_ids);
     }
 }
 
-/// read JSON
 pub async fn read_json<T: DeserializeOwned>(state: &mut State) -> Result<T, BodyError> {
     Ok(serde_json::from_slice(&read_body(state).await?)?)
 }
--- a/transport/src/server/shared_data.rs
+++ b/transport/src/server/shared_data.rs
@@ -7,10 +7,10 @@
     },
 };
 
-/// a process's shared state in the form that gotham hands to handlers.
+/// A process's shared state, as gotham's state data.
 ///
-/// gotham asks for unwind safety; what is shared here is behind locks that
-/// survive a panic of their holder.
+/// gotham requires unwind safety. The shared state is behind locks that remain usable after
+/// a panic of their holder.
 #[derive(Debug)]
 pub struct SharedData<T>(Arc<T>);
 
@@ -21,11 +21,11 @@
 }
 
 impl<T: Send + Sync + 'static> SharedData<T> {
-    /// the shared state out of a request's state
+    /// Returns the shared state from a request's state.
     pub fn of(state: &State) -> Arc<T> {
         Self::borrow_from(state).0.clone()
     }
-    /// the same, none where a server has none of it
+    /// Returns the shared state from a request's state, or `None` if the server has none.
     pub fn try_of(state: &State) -> Option<Arc<T>> {
         Self::try_borrow_from(state).map(|shared| shared.0.clone())
     }
--- a/transport/src/service/http_service.rs
+++ b/transport/src/service/http_service.rs
@@ -8,7 +8,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// a service over HTTP: `POST /service/call/REQUEST` with the body as it is
+/// A service that is called by `POST /service/call/REQUEST` with the unchanged body.
 #[derive(Debug, Clone)]
 pub struct HttpService {
     http: HttpClient,
--- a/transport/src/service/mod.rs
+++ b/transport/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! plain services beside the engines
+//! Clients of services that are not model engines.
 
 mod http_service;
 mod service_client;
--- a/transport/src/service/service_client.rs
+++ b/transport/src/service/service_client.rs
@@ -3,7 +3,7 @@
     chalkcart_state::ids::RequestId, std::time::Duration, thiserror::Error,
 };
 
-/// why a call gave no answer
+/// A failed call to a service.
 #[derive(Debug, Error)]
 pub enum ServiceError {
     #[error(transparent)]
@@ -12,10 +12,10 @@
     Status(u16),
 }
 
-/// a plain service
+/// A service that is not a model engine.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// one call; it is never sent twice
+    /// Makes one call, which is never sent twice.
     async fn call(
         &self,
         request: &RequestId,
--- a/transport/src/sockets.rs
+++ b/transport/src/sockets.rs
@@ -1,4 +1,4 @@
-//! options of sockets
+//! Socket options.
 
 use {
     socket2::{SockRef, TcpKeepalive},
@@ -6,15 +6,14 @@
     tokio::net::TcpStream,
 };
 
-/// a peer that acknowledges nothing for this long is taken for lost
+/// A connection is closed if sent data is not acknowledged within this time.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// send small parts at once, and notice a peer that has fallen silent.
+/// Disables Nagle's algorithm, and enables the detection of dead peers.
 ///
-/// Options that the system refuses are left out: they are no condition of
-/// correct service.
+/// Errors are ignored, as the options are not needed for correct service.
 pub fn tune_stream(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
