--- a/transport/tests/store_outages.rs
+++ b/transport/tests/store_outages.rs
@@ -1,11 +1,5 @@
-//! A change was confirmed by the store, and an entry went on answering by the former
-//! configuration for 2.8 s. The store had been silent for 8 s; it had come back 2.9 s
-//! before, and all four entries read it again within 0.07 s of each other. Each had a
-//! call open that had begun while the store was silent, and waited for the whole limit
-//! of that call. The list of targets, whose calls ran on another beat, was read 2 s
-//! earlier: so neither the store nor the connections were still at fault.
-//!
-//! Time is simulated: no test here waits.
+//! Guards against a watch call that was opened during an outage of the store and delays the
+//! next read long after the store's recovery. Time is simulated.
 
 use {
     async_trait::async_trait,
@@ -28,41 +22,41 @@
     tokio::time::{sleep, Instant},
 };
 
-/// a change is in force everywhere after this time
-const KNOWN_WITHIN: Duration = Duration::from_millis(2_000);
+/// The time within which a change must be known everywhere.
+const MAX_CHANGE_DELAY: Duration = Duration::from_millis(2_000);
 const STEP: Duration = Duration::from_millis(5);
-/// a slow answer of a store that is sound
-const ANSWER: Duration = Duration::from_millis(240);
-const BEFORE: u64 = 1;
-const AFTER: u64 = 2;
+/// A slow response of a healthy store.
+const RESPONSE_TIME: Duration = Duration::from_millis(240);
+const OLD_REVISION: u64 = 1;
+const NEW_REVISION: u64 = 2;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// a store that answers nothing for a while, and has a change when it comes back
-struct SilentStore {
-    silent_from: Instant,
-    silent_to: Instant,
+/// A store that does not respond during an outage, and has a change at its end.
+struct FailingStore {
+    outage_start: Instant,
+    outage_end: Instant,
     calls: AtomicU64,
 }
 
-impl SilentStore {
-    fn is_silent(&self) -> bool {
+impl FailingStore {
+    fn is_down(&self) -> bool {
         let now = Instant::now();
-        now >= self.silent_from && now < self.silent_to
+        now >= self.outage_start && now < self.outage_end
     }
     fn revision(&self) -> u64 {
-        match Instant::now() >= self.silent_to {
-            true => AFTER,
-            false => BEFORE,
+        match Instant::now() >= self.outage_end {
+            true => NEW_REVISION,
+            false => OLD_REVISION,
         }
     }
-    /// an answer of this call is lost, also of one that the store already had
-    async fn is_lost(&self, began: Instant) -> bool {
-        self.is_silent() || began < self.silent_from && Instant::now() >= self.silent_from
+    /// Whether the response to a call is lost, which includes calls open at the outage's start.
+    async fn is_lost(&self, called_at: Instant) -> bool {
+        self.is_down() || called_at < self.outage_start && Instant::now() >= self.outage_start
     }
-    fn heard(&self, at: u64) -> WatchUpdate {
+    fn update(&self, at: u64) -> WatchUpdate {
         let records = Vec::new();
         WatchUpdate {
             snapshot: Snapshot { records, at },
@@ -71,23 +65,23 @@
     }
 }
 
-async fn time_out(began: Instant, limit: Duration) -> SourceError {
-    tokio::time::sleep_until(began + limit).await;
+async fn time_out(called_at: Instant, limit: Duration) -> SourceError {
+    tokio::time::sleep_until(called_at + limit).await;
     let peer = SocketAddr::from(([10, 0, 0, 1], 80));
     SourceError::Call(ClientError::new(ClientStep::Send, peer, "no answer"))
 }
 
 #[async_trait]
-impl MetadataSource for SilentStore {
+impl MetadataSource for FailingStore {
     fn set_addr(&self, _addr: SocketAddr) {}
 
     async fn snapshot(&self, _topic: Topic) -> Result<WatchUpdate, SourceError> {
-        let began = Instant::now();
+        let called_at = Instant::now();
         self.calls.fetch_add(1, Ordering::Relaxed);
-        sleep(ANSWER).await;
-        match self.is_lost(began).await {
-            true => Err(time_out(began, ms(800)).await),
-            false => Ok(self.heard(self.revision())),
+        sleep(RESPONSE_TIME).await;
+        match self.is_lost(called_at).await {
+            true => Err(time_out(called_at, ms(800)).await),
+            false => Ok(self.update(self.revision())),
         }
     }
 
@@ -97,17 +91,17 @@
         after: u64,
         times: WatchTimes,
     ) -> Result<WatchOutcome, SourceError> {
-        let began = Instant::now();
+        let called_at = Instant::now();
         self.calls.fetch_add(1, Ordering::Relaxed);
         loop {
-            if self.is_lost(began).await {
-                return Err(time_out(began, times.timeout()).await);
+            if self.is_lost(called_at).await {
+                return Err(time_out(called_at, times.timeout()).await);
             }
-            if self.revision() > after || began.elapsed() >= times.hold {
-                sleep(ANSWER).await;
-                return match self.is_lost(began).await {
-                    true => Err(time_out(began, times.timeout()).await),
-                    false => Ok(WatchOutcome::Records(self.heard(self.revision()))),
+            if self.revision() > after || called_at.elapsed() >= times.hold {
+                sleep(RESPONSE_TIME).await;
+                return match self.is_lost(called_at).await {
+                    true => Err(time_out(called_at, times.timeout()).await),
+                    false => Ok(WatchOutcome::Records(self.update(self.revision()))),
                 };
             }
             sleep(STEP).await;
@@ -115,59 +109,63 @@
     }
 }
 
-/// when each revision was heard first
+/// The times at which revisions were received.
 #[derive(Default)]
-struct HeardAt(Mutex<Vec<(u64, Instant)>>);
+struct RevisionTimes(Mutex<Vec<(u64, Instant)>>);
 
-impl RecordSink for HeardAt {
-    fn apply(&self, _topic: Topic, heard: WatchUpdate, _is_full: bool) {
+impl RecordSink for RevisionTimes {
+    fn apply(&self, _topic: Topic, update: WatchUpdate, _is_full: bool) {
         let mut rows = self.0.lock().unwrap();
-        rows.push((heard.snapshot.at, Instant::now()));
+        rows.push((update.snapshot.at, Instant::now()));
     }
     fn pause_after_change(&self, _topic: Topic) -> Duration {
         Duration::ZERO
     }
 }
 
-impl HeardAt {
-    fn first(&self, revision: u64) -> Option<Instant> {
+impl RevisionTimes {
+    fn received_at(&self, revision: u64) -> Option<Instant> {
         let rows = self.0.lock().unwrap();
         rows.iter().find(|(at, _)| *at >= revision).map(|(_, t)| *t)
     }
 }
 
-/// time from the store's return until the follower knows its change, and calls made
-async fn outage(begins: Duration, lasts: Duration) -> (Duration, u64) {
+/// Simulates an outage, and returns the time from its end until the watcher has the change, and
+/// the number of calls.
+async fn run_outage(start_after: Duration, duration: Duration) -> (Duration, u64) {
     let start = Instant::now();
-    let store = Arc::new(SilentStore {
-        silent_from: start + begins,
-        silent_to: start + begins + lasts,
+    let store = Arc::new(FailingStore {
+        outage_start: start + start_after,
+        outage_end: start + start_after + duration,
         calls: AtomicU64::new(0),
     });
-    let sink = Arc::new(HeardAt::default());
+    let sink = Arc::new(RevisionTimes::default());
     let pacing = WatchPacing::default();
-    let follower = StoreWatcher::new(store.clone(), sink.clone(), Topic::Configuration, pacing);
-    let task = tokio::spawn(follower.run());
-    let back = store.silent_to;
-    let known = loop {
-        if let Some(known) = sink.first(AFTER) {
-            break known;
+    let watcher = StoreWatcher::new(store.clone(), sink.clone(), Topic::Configuration, pacing);
+    let task = tokio::spawn(watcher.run());
+    let outage_end = store.outage_end;
+    let received_at = loop {
+        if let Some(received_at) = sink.received_at(NEW_REVISION) {
+            break received_at;
         }
         sleep(STEP).await;
     };
     task.abort();
-    (known - back, store.calls.load(Ordering::Relaxed))
+    (
+        received_at - outage_end,
+        store.calls.load(Ordering::Relaxed),
+    )
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_in_time_after_the_store_was_silent() {
-    // connections that fall silent at once are an outage of one step
-    for lasts in [5, 300, 1_500, 3_300, 8_140] {
-        for begins in (3_000..7_000).step_by(50) {
-            let (late, _) = outage(ms(begins), ms(lasts)).await;
+async fn a_change_is_known_in_time_after_an_outage_of_the_store() {
+    // an outage of one step is the loss of all open connections
+    for duration in [5, 300, 1_500, 3_300, 8_140] {
+        for start_after in (3_000..7_000).step_by(50) {
+            let (delay, _) = run_outage(ms(start_after), ms(duration)).await;
             assert!(
-                late <= KNOWN_WITHIN,
-                "silent at {begins} ms for {lasts} ms: known {late:?} after its return"
+                delay <= MAX_CHANGE_DELAY,
+                "outage at {start_after} ms for {duration} ms: change known {delay:?} after its end"
             );
         }
     }
--- a/transport/tests/suspended.rs
+++ b/transport/tests/suspended.rs
@@ -1,12 +1,5 @@
-//! A machine that is suspended: its steady clock stands still, and so do the runtime's
-//! timers, while the time that leases and deadlines are about goes on.
-//!
-//! Seen: nothing yet on a day; found by reading. Each lease, age and deadline was judged by
-//! the steady clock, so an entry that woke after 10 s took a key that had been taken away
-//! meanwhile for one that it had known to be good 0.1 s ago. Proof: with the steady clock in
-//! place of the one installed here these tests fail.
-//!
-//! Time is simulated: no test here waits.
+//! Guards against leases, ages and deadlines that ignore the time for which the machine was
+//! suspended, as the monotonic clock and the runtime's timers do. Time is simulated.
 
 use {
     async_trait::async_trait,
@@ -35,31 +28,31 @@
 };
 
 const SUSPENDED: Duration = Duration::from_secs(10);
-const REVOKED_WITHIN: Duration = Duration::from_secs(5);
+const CONFIG_LEASE: Duration = Duration::from_secs(5);
 
 thread_local! {
-    /// time for which this test's machine was suspended
-    static SUSPENSIONS: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    /// The total time for which this test's machine was suspended.
+    static SUSPENDED_TIME: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// the boot clock of a machine whose steady clock is the runtime's
-struct SuspendedClock;
+/// A boot clock that adds the suspended time to the runtime's clock.
+struct SimulatedBootClock;
 
-impl Clock for SuspendedClock {
+impl Clock for SimulatedBootClock {
     fn now(&self) -> Instant {
-        Timer::now().into_std() + SUSPENSIONS.get()
+        Timer::now().into_std() + SUSPENDED_TIME.get()
     }
 }
 
-/// have the tests of this file go by the simulated clock
-fn set_up() {
+/// Installs the simulated clock for the tests of this file.
+fn install_clock() {
     static INSTALLED: Once = Once::new();
-    INSTALLED.call_once(|| clock::install(Box::new(SuspendedClock)).expect("the first clock"));
+    INSTALLED.call_once(|| clock::install(Box::new(SimulatedBootClock)).expect("the first clock"));
 }
 
-/// the machine is suspended: no timer counts it
+/// Suspends the machine, which no timer notices.
 fn suspend(time: Duration) {
-    SUSPENSIONS.set(SUSPENSIONS.get() + time);
+    SUSPENDED_TIME.set(SUSPENDED_TIME.get() + time);
 }
 
 fn ms(ms: u64) -> Duration {
@@ -67,8 +60,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_deadline_that_passed_meanwhile_is_seen_soon_after_the_wake() {
-    set_up();
+async fn a_deadline_that_passed_during_a_suspension_is_noticed_after_the_resume() {
+    install_clock();
     let deadline = clock::now() + SUSPENDED;
     let waiting = tokio::spawn(async move {
         sleep_until_deadline(deadline).await;
@@ -76,18 +69,15 @@
     });
     sleep(ms(100)).await;
     suspend(SUSPENDED);
-    let woken = Timer::now();
-    let seen = waiting.await.expect("it ends");
-    assert!(
-        seen - woken <= ms(1_000),
-        "{:?} after the wake",
-        seen - woken
-    );
+    let resumed_at = Timer::now();
+    let noticed_at = waiting.await.expect("the sleep ends");
+    let delay = noticed_at - resumed_at;
+    assert!(delay <= ms(1_000), "{delay:?} after the resume");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_there_is_given_and_what_is_not_is_late() {
-    set_up();
+async fn after_a_deadline_a_ready_value_is_returned_and_a_pending_one_is_an_error() {
+    install_clock();
     let deadline = clock::now() + ms(500);
     suspend(SUSPENDED);
     assert_eq!(before_deadline(deadline, async { 7 }).await, Ok(7));
@@ -95,7 +85,7 @@
     assert_eq!(before_deadline(deadline, never).await, Err(DeadlineElapsed));
 }
 
-/// a store that knows nothing new, and a machine that is suspended while it is asked
+/// A store without changes, on a machine that is suspended during each watch call.
 struct Store;
 
 #[async_trait]
@@ -103,24 +93,24 @@
     fn set_addr(&self, _addr: SocketAddr) {}
 
     async fn snapshot(&self, _topic: Topic) -> Result<WatchUpdate, SourceError> {
-        Ok(nothing_newer(clock::now()))
+        Ok(no_changes(clock::now()))
     }
 
-    /// the answer comes before the machine is suspended, and is read after
+    /// The response arrives before the suspension and is read after it.
     async fn watch(
         &self,
         _: Topic,
         _: u64,
         times: WatchTimes,
     ) -> Result<WatchOutcome, SourceError> {
-        let asked = clock::now();
+        let called_at = clock::now();
         sleep(times.hold).await;
         suspend(SUSPENDED);
-        Ok(WatchOutcome::Records(nothing_newer(asked)))
+        Ok(WatchOutcome::Records(no_changes(called_at)))
     }
 }
 
-fn nothing_newer(current_at: Instant) -> WatchUpdate {
+fn no_changes(current_at: Instant) -> WatchUpdate {
     let records = Vec::new();
     WatchUpdate {
         snapshot: Snapshot { records, at: 1 },
@@ -128,13 +118,13 @@
     }
 }
 
-/// an entry that admits callers while its lease on the configuration holds
+/// An entry's lease on its configuration, and the number of watch responses.
 struct Entry(Mutex<(ConfigLease, u32)>);
 
 impl RecordSink for Entry {
-    fn apply(&self, _topic: Topic, heard: WatchUpdate, is_full: bool) {
+    fn apply(&self, _topic: Topic, update: WatchUpdate, is_full: bool) {
         let mut entry = self.0.lock().expect("no holder panics");
-        entry.0.on_current(heard.current_at);
+        entry.0.on_current(update.current_at);
         entry.1 += u32::from(!is_full);
     }
     fn pause_after_change(&self, _topic: Topic) -> Duration {
@@ -142,43 +132,46 @@
     }
 }
 
-/// what it knew before it was suspended is as old as the suspension, whenever it reads it
+/// A response from before a suspension must not renew the lease when it is read after it.
 #[tokio::test(start_paused = true)]
-async fn no_lease_holds_after_a_wake_by_what_was_heard_before() {
-    set_up();
-    let lease = ConfigLease::new(Some(REVOKED_WITHIN));
+async fn a_lease_is_not_renewed_by_a_response_from_before_a_suspension() {
+    install_clock();
+    let lease = ConfigLease::new(Some(CONFIG_LEASE));
     let entry = Arc::new(Entry(Mutex::new((lease, 0))));
     let pacing = WatchPacing::for_change_delay(ms(2_000));
-    let follower = StoreWatcher::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
-    let following = tokio::spawn(follower.run());
-    let holds = || {
+    let watcher = StoreWatcher::new(Arc::new(Store), entry.clone(), Topic::Configuration, pacing);
+    let watching = tokio::spawn(watcher.run());
+    let lease_state = || {
         let entry = entry.0.lock().expect("no holder panics");
         (entry.0.is_valid(clock::now()), entry.1)
     };
     sleep(ms(1)).await;
-    assert_eq!(holds(), (true, 0), "the first answer is current");
-    while holds().1 < 3 {
+    assert_eq!(lease_state(), (true, 0), "the snapshot is current");
+    while lease_state().1 < 3 {
         sleep(ms(50)).await;
-        let (is_held, answers) = holds();
-        assert!(!is_held || answers == 0, "after {answers} answers");
+        let (is_valid, responses) = lease_state();
+        assert!(!is_valid || responses == 0, "after {responses} responses");
     }
-    following.abort();
+    watching.abort();
 }
 
-/// an end that was heard of before is older than a run to its end that is told of after
+/// A crash reported before a suspension is older than a completion reported after it.
 #[tokio::test(start_paused = true)]
-async fn words_of_others_are_dated_by_the_time_that_has_passed() {
-    set_up();
+async fn ages_in_reports_include_the_time_of_a_suspension() {
+    install_clock();
     let digest = RequestDigest::of("POST", "/", "", b"any");
-    let mut book = CrashRegistry::default();
+    let mut registry = CrashRegistry::default();
     let now = clock::now();
-    book.on_engine_ended(digest, 1, now, now);
+    registry.on_engine_ended(digest, 1, now, now);
     suspend(SUSPENDED);
-    // another entry ran it to its end 4 s ago, and tells it now
+    // another entry completed the request 4 s ago and reports it now
     let mut other = CrashRegistry::default();
     other.on_engine_ended(digest, 2, clock::now() - ms(9_000), clock::now());
     other.on_completed(digest, clock::now() - ms(4_000));
-    let (words, _) = other.reports_since(0, clock::now());
-    book.merge(&words, clock::now());
-    assert_eq!(book.verdict(&digest, clock::now()), RequestVerdict::Clear);
+    let (reports, _) = other.reports_since(0, clock::now());
+    registry.merge(&reports, clock::now());
+    assert_eq!(
+        registry.verdict(&digest, clock::now()),
+        RequestVerdict::Clear
+    );
 }
