--- a/entry/src/ingress/admission_exchange.rs
+++ b/entry/src/ingress/admission_exchange.rs
@@ -54,7 +54,7 @@
 fn permit_error(issuer: SocketAddr, e: &ClientError) -> PermitError {
     log::warn!(dealer = issuer.to_string().as_str(), cause = e.to_string().as_str();
         "intake: permit request failed");
-    match e.proves_other_build() {
+    match e.is_unsupported_by_peer() {
         true => PermitError::Unsupported,
         false => PermitError::NoResponse,
     }
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -115,15 +115,15 @@
     }
 
     /// Buffers the stats without waking the control thread.
-    fn on_figures(&self, _engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
+    fn on_stats(&self, _engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
         self.stats.insert(backend, stats);
     }
 
-    fn on_silent(&self, _engine: SocketAddr, backend: &BackendId) {
+    fn on_unresponsive(&self, _engine: SocketAddr, backend: &BackendId) {
         self.send_event(DispatchEvent::ViewLost(backend.clone()));
     }
 
-    fn on_demanded(&self, engine: SocketAddr, is_taken: bool) {
+    fn on_demand_result(&self, engine: SocketAddr, is_taken: bool) {
         self.send_event(DispatchEvent::DemandSent {
             addr: engine,
             is_accepted: is_taken,
--- a/entry/src/ingress/request_exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -17,9 +17,12 @@
     },
     chalkcart_state::{backends::BackendId, ids::Generation, regions::AllowedRegions},
     chalkcart_transport::{
-        backend::{send, BackendAnswer, SendError},
+        backend::{send, BackendResponse, BackendSendError},
         clock::{self, before_deadline},
-        ingress::{remove_connection_headers, AnswerHead, ClientResponse, PassBody, SendHead},
+        ingress::{
+            remove_connection_headers, BackendRequestHead, BackendResponseHead, ClientResponse,
+            ProxyBody,
+        },
     },
     http::{request::Parts, HeaderMap, Request, Response, StatusCode},
     http_body_util::{BodyExt, Either, Full},
@@ -75,7 +78,7 @@
 impl RequestExchange {
     pub fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Self {
         let route = &accepted.route;
-        let client_timeout = accepted.head.deadline.unwrap_or(route.timeout);
+        let client_timeout = accepted.head.timeout.unwrap_or(route.timeout);
         let deadline = accepted.arrived + client_timeout.min(route.timeout);
         let service = route.pick_service(rand::random());
         let request = DispatchRequest {
@@ -93,7 +96,7 @@
             arrived_at: accepted.arrived,
             deadline,
             tried_backends: Vec::new(),
-            was_rejected_before: shared.is_client_retry(route, accepted.head.deadline),
+            was_rejected_before: shared.is_client_retry(route, accepted.head.timeout),
             is_load_time_checked: false,
             send_count: 0,
             start_tag: 0,
@@ -317,13 +320,13 @@
         let result = before_deadline(self.deadline, send(assignment.addr, req, CONNECT_TIMEOUT));
         match result.await {
             Err(_) => Attempt::TimedOut,
-            Ok(Err(SendError::NotSent { addr, problem })) => {
+            Ok(Err(BackendSendError::NotSent { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Unreachable);
                 Attempt::NotRun(SendOutcome::Unreachable)
             }
-            Ok(Err(SendError::Lost { addr, problem })) => {
+            Ok(Err(BackendSendError::Lost { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Broken);
@@ -331,7 +334,7 @@
             }
             Ok(Ok(backend_response)) => {
                 let headers = backend_response.response.headers();
-                let head = self.shared.dialect.read_answer(headers);
+                let head = self.shared.dialect.read_response(headers);
                 self.report_signals(
                     assignment,
                     sent_at,
@@ -356,8 +359,8 @@
         let mut req = Request::builder().method(method).uri(target);
         let sent_headers = req.headers_mut()?;
         sent_headers.clone_from(headers);
-        let send = SendHead {
-            deadline: self.deadline.saturating_duration_since(clock::now()),
+        let send = BackendRequestHead {
+            time_left: self.deadline.saturating_duration_since(clock::now()),
             backend: &assignment.backend.name,
             version: assignment.version,
             urgency: assignment.urgency,
@@ -367,15 +370,17 @@
                 .as_ref()
                 .map(|c| c.account.name.as_str()),
         };
-        self.shared.dialect.write_send(sent_headers, &send);
+        self.shared
+            .dialect
+            .write_backend_request(sent_headers, &send);
         req.body(Full::new(self.accepted.body.clone())).ok()
     }
 
     async fn handle_response(
         &self,
         backend: &BackendId,
-        head: AnswerHead,
-        backend_response: BackendAnswer,
+        head: BackendResponseHead,
+        backend_response: BackendResponse,
         mut guard: SendGuard,
     ) -> Attempt {
         let status = backend_response.response.status();
@@ -389,11 +394,11 @@
             guard.end(outcome);
             return Attempt::NotRun(outcome);
         }
-        if head.not_run {
+        if head.proves_not_run {
             guard.end(SendOutcome::Shed);
             return Attempt::NotRun(SendOutcome::Shed);
         }
-        let is_valid = is_ours && !head.encoded && (head.signed || !status.is_success());
+        let is_valid = is_ours && !head.is_encoded && (head.is_signed || !status.is_success());
         // These would tell the client that the request did not run.
         let means_not_run = matches!(
             status,
@@ -420,11 +425,11 @@
         to: &Assignment,
         sent_at: Instant,
         status: StatusCode,
-        head: &AnswerHead,
+        head: &BackendResponseHead,
     ) {
         let backend = to.backend.clone();
         let is_other_backend = head.backend.as_ref().is_some_and(|n| *n != backend.name);
-        let signals = head.own_word(status);
+        let signals = head.signals(status);
         // A response of this back end without a limit means that its earlier limit is lifted.
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
         let is_from_backend = is_ours && status != StatusCode::MISDIRECTED_REQUEST;
@@ -434,7 +439,7 @@
         }
         signals
             .codes()
-            .for_each(|code| self.shared.metrics.on_backend_word(code));
+            .for_each(|code| self.shared.metrics.on_backend_signal(code));
         log::info!(
             request = self.accepted.head.id.as_str(),
             backend = backend.as_str(),
@@ -461,7 +466,7 @@
         let dialect = &self.shared.dialect;
         for name in headers
             .keys()
-            .filter(|name| !dialect.knows_in_answers(name))
+            .filter(|name| !dialect.is_known_response_header(name))
         {
             let is_named = self.shared.metrics.on_unknown_header(name.as_str());
             if is_named && self.shared.unknown_headers.insert(backend, name.as_str()) {
@@ -478,7 +483,7 @@
     fn proxy_stream(
         &self,
         backend: &BackendId,
-        backend_response: BackendAnswer,
+        backend_response: BackendResponse,
         guard: SendGuard,
     ) -> Attempt {
         let observer = StreamObserver {
@@ -492,8 +497,8 @@
             first_part: None,
         };
         let (mut parts, body) = backend_response.response.into_parts();
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let body = PassBody::new(
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
+        let body = ProxyBody::new(
             body,
             backend_response.connection,
             self.deadline,
@@ -505,11 +510,11 @@
     /// Reads the complete body, so that a failed send can still be retried.
     async fn buffer_response(
         &self,
-        backend_response: BackendAnswer,
+        backend_response: BackendResponse,
         mut guard: SendGuard,
     ) -> Attempt {
         let (mut parts, body) = backend_response.response.into_parts();
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
         let body = match before_deadline(self.deadline, body.collect()).await {
             Err(_) => return Attempt::TimedOut,
             Ok(Err(_)) => {
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -28,7 +28,7 @@
     chalkcart_state::published::Topic,
     chalkcart_transport::{
         ingress::{self, Dialect, Phase},
-        metadata::{Follower, MetadataSource},
+        metadata::{MetadataSource, StoreWatcher},
         server,
     },
     std::{
@@ -158,7 +158,7 @@
     ];
     for (topic, delay_ms) in change_delays {
         let pacing = WatchPacing::for_change_delay(Duration::from_millis(delay_ms));
-        let watcher = Follower::new(source.clone(), records.clone(), topic, pacing);
+        let watcher = StoreWatcher::new(source.clone(), records.clone(), topic, pacing);
         tokio::spawn(watcher.run());
     }
 }
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -119,7 +119,7 @@
 
     fn read_engine(&self) {
         self.spawn_engine_call(|engine| async move {
-            let status = engine.read().await;
+            let status = engine.status().await;
             if let Err(e) = &status {
                 log::debug!("engine: status could not be read: {e}");
             }
--- a/sidecar/src/placement/placement_task.rs
+++ b/sidecar/src/placement/placement_task.rs
@@ -7,7 +7,7 @@
     chalkcart_protocol::peer::EngineView,
     chalkcart_transport::{
         clock,
-        orders::{OrderedEngine, Told},
+        orders::{EngineControl, Reported},
     },
     log::Level,
     std::{
@@ -27,7 +27,7 @@
 /// The task that polls the engine and sends orders to it.
 pub struct PlacementTask {
     shared: Arc<Shared>,
-    engine: Arc<dyn OrderedEngine>,
+    engine: Arc<dyn EngineControl>,
     published_at: Option<Instant>,
     is_reachable: bool,
     polled_at: Option<Instant>,
@@ -36,7 +36,7 @@
 }
 
 impl PlacementTask {
-    pub fn new(shared: Arc<Shared>, engine: Arc<dyn OrderedEngine>) -> Self {
+    pub fn new(shared: Arc<Shared>, engine: Arc<dyn EngineControl>) -> Self {
         Self {
             shared,
             engine,
@@ -83,8 +83,11 @@
     }
 
     /// Handles the signals in an engine's response and returns the response's value.
-    fn handle_signals<T>(&mut self, response: Told<T>) -> T {
-        let Told { value, word } = response;
+    fn handle_signals<T>(&mut self, response: Reported<T>) -> T {
+        let Reported {
+            value,
+            signals: word,
+        } = response;
         let Some(signals) = word else {
             return value;
         };
@@ -116,16 +119,22 @@
         // it may be another engine, whose signals must be logged even if they are the same
         self.last_signals = BackendSignals::default();
         let response = self.engine.identity(health_path).await;
-        let Told { value, word } = response;
+        let Reported {
+            value,
+            signals: word,
+        } = response;
         log::info!("engine: identified as {value:?}");
         // before its signals are handled, since a new incarnation discards earlier signals
         self.shared.handle(PlacementEvent::Identified(value));
-        self.handle_signals(Told { value: (), word });
+        self.handle_signals(Reported {
+            value: (),
+            signals: word,
+        });
         self.publish();
     }
 
     async fn poll(&mut self) {
-        let response = self.engine.read().await;
+        let response = self.engine.report().await;
         let event = match self.handle_signals(response) {
             Ok(report) => {
                 if !self.is_reachable {
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -138,17 +138,17 @@
         let is_urgent = self.state().on_view(engine, view, clock::now());
         self.wake(is_urgent);
     }
-    fn on_figures(&self, engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
+    fn on_stats(&self, engine: SocketAddr, backend: &BackendId, stats: EngineStats) {
         let now = clock::now();
         let is_urgent = self.state().on_stats(engine, backend, stats, now);
         self.wake(is_urgent);
     }
-    fn on_silent(&self, engine: SocketAddr, _backend: &BackendId) {
+    fn on_unresponsive(&self, engine: SocketAddr, _backend: &BackendId) {
         self.state().on_unresponsive(engine, clock::now());
         self.wake(true);
     }
     /// Ignored: entries that use a relay learn it from the engines' responses.
-    fn on_demanded(&self, _engine: SocketAddr, _is_taken: bool) {}
+    fn on_demand_result(&self, _engine: SocketAddr, _is_taken: bool) {}
 }
 
 fn encode(update: &RelayUpdate, encoding: WireEncoding) -> Option<Bytes> {
--- a/sidecar/src/relay/relay_task.rs
+++ b/sidecar/src/relay/relay_task.rs
@@ -27,12 +27,12 @@
             let relay = hub.state();
             log::info!(entries = relay.entry_count(), engines = relay.engines().count();
                 "relay: watched engines changed");
-            links.follow(relay.engines());
+            links.set_engines(relay.engines());
         }
         for (engine, demand) in hub.state().take_due_demands() {
-            links.send(engine, demand, now);
+            links.send_demand(engine, demand, now);
         }
-        links.keep_alive(now);
+        links.send_keep_alives(now);
         if hub.take_urgent() || now.saturating_duration_since(updated_at) >= UPDATE_INTERVAL {
             updated_at = now;
             hub.broadcast_update(now);
--- a/sidecar/src/relay/store_cache.rs
+++ b/sidecar/src/relay/store_cache.rs
@@ -4,7 +4,7 @@
     chalkcart_state::published::Topic,
     chalkcart_transport::{
         clock,
-        metadata::{self as store, Follower, MetadataSource, RecordSink},
+        metadata::{self as store, MetadataSource, RecordSink, StoreWatcher},
     },
     std::{
         sync::{Arc, Mutex, MutexGuard},
@@ -77,7 +77,7 @@
         };
         watchers.extend([Topic::Configuration, Topic::Backends].map(|topic| {
             let pacing = self.pacing.watch_pacing();
-            let watcher = Follower::new(store.clone(), self.clone(), topic, pacing);
+            let watcher = StoreWatcher::new(store.clone(), self.clone(), topic, pacing);
             tokio::spawn(watcher.run())
         }));
     }
@@ -132,8 +132,8 @@
 }
 
 impl RecordSink for StoreCache {
-    fn take_in(&self, topic: Topic, update: store::Heard, is_full: bool) {
-        let store::Heard {
+    fn apply(&self, topic: Topic, update: store::WatchUpdate, is_full: bool) {
+        let store::WatchUpdate {
             snapshot,
             current_at,
         } = update;
@@ -146,7 +146,7 @@
             topic.changed.send_modify(|count| *count += 1);
         }
     }
-    fn pause(&self, topic: Topic) -> Duration {
+    fn pause_after_change(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
             Topic::Backends => self.pacing.pause_after_change(),
--- a/sidecar/src/server/handlers.rs
+++ b/sidecar/src/server/handlers.rs
@@ -11,7 +11,7 @@
     chalkcart_transport::{
         metrics::GroupClass,
         server::{
-            asker_form, frames_reply, message_reply, pages::bad_message, read_message, Reply,
+            caller_encoding, frames_reply, message_reply, pages::bad_message, read_message, Reply,
             SharedData,
         },
     },
@@ -22,7 +22,7 @@
 
 pub async fn run(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let encoding = asker_form(&state);
+    let encoding = caller_encoding(&state);
     let reply = match read_message::<WorkOrder>(&mut state).await {
         Ok(work) => run_work(&shared, work, encoding),
         Err(e) => bad_message(&e),
@@ -32,7 +32,7 @@
 
 pub async fn resume(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let encoding = asker_form(&state);
+    let encoding = caller_encoding(&state);
     let reply = match read_message::<ResumeOrder>(&mut state).await {
         Ok(order) => resume_stream(&shared, &order, encoding),
         Err(e) => bad_message(&e),
--- a/transport/src/ingress/mod.rs
+++ b/transport/src/ingress/mod.rs
@@ -1,13 +1,13 @@
-//! HTTP/1.1 from clients: heads, connections, and answers that are passed on
+//! HTTP/1.1 server for clients: heads, connections and proxied responses.
 
 mod dialect;
 mod headers;
-mod pass_body;
+mod proxy_body;
 mod server;
 
 pub use {
-    dialect::{AnswerHead, Dialect, HeadError, RequestHead, SendHead},
+    dialect::{BackendRequestHead, BackendResponseHead, Dialect, HeadError, RequestHead},
     headers::remove_connection_headers,
-    pass_body::{PassBody, PassEnd, PassObserver},
+    proxy_body::{ProxyBody, ProxyBodyEnd, ProxyBodyObserver},
     server::{serve, ClientBody, ClientRequest, ClientResponse, IngressService, Phase},
 };
--- a/transport/src/platform/errors.rs
+++ b/transport/src/platform/errors.rs
@@ -1,12 +1,12 @@
 use {crate::client::ClientError, thiserror::Error};
 
-/// why the platform gave nothing
+/// A failed read from the platform.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     #[error(transparent)]
     Client(#[from] ClientError),
     #[error("platform has no document {0}")]
     Missing(String),
-    #[error("platform answered {status} for {key}")]
+    #[error("platform returned status {status} for {key}")]
     Status { key: String, status: u16 },
 }
