--- a/testkit/src/soak/checks.rs
+++ b/testkit/src/soak/checks.rs
@@ -98,7 +98,7 @@
 fn answer(asked: &Asked) -> Option<Violation> {
     let Outcome::Answered {
         status,
-        is_whole,
+        is_complete,
         id,
         is_signed,
         body,
@@ -118,7 +118,7 @@
         AskKind::Safe | AskKind::Unsafe => body == PLAIN_BODY,
         AskKind::Stream => is_whole_stream(body),
     };
-    let is_spoilt = is_success && *is_whole && !(*is_signed && is_sound);
+    let is_spoilt = is_success && *is_complete && !(*is_signed && is_sound);
     is_spoilt.then_some(Violation::SpoiltAnswer { id: own })
 }
 
@@ -163,22 +163,22 @@
 fn own_words(backend: &BackendRecord) -> Vec<Violation> {
     let engine = || backend.name.clone();
     let mut found = Vec::new();
-    if backend.sent_while_leaving > 0 {
+    if backend.requests_while_leaving > 0 {
         found.push(Violation::SentToLeaving {
             engine: engine(),
-            requests: backend.sent_while_leaving,
+            requests: backend.requests_while_leaving,
         });
     }
-    if backend.most_in_a_rest > MOST_IN_A_REST {
+    if backend.max_requests_in_backoff > MOST_IN_A_REST {
         found.push(Violation::RestNotKept {
             engine: engine(),
-            requests: backend.most_in_a_rest,
+            requests: backend.max_requests_in_backoff,
         });
     }
-    if backend.over_limit > 0 {
+    if backend.requests_over_limit > 0 {
         found.push(Violation::LimitNotKept {
             engine: engine(),
-            over: backend.over_limit,
+            over: backend.requests_over_limit,
         });
     }
     found
--- a/testkit/src/soak/kept_client.rs
+++ b/testkit/src/soak/kept_client.rs
@@ -91,15 +91,15 @@
     let Ok(stream) = send_on(socket, request).await else {
         return (Outcome::Cut, None);
     };
-    let Ok((answer, socket)) = stream.finish_and_keep().await else {
+    let Ok((answer, socket)) = stream.finish_and_keep_connection().await else {
         return (Outcome::Cut, None);
     };
     let closes = answer.head.get("connection") == Some("close");
-    let socket = (answer.is_whole && !closes).then_some(socket);
+    let socket = (answer.is_complete && !closes).then_some(socket);
     let id = answer.head.get("chalkcart-request-id").unwrap_or_default();
     let outcome = Outcome::Answered {
         status: answer.status,
-        is_whole: answer.is_whole,
+        is_complete: answer.is_complete,
         id: id.to_string(),
         is_signed: answer.head.get("chalkcart-response-stamp").is_some(),
         body: answer.body,
--- a/testkit/src/soak/ledger.rs
+++ b/testkit/src/soak/ledger.rs
@@ -21,7 +21,7 @@
     /// an answer; its body ended as its framing says
     Answered {
         status: u16,
-        is_whole: bool,
+        is_complete: bool,
         /// the id that it bears
         id: String,
         /// a back end's signature
@@ -52,11 +52,11 @@
     /// most adapters held and on their way at any time
     pub most_adapters: usize,
     /// requests that came long after an answer had said that it leaves
-    pub sent_while_leaving: usize,
+    pub requests_while_leaving: usize,
     /// most requests that came in one of its rests
-    pub most_in_a_rest: usize,
+    pub max_requests_in_backoff: usize,
     /// requests that came beyond the limit that it named, in the worst window
-    pub over_limit: usize,
+    pub requests_over_limit: usize,
 }
 
 /// configurations that came into force at an entry, in the order of its log
--- a/testkit/src/soak/play.rs
+++ b/testkit/src/soak/play.rs
@@ -7,7 +7,7 @@
         cluster::Binaries,
         users_platform::{
             prompt, request, BackendFault, BackendStandIn, ClientRequest, Fleet, FleetSettings,
-            StoreFault, FIRST_BORN, MODEL,
+            StoreFault, FIRST_START_TIME_MS, MODEL,
         },
         waiting::until,
     },
@@ -74,7 +74,7 @@
         engines: settings.engines,
         plain: settings.plain,
         grace_s: GRACE_S,
-        forwarded_store: true,
+        has_store_forwarder: true,
         ..FleetSettings::default()
     })
     .await?;
@@ -112,7 +112,7 @@
 /// send a request that ends engines, under another id each time
 fn send_crashing(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
     for engine in &fleet.engines {
-        engine.state().crashed_by = Some(CRASHING_BODY.to_vec());
+        engine.state().crash_body = Some(CRASHING_BODY.to_vec());
     }
     let (entry, stop) = (fleet.clients, stop.clone());
     tokio::spawn(async move {
@@ -209,40 +209,40 @@
             Fault::FreezeSidecar(n) => fleet.sidecars[usize::from(n)].freeze()?,
             Fault::EngineBornAgain(n) => {
                 self.lives += 1;
-                fleet.engines[usize::from(n)].start_again(FIRST_BORN + self.lives);
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS + self.lives);
             }
             Fault::EngineBornEarlier(n) => {
                 self.lives += 1;
-                fleet.engines[usize::from(n)].start_again(FIRST_BORN - self.lives);
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS - self.lives);
             }
-            Fault::EngineSheds(n) => engine(fleet, n).set_fault(BackendFault::Shed, STRUCK),
-            Fault::EngineLeaves(n) => engine(fleet, n).state().says_leaving = true,
+            Fault::EngineSheds(n) => engine(fleet, n).set_fault(BackendFault::Overloaded, STRUCK),
+            Fault::EngineLeaves(n) => engine(fleet, n).state().announces_leaving = true,
             Fault::EngineRests(n) => {
-                engine(fleet, n).state().asks_rest = Some(REST);
-                engine(fleet, n).set_fault(BackendFault::Shed, STRUCK);
+                engine(fleet, n).state().requested_backoff = Some(REST);
+                engine(fleet, n).set_fault(BackendFault::Overloaded, STRUCK);
             }
             Fault::EngineLimited(n) => engine(fleet, n).state().set_limit(Some(LIMIT_PER_S)),
             Fault::PlainLimited(n) => plain(fleet, n).state().set_limit(Some(LIMIT_PER_S)),
             Fault::EngineCutsStreams(n) => {
-                engine(fleet, n).set_fault(BackendFault::CutInBody, STRUCK);
+                engine(fleet, n).set_fault(BackendFault::TruncateBody, STRUCK);
             }
             Fault::EngineFails(n) => {
                 engine(fleet, n).set_fault(BackendFault::Status(500), STRUCK);
             }
-            Fault::PlainSilent(n) => plain(fleet, n).set_fault(BackendFault::Silent, STRUCK),
+            Fault::PlainSilent(n) => plain(fleet, n).set_fault(BackendFault::Unresponsive, STRUCK),
             Fault::PlainCuts(n) => {
-                plain(fleet, n).set_fault(BackendFault::CutBeforeAnswer, STRUCK);
+                plain(fleet, n).set_fault(BackendFault::CloseBeforeResponse, STRUCK);
             }
-            Fault::PlainSheds(n) => plain(fleet, n).set_fault(BackendFault::Shed, STRUCK),
-            Fault::PlainDrains(n) => fleet.list_plain(usize::from(n), "draining"),
+            Fault::PlainSheds(n) => plain(fleet, n).set_fault(BackendFault::Overloaded, STRUCK),
+            Fault::PlainDrains(n) => fleet.publish_plain(usize::from(n), "draining"),
             Fault::PlainForeignRecord(n) => {
                 let key = format!("servers/{}", plain(fleet, n).id());
                 fleet.store.put_bytes(&key, b"{\"Service\":[]");
             }
-            Fault::StoreSilent => fleet.store.set_fault(StoreFault::Silent),
+            Fault::StoreSilent => fleet.store.set_fault(StoreFault::Unresponsive),
             Fault::StoreRefuses => fleet.store.set_fault(StoreFault::Status(503)),
             Fault::StoreResets => fleet.store.set_fault(StoreFault::Reset),
-            Fault::StoreForgets => fleet.store.forget_history(),
+            Fault::StoreForgets => fleet.store.compact_history(),
             Fault::StoreConnectionsSilent => fleet.store.silence_connections(),
             Fault::Configuration => fleet.configure(|_| {}),
             Fault::AdapterVersion(n) => {
@@ -265,7 +265,7 @@
             Fault::KillIngress | Fault::StopIngress => self.start_ingress().await?,
             Fault::FreezeIngress if !self.is_stopped => {
                 self.fleet.ingress.thaw()?;
-                self.forget_words();
+                self.reset_signals();
             }
             Fault::FreezeSidecar(n) => self.fleet.sidecars[usize::from(n)].thaw()?,
             Fault::EngineSheds(n) | Fault::EngineCutsStreams(n) | Fault::EngineFails(n) => {
@@ -273,7 +273,7 @@
             }
             Fault::EngineRests(n) => {
                 engine(&self.fleet, n).set_fault(BackendFault::None, 0);
-                engine(&self.fleet, n).state().asks_rest = None;
+                engine(&self.fleet, n).state().requested_backoff = None;
             }
             Fault::EngineLimited(n) => engine(&self.fleet, n).state().set_limit(None),
             Fault::PlainLimited(n) => plain(&self.fleet, n).state().set_limit(None),
@@ -282,7 +282,7 @@
                 plain(&self.fleet, n).set_fault(BackendFault::None, 0);
             }
             Fault::PlainDrains(n) | Fault::PlainForeignRecord(n) => {
-                self.fleet.list_plain(usize::from(n), "ready");
+                self.fleet.publish_plain(usize::from(n), "ready");
             }
             Fault::StoreSilent | Fault::StoreRefuses | Fault::StoreResets => {
                 self.fleet.store.set_fault(StoreFault::None);
@@ -293,9 +293,9 @@
     }
 
     /// an entry that was away is not bound by what it was told before
-    fn forget_words(&self) {
+    fn reset_signals(&self) {
         for backend in self.fleet.engines.iter().chain(&self.fleet.plain) {
-            backend.state().forget_words();
+            backend.state().reset_signals();
         }
     }
 
@@ -305,8 +305,8 @@
         let key = format!("servers/{}", engine(&self.fleet, number).id());
         self.fleet.store.delete(&key);
         let name = format!("e-{number}-{}", self.lives);
-        engine(&self.fleet, number).restart_as(&name);
-        self.fleet.list_engine(usize::from(number), "ready");
+        engine(&self.fleet, number).restart_with_id(&name);
+        self.fleet.publish_engine(usize::from(number), "ready");
     }
 
     async fn start_ingress(&mut self) -> Result<()> {
@@ -318,7 +318,7 @@
             let ingress = &self.fleet.ingress;
             until("the ingress has begun", || ingress.outlives_hangups()).await;
             self.is_stopped = false;
-            self.forget_words();
+            self.reset_signals();
         }
         Ok(())
     }
@@ -461,10 +461,10 @@
         runs: runs.filter(|id| of_clients(id)).collect(),
         arrivals: state.arrivals.clone(),
         orders: state.all_orders.clone(),
-        most_adapters: state.orders.most,
-        sent_while_leaving: state.sent_while_leaving,
-        most_in_a_rest: state.most_in_a_rest(WORD_KNOWN_AFTER),
-        over_limit: state.over_limit,
+        most_adapters: state.orders.max_adapters,
+        requests_while_leaving: state.requests_while_leaving,
+        max_requests_in_backoff: state.max_requests_in_backoff(WORD_KNOWN_AFTER),
+        requests_over_limit: state.requests_over_limit,
     }
 }
 
--- a/testkit/src/users_platform/backend_answers.rs
+++ b/testkit/src/users_platform/backend_responses.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         backend_stand_in::{BackendFault, BackendKind, BackendState, Run},
-        wire::{write_answer, Head},
+        wire::{write_response, Head},
     },
     crate::serving::lock,
     anyhow::{bail, Result},
@@ -17,15 +17,15 @@
 };
 
 const BODY: &[u8] = b"the whole answer";
-const GARBLED: &[u8] = b"\x16\x03\x01 no answer in the protocol\r\n\r\n";
+const INVALID_BYTES: &[u8] = b"\x16\x03\x01 no answer in the protocol\r\n\r\n";
 /// when a late second answer comes
-const LATE: Duration = Duration::from_millis(150);
+const EXTRA_RESPONSE_DELAY: Duration = Duration::from_millis(150);
 /// how long a request runs under which the back end ends
-const BEFORE_CRASH: Duration = Duration::from_millis(20);
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 const FOREVER: Duration = Duration::from_secs(30);
 
 /// run one request, or refuse it, as the fault of the moment says
-pub async fn answer_request(
+pub async fn respond(
     socket: &mut TcpStream,
     state: &Arc<Mutex<BackendState>>,
     head: &Head,
@@ -33,31 +33,31 @@
 ) -> Result<()> {
     let request = head.get("chalkcart-request-id").unwrap_or_default();
     let fault = take_fault(state);
-    if let Some(status) = refusal(state, head, fault) {
-        let headers = refusal_headers(&mut lock(state), status, request);
-        return write_answer(socket, status, &headers, b"").await;
+    if let Some(status) = rejection_status(state, head, fault) {
+        let headers = rejection_response_headers(&mut lock(state), status, request);
+        return write_response(socket, status, &headers, b"").await;
     }
-    let crashes = lock(state).is_crashed_by(&body);
-    let number = begin_run(state, head, body);
-    let _place = Place(state.clone());
+    let crashes = lock(state).crashes_on(&body);
+    let number = record_run(state, head, body);
+    let _running = RunningRequest(state.clone());
     let kind = lock(state).kind;
-    let mut headers = answer_headers(request, fault);
-    headers.extend(lock(state).words());
+    let mut headers = response_headers(request, fault);
+    headers.extend(lock(state).signal_headers());
     if crashes {
-        let head = head_text(&headers, "Transfer-Encoding: chunked");
+        let head = response_head(&headers, "Transfer-Encoding: chunked");
         socket.write_all(&head).await?;
-        sleep(BEFORE_CRASH).await;
+        sleep(CRASH_DELAY).await;
         lock(state).crash();
         bail!("crashed")
     }
     match (fault, kind) {
-        (BackendFault::CutBeforeAnswer, _) => bail!("cut"),
-        (BackendFault::Garbled, _) => {
-            socket.write_all(GARBLED).await?;
+        (BackendFault::CloseBeforeResponse, _) => bail!("cut"),
+        (BackendFault::InvalidBytes, _) => {
+            socket.write_all(INVALID_BYTES).await?;
             bail!("no answer")
         }
-        (BackendFault::Silent, _) => wait_until_left(socket, state, number, FOREVER).await,
-        (BackendFault::Status(status), _) => write_answer(socket, status, &headers, b"").await,
+        (BackendFault::Unresponsive, _) => wait_or_disconnect(socket, state, number, FOREVER).await,
+        (BackendFault::Status(status), _) => write_response(socket, status, &headers, b"").await,
         (_, BackendKind::Engine) => {
             let from = head.number("last-event-id").map_or(0, |id| id as u32 + 1);
             stream(socket, state, number, &headers, (fault, from)).await
@@ -71,9 +71,9 @@
 }
 
 /// frees a place when the run is over
-struct Place(Arc<Mutex<BackendState>>);
+struct RunningRequest(Arc<Mutex<BackendState>>);
 
-impl Drop for Place {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         lock(&self.0).running -= 1;
     }
@@ -81,20 +81,20 @@
 
 fn take_fault(state: &Mutex<BackendState>) -> BackendFault {
     let mut state = lock(state);
-    if state.fault_left == 0 {
+    if state.fault_requests_left == 0 {
         return BackendFault::None;
     }
-    state.fault_left -= 1;
+    state.fault_requests_left -= 1;
     state.fault
 }
 
 /// the status of a refusal, if the request is not run
-fn refusal(state: &Mutex<BackendState>, head: &Head, fault: BackendFault) -> Option<u16> {
+fn rejection_status(state: &Mutex<BackendState>, head: &Head, fault: BackendFault) -> Option<u16> {
     let mut state = lock(state);
-    if fault == BackendFault::Shed || state.running >= state.slots {
+    if fault == BackendFault::Overloaded || state.running >= state.slots {
         return Some(503);
     }
-    state.orders.settle(Instant::now());
+    state.orders.complete_loads(Instant::now());
     let (_, adapter) = head.get("chalkcart-model")?.split_once('/')?;
     let held = state.orders.held.get(adapter).copied();
     let expected = head.number("chalkcart-expect-version");
@@ -104,14 +104,14 @@
     }
 }
 
-fn refusal_headers(
+fn rejection_response_headers(
     state: &mut BackendState,
     status: u16,
     request: &str,
 ) -> Vec<(&'static str, String)> {
     let mut headers = match status {
-        503 => state.words_of_refusal(Instant::now()),
-        _ => state.words(),
+        503 => state.rejection_headers(Instant::now()),
+        _ => state.signal_headers(),
     };
     headers.extend([
         ("Chalkcart-Not-Run", "1".to_string()),
@@ -121,7 +121,7 @@
     headers
 }
 
-fn begin_run(state: &Mutex<BackendState>, head: &Head, body: Vec<u8>) -> usize {
+fn record_run(state: &Mutex<BackendState>, head: &Head, body: Vec<u8>) -> usize {
     let part = |n: usize| head.line.get(n).cloned().unwrap_or_default();
     let run = Run {
         request: head
@@ -132,7 +132,7 @@
         target: part(1),
         body,
         headers: head.headers.clone(),
-        was_left: false,
+        client_disconnected: false,
     };
     let mut state = lock(state);
     state.running += 1;
@@ -140,16 +140,16 @@
     state.runs.len() - 1
 }
 
-fn answer_headers(request: &str, fault: BackendFault) -> Vec<(&'static str, String)> {
+fn response_headers(request: &str, fault: BackendFault) -> Vec<(&'static str, String)> {
     let id = match fault {
-        BackendFault::OtherId => "another".to_string(),
+        BackendFault::WrongRequestId => "another".to_string(),
         _ => request.to_string(),
     };
     let mut headers = vec![("Chalkcart-Request-Id", id)];
-    if fault != BackendFault::Unsigned {
+    if fault != BackendFault::WithoutStamp {
         headers.push(("Chalkcart-Response-Stamp", "stamp".to_string()));
     }
-    if fault == BackendFault::Encoded {
+    if fault == BackendFault::EncodeBody {
         headers.push(("Content-Encoding", "gzip".to_string()));
     }
     headers
@@ -161,32 +161,32 @@
     fault: BackendFault,
 ) -> Result<()> {
     match fault {
-        BackendFault::CutInBody => {
+        BackendFault::TruncateBody => {
             socket
-                .write_all(&head_text(headers, "Content-Length: 16"))
+                .write_all(&response_head(headers, "Content-Length: 16"))
                 .await?;
             socket.write_all(&BODY[..5]).await?;
             bail!("cut")
         }
-        BackendFault::Unframed => {
+        BackendFault::DelimitBodyByClose => {
             socket
-                .write_all(&head_text(headers, "Connection: close"))
+                .write_all(&response_head(headers, "Connection: close"))
                 .await?;
             socket.write_all(BODY).await?;
             bail!("ends by closing")
         }
-        BackendFault::Surplus => {
-            write_answer(socket, 200, headers, BODY).await?;
+        BackendFault::ExtraResponse => {
+            write_response(socket, 200, headers, BODY).await?;
             let other = [("Chalkcart-Request-Id", "another".to_string())];
-            write_answer(socket, 200, &other, b"surplus").await
+            write_response(socket, 200, &other, b"surplus").await
         }
-        BackendFault::LateSurplus => {
-            write_answer(socket, 200, headers, BODY).await?;
-            sleep(LATE).await;
+        BackendFault::LateExtraResponse => {
+            write_response(socket, 200, headers, BODY).await?;
+            sleep(EXTRA_RESPONSE_DELAY).await;
             let other = [("Chalkcart-Request-Id", "another".to_string())];
-            write_answer(socket, 200, &other, b"surplus").await
+            write_response(socket, 200, &other, b"surplus").await
         }
-        _ => write_answer(socket, 200, headers, BODY).await,
+        _ => write_response(socket, 200, headers, BODY).await,
     }
 }
 
@@ -198,33 +198,33 @@
     headers: &[(&'static str, String)],
     (fault, from): (BackendFault, u32),
 ) -> Result<()> {
-    let (parts, pause) = {
+    let (event_count, event_interval) = {
         let state = lock(state);
         (
-            state.parts,
-            state.pause + state.pause_per_run * state.running,
+            state.event_count,
+            state.event_interval + state.event_interval_per_run * state.running,
         )
     };
-    let head = head_text(headers, "Transfer-Encoding: chunked");
+    let head = response_head(headers, "Transfer-Encoding: chunked");
     socket.write_all(&head).await?;
-    for part in from..parts {
-        if fault == BackendFault::CutInBody && part == parts / 2 {
+    for part in from..event_count {
+        if fault == BackendFault::TruncateBody && part == event_count / 2 {
             bail!("cut");
         }
         let event = format!("id: {part}\ndata: x\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         if socket.write_all(chunk.as_bytes()).await.is_err() {
-            lock(state).runs[number].was_left = true;
+            lock(state).runs[number].client_disconnected = true;
             bail!("left");
         }
-        wait_until_left(socket, state, number, pause).await?;
+        wait_or_disconnect(socket, state, number, event_interval).await?;
     }
     socket.write_all(b"0\r\n\r\n").await?;
     Ok(())
 }
 
 /// wait, and note if the caller closes meanwhile
-async fn wait_until_left(
+async fn wait_or_disconnect(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
     number: usize,
@@ -234,13 +234,13 @@
     match timeout(wait, socket.read(&mut buf)).await {
         Err(_) => Ok(()),
         Ok(_) => {
-            lock(state).runs[number].was_left = true;
+            lock(state).runs[number].client_disconnected = true;
             bail!("the caller left")
         }
     }
 }
 
-fn head_text(headers: &[(&'static str, String)], framing: &str) -> Vec<u8> {
+fn response_head(headers: &[(&'static str, String)], framing: &str) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 200 OK\r\n{framing}\r\n");
     for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
--- a/testkit/src/users_platform/backend_stand_in.rs
+++ b/testkit/src/users_platform/backend_stand_in.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        backend_answers::answer_request,
+        backend_responses::respond,
         engine_orders::{EngineOrders, TakenOrder},
-        wire::{read_body, read_head, write_answer, Head},
+        wire::{read_body, read_head, write_response, Head},
     },
     crate::serving::lock,
     anyhow::Result,
@@ -21,13 +21,13 @@
 };
 
 /// Unix ms at which back ends were started first
-pub const FIRST_BORN: u64 = 1_700_000_000_000;
+pub const FIRST_START_TIME_MS: u64 = 1_700_000_000_000;
 /// of the settings of the fleet: a back end that leaves gets nothing after it
 pub const DRAIN: Duration = Duration::from_millis(2_000);
 /// a limit binds this long after it was first named
-pub const CONTACT: Duration = Duration::from_secs(3);
+pub const LIMIT_GRACE: Duration = Duration::from_secs(3);
 /// a caller is bound by a limit this long after an answer named it
-const LIMIT_KNOWN_AFTER: Duration = Duration::from_millis(500);
+const LIMIT_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 /// time over which requests are counted against a limit
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 pub const HEALTH_PATH: &str = "/health";
@@ -45,29 +45,29 @@
     #[default]
     None,
     /// runs the request and closes with no answer
-    CutBeforeAnswer,
+    CloseBeforeResponse,
     /// breaks off within the body
-    CutInBody,
+    TruncateBody,
     /// no length: the end of the connection ends the body
-    Unframed,
+    DelimitBodyByClose,
     /// a second answer behind the first
-    Surplus,
+    ExtraResponse,
     /// the answer to another request
-    OtherId,
+    WrongRequestId,
     /// a success without its signature
-    Unsigned,
+    WithoutStamp,
     /// a body that something on the way has encoded
-    Encoded,
+    EncodeBody,
     /// runs it, and answers with this status
     Status(u16),
     /// says that it is full, and runs nothing
-    Shed,
+    Overloaded,
     /// answers, and answers once more a while later
-    LateSurplus,
+    LateExtraResponse,
     /// runs it and says nothing
-    Silent,
+    Unresponsive,
     /// runs it and sends bytes that are no answer
-    Garbled,
+    InvalidBytes,
 }
 
 /// one request that a back end ran
@@ -79,7 +79,7 @@
     pub body: Vec<u8>,
     pub headers: std::collections::HashMap<String, String>,
     /// its caller closed the connection before the end
-    pub was_left: bool,
+    pub client_disconnected: bool,
 }
 
 /// what a stand-in's tests look at and change
@@ -87,11 +87,11 @@
 pub struct BackendState {
     pub id: String,
     /// Unix ms of its start
-    pub born: u64,
+    pub start_time_ms: u64,
     pub kind: BackendKind,
     pub fault: BackendFault,
     /// requests that the fault still strikes
-    pub fault_left: u32,
+    pub fault_requests_left: u32,
     pub runs: Vec<Run>,
     /// requests that arrived, also those that were refused
     pub arrivals: Vec<(Instant, String)>,
@@ -104,36 +104,36 @@
     /// time that a plain request runs
     pub delay: Duration,
     /// parts of a stream, and the time between two
-    pub parts: u32,
-    pub pause: Duration,
+    pub event_count: u32,
+    pub event_interval: Duration,
     /// added to that time for each request that runs in the batch
-    pub pause_per_run: Duration,
+    pub event_interval_per_run: Duration,
     /// a run of a request with this body ends the back end
-    pub crashed_by: Option<Vec<u8>>,
+    pub crash_body: Option<Vec<u8>>,
     /// it says in all its answers that it leaves
-    pub says_leaving: bool,
+    pub announces_leaving: bool,
     /// the requests a second that it says, in all its answers, that it takes
-    pub names_limit: Option<f64>,
+    pub advertised_limit: Option<f64>,
     /// when a request was first answered with a limit
-    told_limit: Option<Instant>,
+    limit_announced_at: Option<Instant>,
     /// requests that came beyond its limit in the worst window
-    pub over_limit: usize,
+    pub requests_over_limit: usize,
     /// headers of all its answers that no page names
-    pub odd_headers: Vec<(&'static str, String)>,
+    pub extra_headers: Vec<(&'static str, String)>,
     /// the rest that it asks for when it says that it is full
-    pub asks_rest: Option<Duration>,
+    pub requested_backoff: Option<Duration>,
     /// when a request was first answered with the word that it leaves
-    pub told_leaving: Option<Instant>,
+    pub leaving_announced_at: Option<Instant>,
     /// requests that came later than its drain after that
-    pub sent_while_leaving: usize,
+    pub requests_while_leaving: usize,
     /// it turns orders away, too, while it asks for rest
-    pub turns_orders_away: bool,
+    pub rejects_orders: bool,
     /// calls of its sidecar: orders, reports and questions for its identity
     pub calls: Vec<Instant>,
     /// when it asked for rest
-    pub rests: Vec<(Instant, Duration)>,
+    pub backoffs: Vec<(Instant, Duration)>,
     /// time after its end until it is back, as another incarnation
-    pub down_for: Duration,
+    pub restart_delay: Duration,
     /// times that it has ended under a run
     pub crashes: u32,
     has_crashed: Arc<Notify>,
@@ -141,70 +141,71 @@
 
 impl BackendState {
     /// headers of all its answers
-    pub fn words(&self) -> Vec<(&'static str, String)> {
+    pub fn signal_headers(&self) -> Vec<(&'static str, String)> {
         let leaving = self
-            .says_leaving
+            .announces_leaving
             .then(|| ("Server-Leaving", "1".to_string()));
         let limit = self
-            .names_limit
+            .advertised_limit
             .map(|per_s| ("Server-Limit", per_s.to_string()));
-        let odd = self.odd_headers.iter().cloned();
+        let odd = self.extra_headers.iter().cloned();
         leaving.into_iter().chain(limit).chain(odd).collect()
     }
     /// headers of an answer that turns a request away
-    pub fn words_of_refusal(&mut self, now: Instant) -> Vec<(&'static str, String)> {
-        let mut words = self.words();
-        if let Some(rest) = self.asks_rest {
-            self.rests.push((now, rest));
-            words.push(("Retry-After", rest.as_secs_f64().to_string()));
+    pub fn rejection_headers(&mut self, now: Instant) -> Vec<(&'static str, String)> {
+        let mut signals = self.signal_headers();
+        if let Some(rest) = self.requested_backoff {
+            self.backoffs.push((now, rest));
+            signals.push(("Retry-After", rest.as_secs_f64().to_string()));
         }
-        words
+        signals
     }
     /// a request has come
     pub fn on_arrival(&mut self, request: &str, now: Instant) {
         self.arrivals.push((now, request.to_string()));
-        self.judge_limit(now);
-        if self.says_leaving {
-            let told = *self.told_leaving.get_or_insert(now);
-            self.sent_while_leaving += usize::from(now - told > DRAIN);
+        self.check_limit(now);
+        if self.announces_leaving {
+            let announced_at = *self.leaving_announced_at.get_or_insert(now);
+            self.requests_while_leaving += usize::from(now - announced_at > DRAIN);
         }
     }
     /// it takes so many requests a second from now on, or what comes
     pub fn set_limit(&mut self, per_s: Option<f64>) {
-        self.names_limit = per_s;
-        self.told_limit = None;
+        self.advertised_limit = per_s;
+        self.limit_announced_at = None;
     }
-    fn judge_limit(&mut self, now: Instant) {
-        let Some(per_s) = self.names_limit else {
+    fn check_limit(&mut self, now: Instant) {
+        let Some(per_s) = self.advertised_limit else {
             return;
         };
-        let told = *self.told_limit.get_or_insert(now);
-        if now < told + CONTACT {
+        let announced_at = *self.limit_announced_at.get_or_insert(now);
+        if now < announced_at + LIMIT_GRACE {
             return;
         }
         let came = self.arrivals.iter().map(|(at, _)| *at);
-        let bound = came.filter(|at| *at >= told + LIMIT_KNOWN_AFTER && now - *at < LIMIT_WINDOW);
-        let over = bound.count().saturating_sub(allowed_by_limit(per_s));
-        self.over_limit = self.over_limit.max(over);
+        let bound = came
+            .filter(|at| *at >= announced_at + LIMIT_PROPAGATION_DELAY && now - *at < LIMIT_WINDOW);
+        let over = bound.count().saturating_sub(max_requests_in_window(per_s));
+        self.requests_over_limit = self.requests_over_limit.max(over);
     }
     /// nobody is bound any more by what it has said
-    pub fn forget_words(&mut self) {
-        self.told_limit = None;
-        self.told_leaving = None;
-        self.rests.clear();
+    pub fn reset_signals(&mut self) {
+        self.limit_announced_at = None;
+        self.leaving_announced_at = None;
+        self.backoffs.clear();
     }
     /// the most requests that came in one of its rests, once the callers could know of it
-    pub fn most_in_a_rest(&self, known_after: Duration) -> usize {
+    pub fn max_requests_in_backoff(&self, known_after: Duration) -> usize {
         let within = |(asked, rest): &(Instant, Duration)| {
             let arrivals = self.arrivals.iter().map(|(at, _)| *at);
             let all = arrivals.chain(self.calls.iter().copied());
             all.filter(|at| *at > *asked + known_after && *at < *asked + *rest)
                 .count()
         };
-        self.rests.iter().map(within).max().unwrap_or(0)
+        self.backoffs.iter().map(within).max().unwrap_or(0)
     }
     /// the most requests that came within some time, of those that came after a moment
-    pub fn most_within(&self, time: Duration, after: Instant) -> usize {
+    pub fn max_arrivals_within(&self, time: Duration, after: Instant) -> usize {
         let came = self.arrivals.iter().map(|(at, _)| *at);
         let mut came: Vec<Instant> = came.filter(|at| *at > after).collect();
         came.sort();
@@ -213,22 +214,22 @@
         };
         came.iter().enumerate().map(until).max().unwrap_or(0)
     }
-    pub fn is_crashed_by(&self, body: &[u8]) -> bool {
-        self.crashed_by.as_deref() == Some(body)
+    pub fn crashes_on(&self, body: &[u8]) -> bool {
+        self.crash_body.as_deref() == Some(body)
     }
     /// it ends with all that it runs and holds, and comes back under another name
     pub fn crash(&mut self) {
         self.crashes += 1;
-        self.born += 1;
+        self.start_time_ms += 1;
         let name = self.id.split('.').next().unwrap_or_default();
         self.id = format!("{name}.{}", self.crashes);
-        self.orders = self.orders.of_next_life();
+        self.orders = self.orders.next_incarnation();
         self.has_crashed.notify_one();
     }
 }
 
 /// the most requests that may come within a window, where a limit is named
-pub fn allowed_by_limit(per_s: f64) -> usize {
+pub fn max_requests_in_window(per_s: f64) -> usize {
     (1.5 * per_s * LIMIT_WINDOW.as_secs_f64() + 5.0) as usize
 }
 
@@ -237,7 +238,7 @@
     pub addr: SocketAddr,
     state: Arc<Mutex<BackendState>>,
     /// changes with each life; connections end with theirs
-    lives: watch::Sender<u64>,
+    incarnations: watch::Sender<u64>,
     server: JoinHandle<()>,
 }
 
@@ -253,10 +254,10 @@
         let has_crashed = Arc::new(Notify::new());
         let state = Arc::new(Mutex::new(BackendState {
             id: id.to_string(),
-            born: FIRST_BORN,
+            start_time_ms: FIRST_START_TIME_MS,
             kind,
             fault: BackendFault::None,
-            fault_left: 0,
+            fault_requests_left: 0,
             runs: Vec::new(),
             arrivals: Vec::new(),
             all_orders: Vec::new(),
@@ -264,27 +265,27 @@
             slots: u32::MAX,
             running: 0,
             delay: Duration::ZERO,
-            parts: 3,
-            pause: Duration::from_millis(5),
-            pause_per_run: Duration::ZERO,
-            crashed_by: None,
-            says_leaving: false,
-            names_limit: None,
-            told_limit: None,
-            over_limit: 0,
-            odd_headers: Vec::new(),
-            asks_rest: None,
-            told_leaving: None,
-            sent_while_leaving: 0,
-            turns_orders_away: false,
+            event_count: 3,
+            event_interval: Duration::from_millis(5),
+            event_interval_per_run: Duration::ZERO,
+            crash_body: None,
+            announces_leaving: false,
+            advertised_limit: None,
+            limit_announced_at: None,
+            requests_over_limit: 0,
+            extra_headers: Vec::new(),
+            requested_backoff: None,
+            leaving_announced_at: None,
+            requests_while_leaving: 0,
+            rejects_orders: false,
             calls: Vec::new(),
-            rests: Vec::new(),
-            down_for: Duration::from_millis(300),
+            backoffs: Vec::new(),
+            restart_delay: Duration::from_millis(300),
             crashes: 0,
             has_crashed: has_crashed.clone(),
         }));
-        let lives = watch::Sender::new(FIRST_BORN);
-        let (shared, ended) = (state.clone(), lives.clone());
+        let incarnations = watch::Sender::new(FIRST_START_TIME_MS);
+        let (shared, ended) = (state.clone(), incarnations.clone());
         let server = tokio::spawn(async move {
             loop {
                 tokio::select! {
@@ -294,9 +295,9 @@
                     },
                     () = has_crashed.notified() => {
                         drop(listener);
-                        ended.send_modify(|life| *life += 1);
-                        let down_for = lock(&shared).down_for;
-                        sleep(down_for).await;
+                        ended.send_modify(|incarnation| *incarnation += 1);
+                        let restart_delay = lock(&shared).restart_delay;
+                        sleep(restart_delay).await;
                         listener = match TcpListener::bind(addr).await {
                             Ok(listener) => listener,
                             Err(_) => return,
@@ -308,7 +309,7 @@
         Ok(Self {
             addr,
             state,
-            lives,
+            incarnations,
             server,
         })
     }
@@ -329,27 +330,27 @@
     pub fn set_fault(&self, fault: BackendFault, requests: u32) {
         let mut state = self.state();
         state.fault = fault;
-        state.fault_left = requests;
+        state.fault_requests_left = requests;
     }
     /// start again under the same name: it holds nothing, counts anew, and all its
     /// connections are closed
-    pub fn start_again(&self, born: u64) {
+    pub fn restart(&self, start_time_ms: u64) {
         let mut state = self.state();
-        state.born = born;
+        state.start_time_ms = start_time_ms;
         state.orders = EngineOrders {
-            has_no_model: true,
-            ..state.orders.of_next_life()
+            is_base_model_missing: true,
+            ..state.orders.next_incarnation()
         };
         drop(state);
-        self.lives.send_replace(born);
+        self.incarnations.send_replace(start_time_ms);
     }
     /// come back as another incarnation that holds nothing
-    pub fn restart_as(&self, id: &str) {
+    pub fn restart_with_id(&self, id: &str) {
         let mut state = self.state();
         state.id = id.to_string();
-        state.says_leaving = false;
-        state.told_leaving = None;
-        state.orders = state.orders.of_next_life();
+        state.announces_leaving = false;
+        state.leaving_announced_at = None;
+        state.orders = state.orders.next_incarnation();
     }
 }
 
@@ -357,13 +358,13 @@
 fn spawn_connection(
     socket: TcpStream,
     state: &Arc<Mutex<BackendState>>,
-    mut life: watch::Receiver<u64>,
+    mut incarnation: watch::Receiver<u64>,
 ) {
     let served = serve(socket, state.clone());
     tokio::spawn(async move {
         tokio::select! {
             () = served => {}
-            _ = life.changed() => {}
+            _ = incarnation.changed() => {}
         }
     });
 }
@@ -387,24 +388,24 @@
 ) -> Result<()> {
     let target = head.line.get(1).cloned().unwrap_or_default();
     let id = lock(state).id.clone();
-    let words = lock(state).words();
-    let mut own_id = words.clone();
+    let signals = lock(state).signal_headers();
+    let mut own_id = signals.clone();
     own_id.push(("Chalkcart-Instance-Id", id.clone()));
     let is_call = [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
-    if is_call && lock(state).turns_orders_away {
+    if is_call && lock(state).rejects_orders {
         lock(state).calls.push(Instant::now());
     }
     if target == HEALTH_PATH {
-        return write_answer(socket, 200, &own_id, b"").await;
+        return write_response(socket, 200, &own_id, b"").await;
     }
     if target == names::REPORT_PATH {
         let report = {
             let mut state = lock(state);
             let mut report = state.orders.report(Instant::now());
-            report["born"] = state.born.into();
+            report["born"] = state.start_time_ms.into();
             report.to_string()
         };
-        return write_answer(socket, 200, &words, report.as_bytes()).await;
+        return write_response(socket, 200, &signals, report.as_bytes()).await;
     }
     if target != names::ORDER_PATH {
         let request = head.get("chalkcart-request-id").unwrap_or_default();
@@ -412,11 +413,11 @@
     }
     let expected = head.get("chalkcart-expect-instance");
     if expected.is_some_and(|expected| expected != id) {
-        return write_answer(socket, 421, &own_id, b"").await;
+        return write_response(socket, 421, &own_id, b"").await;
     }
-    if target == names::ORDER_PATH && lock(state).turns_orders_away {
-        let words = lock(state).words_of_refusal(Instant::now());
-        return write_answer(socket, 503, &words, b"").await;
+    if target == names::ORDER_PATH && lock(state).rejects_orders {
+        let signals = lock(state).rejection_headers(Instant::now());
+        return write_response(socket, 503, &signals, b"").await;
     }
     if target == names::ORDER_PATH {
         let status = {
@@ -428,7 +429,7 @@
             }
             status
         };
-        return write_answer(socket, status, &words, b"").await;
+        return write_response(socket, status, &signals, b"").await;
     }
-    answer_request(socket, state, head, body).await
+    respond(socket, state, head, body).await
 }
--- a/testkit/src/users_platform/client.rs
+++ b/testkit/src/users_platform/client.rs
@@ -10,7 +10,7 @@
 };
 
 /// far beyond what any machine needs; it only keeps a failure from hanging
-const LIMIT: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// a client's request
 #[derive(Debug, Clone)]
@@ -43,12 +43,12 @@
 
 /// an answer as a client saw it
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     pub head: Head,
     pub body: Vec<u8>,
     /// the body ended as its framing says
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// a stream that its client still reads
@@ -86,7 +86,7 @@
 }
 
 /// send a request on a new connection and read the whole answer
-pub async fn request(addr: SocketAddr, request: &ClientRequest) -> Result<Answer> {
+pub async fn request(addr: SocketAddr, request: &ClientRequest) -> Result<ClientResponse> {
     let stream = open_stream(addr, request).await?;
     stream.finish().await
 }
@@ -100,7 +100,7 @@
 /// send a request on a connection that is open, and read the head of the answer
 pub async fn send_on(mut socket: TcpStream, request: &ClientRequest) -> Result<OpenStream> {
     socket.write_all(&request.text()).await.context("send")?;
-    let head = timeout(LIMIT, read_head(&mut socket)).await??;
+    let head = timeout(RESPONSE_TIMEOUT, read_head(&mut socket)).await??;
     let head = head.context("closed with no answer")?;
     let seen = head.rest.clone();
     Ok(OpenStream { head, socket, seen })
@@ -108,26 +108,26 @@
 
 impl OpenStream {
     /// read on to the end
-    pub async fn finish(self) -> Result<Answer> {
-        Ok(self.finish_and_keep().await?.0)
+    pub async fn finish(self) -> Result<ClientResponse> {
+        Ok(self.finish_and_keep_connection().await?.0)
     }
     /// the same, and keep the connection
-    pub async fn finish_and_keep(mut self) -> Result<(Answer, TcpStream)> {
+    pub async fn finish_and_keep_connection(mut self) -> Result<(ClientResponse, TcpStream)> {
         let status = self.head.line.get(1).and_then(|s| s.parse().ok());
         let status = status.context("a status")?;
-        let is_whole = timeout(LIMIT, self.read_to_end()).await?;
-        let answer = Answer {
+        let is_complete = timeout(RESPONSE_TIMEOUT, self.read_to_end()).await?;
+        let answer = ClientResponse {
             status,
             head: self.head,
             body: self.seen,
-            is_whole,
+            is_complete,
         };
         Ok((answer, self.socket))
     }
 
     async fn read_to_end(&mut self) -> bool {
         loop {
-            if self.has_ended() {
+            if self.is_body_complete() {
                 return true;
             }
             match self.socket.read_buf(&mut self.seen).await {
@@ -136,14 +136,14 @@
             }
         }
     }
-    fn has_ended(&self) -> bool {
+    fn is_body_complete(&self) -> bool {
         match self.head.number("content-length") {
             Some(length) => self.seen.len() as u64 >= length,
             None => self.seen.ends_with(b"0\r\n\r\n"),
         }
     }
     /// bytes that came after the whole answer, for a short time
-    pub async fn surplus(&mut self) -> Result<usize> {
+    pub async fn extra_bytes(&mut self) -> Result<usize> {
         let before = self.seen.len();
         let read = self.socket.read_buf(&mut self.seen);
         match timeout(Duration::from_millis(200), read).await {
--- a/testkit/src/users_platform/engine_orders.rs
+++ b/testkit/src/users_platform/engine_orders.rs
@@ -28,15 +28,15 @@
     pub taken: Vec<TakenOrder>,
     pub highest_fence: u64,
     /// its base model was not loaded since its start
-    pub has_no_model: bool,
+    pub is_base_model_missing: bool,
     /// most adapters held and on their way at any time
-    pub most: usize,
+    pub max_adapters: usize,
 }
 
 impl EngineOrders {
     /// those of a new life, which holds nothing; the weight store has the newest versions
     /// still, and a load brings them
-    pub fn of_next_life(&self) -> Self {
+    pub fn next_incarnation(&self) -> Self {
         Self {
             versions: self.versions.clone(),
             ..Self::default()
@@ -45,7 +45,7 @@
 
     /// carry out an order; gives the status of the answer
     pub fn order(&mut self, body: &[u8], now: Instant) -> u16 {
-        self.settle(now);
+        self.complete_loads(now);
         let Ok(order) = serde_json::from_slice::<Value>(body) else {
             return 400;
         };
@@ -66,14 +66,14 @@
         });
         match text("Operation").as_str() {
             "load" if adapter.is_empty() => {
-                self.has_no_model = false;
+                self.is_base_model_missing = false;
                 202
             }
             "load" => {
                 self.loading.insert(adapter, now + LOAD_TIME);
                 let all = self.held.keys().chain(self.loading.keys());
                 let all: std::collections::HashSet<_> = all.collect();
-                self.most = self.most.max(all.len());
+                self.max_adapters = self.max_adapters.max(all.len());
                 202
             }
             "unload" => {
@@ -84,7 +84,7 @@
         }
     }
 
-    pub fn settle(&mut self, now: Instant) {
+    pub fn complete_loads(&mut self, now: Instant) {
         let versions = &self.versions;
         let held = &mut self.held;
         self.loading.retain(|adapter, ready| {
@@ -97,7 +97,7 @@
     }
 
     pub fn report(&mut self, now: Instant) -> Value {
-        self.settle(now);
+        self.complete_loads(now);
         let adapters: Vec<String> = self.held.iter().map(|(a, v)| format!("{a}@{v}")).collect();
         let pending: Vec<String> = self
             .loading
@@ -105,7 +105,7 @@
             .map(|a| format!("{MODEL}/{a}@1"))
             .collect();
         let mut models = vec![json!({"Name": MODEL, "Version": 1, "Adapters": adapters})];
-        if self.has_no_model {
+        if self.is_base_model_missing {
             models.clear();
         }
         json!({
--- a/testkit/src/users_platform/fleet.rs
+++ b/testkit/src/users_platform/fleet.rs
@@ -26,20 +26,20 @@
 pub const HOST: &str = "host.example";
 const ENGINE_SERVICE: &str = "engines";
 const PLAIN_SERVICE: &str = "plain";
-const READY_LIMIT: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 /// last byte of the first engine's address
-const FIRST_HOST: u8 = 10;
+const FIRST_ENGINE_HOST: u8 = 10;
 
 /// what a fleet is made of
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     /// availability zones and their regions: the first is the ingress's, back ends of each
     /// kind are in one after the other
-    pub places: Vec<(&'static str, &'static str)>,
+    pub zones: Vec<(&'static str, &'static str)>,
     pub engines: u8,
     pub plain: u8,
     /// publish a configuration before the start
-    pub configured: bool,
+    pub publish_config: bool,
     pub timeout_ms: u64,
     pub grace_s: f64,
     /// engines from which on the ingress uses a relay
@@ -47,9 +47,9 @@
     /// a key that was taken away is not used after this time, in ms
     pub revoke_ms: Option<u64>,
     /// the ingress reaches the store by a forwarder that can be silenced
-    pub forwarded_store: bool,
+    pub has_store_forwarder: bool,
     /// sidecars know an address of the store that answers; else a dead one
-    pub sidecars_reach_store: bool,
+    pub can_sidecars_reach_store: bool,
     /// programs that are not those of this build
     pub entry_program: Option<PathBuf>,
     pub sidecar_program: Option<PathBuf>,
@@ -58,16 +58,16 @@
 impl Default for FleetSettings {
     fn default() -> Self {
         Self {
-            places: vec![("z", "r")],
+            zones: vec![("z", "r")],
             engines: 0,
             plain: 1,
-            configured: true,
+            publish_config: true,
             timeout_ms: 8_000,
             grace_s: 6.0,
             relays_from_engines: usize::MAX,
             revoke_ms: None,
-            forwarded_store: false,
-            sidecars_reach_store: true,
+            has_store_forwarder: false,
+            can_sidecars_reach_store: true,
             entry_program: None,
             sidecar_program: None,
         }
@@ -118,9 +118,9 @@
             let id = format!("p-{number}");
             let backend = BackendStandIn::start(&id, BackendKind::Plain, next_addr()).await?;
             fleet.plain.push(backend);
-            fleet.list(PLAIN_SERVICE, fleet.plain.len() - 1, "ready");
+            fleet.publish_backend(PLAIN_SERVICE, fleet.plain.len() - 1, "ready");
         }
-        if fleet.settings.configured {
+        if fleet.settings.publish_config {
             fleet.configure(|_| {});
             fleet.wait_ready().await;
         }
@@ -129,7 +129,7 @@
 
     async fn start_processes(settings: FleetSettings, folder: PathBuf) -> Result<Self> {
         let store = StoreStandIn::start().await?;
-        let store_forwarder = match settings.forwarded_store {
+        let store_forwarder = match settings.has_store_forwarder {
             true => Some(TcpForwarder::start(store.addr, Duration::ZERO).await?),
             false => None,
         };
@@ -138,7 +138,7 @@
         let sidecar_port = next_addr().port();
         let settings_file = folder.join("ingress.json");
         let mut document = json!({
-            "name": "front-1", "zone": settings.places[0].0, "clients": clients, "readiness": readiness,
+            "name": "front-1", "zone": settings.zones[0].0, "clients": clients, "readiness": readiness,
             "metrics": metrics, "store": store_addr, "sidecar_port": sidecar_port,
             "grace_s": settings.grace_s, "retry_ratio": 0.2, "retry_extra": 50,
             "retry_window_s": 10, "version_ms": 5000,
@@ -149,8 +149,8 @@
         if settings.entry_program.is_none() {
             document["first_start"] = json!(true);
         }
-        if settings.places.len() > 1 {
-            let regions: HashMap<&str, &str> = settings.places.iter().copied().collect();
+        if settings.zones.len() > 1 {
+            let regions: HashMap<&str, &str> = settings.zones.iter().copied().collect();
             document["regions"] = json!(regions);
         }
         if let Some(revoke_ms) = settings.revoke_ms {
@@ -180,11 +180,11 @@
     }
 
     async fn start_engine(&mut self, number: u8) -> Result<()> {
-        let addr = with_host(next_addr(), FIRST_HOST + number);
+        let addr = with_host(next_addr(), FIRST_ENGINE_HOST + number);
         let id = format!("e-{number}");
         let engine = BackendStandIn::start(&id, BackendKind::Engine, addr).await?;
         self.engines.push(engine);
-        self.list(ENGINE_SERVICE, usize::from(number), "ready");
+        self.publish_backend(ENGINE_SERVICE, usize::from(number), "ready");
         let sidecar = self.start_sidecar(number)?;
         self.sidecars.push(sidecar);
         Ok(())
@@ -200,11 +200,15 @@
 
     /// start one more ingress among the same stand-ins
     pub async fn start_other_ingress(&self, name: &str) -> Result<OtherIngress> {
-        let zone = self.settings.places[0].0;
-        self.start_other_ingress_in(name, zone).await
+        let zone = self.settings.zones[0].0;
+        self.start_other_ingress_in_zone(name, zone).await
     }
     /// the same, in an availability zone
-    pub async fn start_other_ingress_in(&self, name: &str, zone: &str) -> Result<OtherIngress> {
+    pub async fn start_other_ingress_in_zone(
+        &self,
+        name: &str,
+        zone: &str,
+    ) -> Result<OtherIngress> {
         let mut document: Value = serde_json::from_slice(&fs::read(&self.settings_file)?)?;
         let (clients, readiness, metrics) = (next_addr(), next_addr(), next_addr());
         document["name"] = json!(name);
@@ -258,7 +262,7 @@
     pub fn start_sidecar(&self, number: u8) -> Result<Process> {
         let engine = self.engines[usize::from(number)].addr;
         let listen = self.sidecar_addr(usize::from(number));
-        let store = match self.settings.sidecars_reach_store {
+        let store = match self.settings.can_sidecars_reach_store {
             true => self.store.addr,
             false => next_addr(),
         };
@@ -280,26 +284,26 @@
     }
 
     /// write the row of an engine or a plain service into the list
-    pub fn list(&self, service: &str, number: usize, state: &str) {
+    pub fn publish_backend(&self, service: &str, number: usize, state: &str) {
         let backend = match service {
             ENGINE_SERVICE => &self.engines[number],
             _ => &self.plain[number],
         };
-        let places = &self.settings.places;
-        let zone = places[number % places.len()].0;
+        let zones = &self.settings.zones;
+        let zone = zones[number % zones.len()].0;
         let row = json!({
             "Service": service, "Address": backend.addr, "Zone": zone, "Version": "v1",
             "Slots": 8, "State": state, "ColdLeftMs": 0, "Seq": 1,
-            "born": backend.state().born,
+            "born": backend.state().start_time_ms,
             "Models": [{"Name": MODEL, "Version": 1, "Adapters": []}],
         });
         self.store.put(&format!("servers/{}", backend.id()), row);
     }
-    pub fn list_engine(&self, number: usize, state: &str) {
-        self.list(ENGINE_SERVICE, number, state);
+    pub fn publish_engine(&self, number: usize, state: &str) {
+        self.publish_backend(ENGINE_SERVICE, number, state);
     }
-    pub fn list_plain(&self, number: usize, state: &str) {
-        self.list(PLAIN_SERVICE, number, state);
+    pub fn publish_plain(&self, number: usize, state: &str) {
+        self.publish_backend(PLAIN_SERVICE, number, state);
     }
 
     /// publish the next configuration, changed in this way
@@ -377,7 +381,7 @@
             path,
             "text/plain",
             Default::default(),
-            READY_LIMIT,
+            READY_TIMEOUT,
         )
         .await;
     asked.is_ok_and(|(status, _)| status == StatusCode::OK)
@@ -392,7 +396,7 @@
         "/metrics",
         "text/plain",
         Default::default(),
-        READY_LIMIT,
+        READY_TIMEOUT,
     );
     let page = asked.await.map(|(_, text)| text).unwrap_or_default();
     String::from_utf8_lossy(&page).to_string()
--- a/testkit/src/users_platform/mod.rs
+++ b/testkit/src/users_platform/mod.rs
@@ -2,26 +2,26 @@
 //! engines and plain services with their faults, clients, and a fleet of our
 //! real processes between them
 
-mod backend_answers;
+mod backend_responses;
 mod backend_stand_in;
 mod client;
 mod engine_orders;
 mod fleet;
-mod pressing_clients;
 mod prompts;
+mod retrying_clients;
 mod store_stand_in;
 mod wire;
 
 pub use {
     backend_stand_in::{
-        allowed_by_limit, BackendFault, BackendKind, BackendStandIn, Run, CONTACT, FIRST_BORN,
-        LIMIT_WINDOW,
+        max_requests_in_window, BackendFault, BackendKind, BackendStandIn, Run,
+        FIRST_START_TIME_MS, LIMIT_GRACE, LIMIT_WINDOW,
     },
-    client::{open_stream, request, send_on, Answer, ClientRequest, OpenStream},
+    client::{open_stream, request, send_on, ClientRequest, ClientResponse, OpenStream},
     engine_orders::{TakenOrder, ADAPTER_SLOTS, MODEL},
     fleet::{metrics_text, Fleet, FleetSettings, OtherIngress, HOST},
-    pressing_clients::{press, Pressing, Story},
     prompts::{engine_runs, prompt, serve_prompt},
+    retrying_clients::{send_with_retries, AttemptHistory, RetryingClients},
     store_stand_in::{StoreFault, StoreStandIn},
     wire::{read_head, Head},
 };
--- a/testkit/src/users_platform/prompts.rs
+++ b/testkit/src/users_platform/prompts.rs
@@ -1,5 +1,5 @@
 use {
-    super::{request, Answer, ClientRequest, Fleet, MODEL},
+    super::{request, ClientRequest, ClientResponse, Fleet, MODEL},
     anyhow::Result,
 };
 
@@ -14,7 +14,7 @@
 }
 
 /// ask until it is served; refusals say that nothing ran
-pub async fn serve_prompt(fleet: &Fleet, adapter: &str, id: &str) -> Result<Answer> {
+pub async fn serve_prompt(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
     loop {
         let answer = request(fleet.clients, &prompt(adapter, id)).await?;
         if answer.status != 503 {
--- a/testkit/src/users_platform/pressing_clients.rs
+++ b/testkit/src/users_platform/retrying_clients.rs
@@ -1,5 +1,5 @@
 use {
-    super::{request, Answer, ClientRequest},
+    super::{request, ClientRequest, ClientResponse},
     anyhow::Result,
     futures::future::join_all,
     std::{
@@ -11,44 +11,48 @@
 
 /// how clients press on an ingress
 #[derive(Debug, Clone)]
-pub struct Pressing {
+pub struct RetryingClients {
     /// requests, begun one after the other
     pub requests: u32,
     pub gap: Duration,
     /// tries of one request beyond its first
     pub retries: u32,
     /// come back when told to; otherwise at once
-    pub heeds_retry_after: bool,
+    pub honors_retry_after: bool,
 }
 
 /// all tries of one request
 #[derive(Debug)]
-pub struct Story {
+pub struct AttemptHistory {
     /// ids of the tries, in order
-    pub ids: Vec<String>,
-    pub answers: Vec<Answer>,
+    pub request_ids: Vec<String>,
+    pub responses: Vec<ClientResponse>,
     pub took: Duration,
 }
 
 /// press with copies of a request; each try has an id of its own
-pub async fn press(addr: SocketAddr, sent: &ClientRequest, how: &Pressing) -> Result<Vec<Story>> {
-    let stories = (0..how.requests).map(|number| async move {
+pub async fn send_with_retries(
+    addr: SocketAddr,
+    sent: &ClientRequest,
+    how: &RetryingClients,
+) -> Result<Vec<AttemptHistory>> {
+    let histories = (0..how.requests).map(|number| async move {
         sleep(how.gap * number).await;
-        tell(addr, sent, how, number).await
+        send_request(addr, sent, how, number).await
     });
-    join_all(stories).await.into_iter().collect()
+    join_all(histories).await.into_iter().collect()
 }
 
-async fn tell(
+async fn send_request(
     addr: SocketAddr,
     sent: &ClientRequest,
-    how: &Pressing,
+    how: &RetryingClients,
     number: u32,
-) -> Result<Story> {
+) -> Result<AttemptHistory> {
     let started = Instant::now();
-    let mut story = Story {
-        ids: Vec::new(),
-        answers: Vec::new(),
+    let mut history = AttemptHistory {
+        request_ids: Vec::new(),
+        responses: Vec::new(),
         took: Duration::ZERO,
     };
     for attempt in 0..=how.retries {
@@ -60,15 +64,15 @@
         let refused = answer.status == 503;
         let after = answer.head.get("retry-after");
         let after = after.and_then(|s| s.parse::<f64>().ok()).unwrap_or(0.0);
-        story.ids.push(one.id);
-        story.answers.push(answer);
+        history.request_ids.push(one.id);
+        history.responses.push(answer);
         if !refused {
             break;
         }
-        if how.heeds_retry_after {
+        if how.honors_retry_after {
             sleep(Duration::from_secs_f64(after)).await;
         }
     }
-    story.took = started.elapsed();
-    Ok(story)
+    history.took = started.elapsed();
+    Ok(history)
 }
--- a/testkit/src/users_platform/store_stand_in.rs
+++ b/testkit/src/users_platform/store_stand_in.rs
@@ -1,5 +1,5 @@
 use {
-    super::wire::{read_head, write_answer, Head},
+    super::wire::{read_head, write_response, Head},
     crate::{cluster::next_addr, serving::lock},
     anyhow::Result,
     base64::{engine::general_purpose::STANDARD, Engine},
@@ -19,7 +19,7 @@
     },
 };
 
-const PAGE: usize = 3;
+const ITEMS_PER_PAGE: usize = 3;
 /// one item by its key; our processes read ranges only
 const KEY_PATH: &str = "/chalkcart/kv-key";
 
@@ -29,7 +29,7 @@
     #[default]
     None,
     /// answers nothing
-    Silent,
+    Unresponsive,
     /// answers each call with this status
     Status(u16),
     /// closes each connection
@@ -110,13 +110,13 @@
         lock(&self.state).fault = fault;
     }
     /// forget all changes; watches from before get 410
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = lock(&self.state);
         state.history.clear();
         state.forgotten = state.revision;
     }
     /// from now on stale reads see the present state, whatever changes
-    pub fn hold_stale_reads(&self) {
+    pub fn freeze_stale_reads(&self) {
         let mut state = lock(&self.state);
         state.stale = Some((state.items.clone(), state.revision));
     }
@@ -159,18 +159,18 @@
             let mut state = lock(&state);
             state.calls.push(head.target());
             match number <= state.silent_connections {
-                true => StoreFault::Silent,
+                true => StoreFault::Unresponsive,
                 false => state.fault,
             }
         };
         let (status, body) = match fault {
-            StoreFault::Silent => return sleep(Duration::from_secs(60)).await,
+            StoreFault::Unresponsive => return sleep(Duration::from_secs(60)).await,
             StoreFault::Reset => return,
             StoreFault::Status(status) => (status, Value::Null),
             StoreFault::None => answer(&head, &state, &changed).await,
         };
         let body = body.to_string();
-        if write_answer(&mut socket, status, &[], body.as_bytes())
+        if write_response(&mut socket, status, &[], body.as_bytes())
             .await
             .is_err()
         {
@@ -214,7 +214,7 @@
     let mut rest = matching.filter(|(key, _)| key.as_str() > after);
     let page: Vec<Value> = rest
         .by_ref()
-        .take(PAGE)
+        .take(ITEMS_PER_PAGE)
         .map(|(key, (value, revision))| item(key, Some(value), *revision))
         .collect();
     let more = rest.next().is_some();
--- a/testkit/src/users_platform/wire.rs
+++ b/testkit/src/users_platform/wire.rs
@@ -75,7 +75,7 @@
 }
 
 /// write an answer with a length
-pub async fn write_answer(
+pub async fn write_response(
     socket: &mut TcpStream,
     status: u16,
     headers: &[(&str, String)],
--- a/testkit/tests/allowed_regions.rs
+++ b/testkit/tests/allowed_regions.rs
@@ -8,7 +8,7 @@
     anyhow::Result,
     chalkcart_testkit::{
         users_platform::{
-            prompt, request, Answer, ClientRequest, Fleet, FleetSettings, StoreFault,
+            prompt, request, ClientRequest, ClientResponse, Fleet, FleetSettings, StoreFault,
         },
         waiting::until_async,
     },
@@ -25,7 +25,7 @@
 
 async fn three_regions(engines: u8, plain: u8) -> Result<Fleet> {
     Fleet::start(FleetSettings {
-        places: PLACES.to_vec(),
+        zones: PLACES.to_vec(),
         engines,
         plain,
         ..FleetSettings::default()
@@ -66,7 +66,9 @@
     let mut fleet = three_regions(1, 3).await?;
     bind(&mut fleet, 0, json!(["south"]));
     sleep(APPLIED).await;
-    let middle = fleet.start_other_ingress_in("front-m", PLACES[1].0).await?;
+    let middle = fleet
+        .start_other_ingress_in_zone("front-m", PLACES[1].0)
+        .await?;
     let before = runs_of(&fleet);
     let mut answers = statuses(fleet.clients, 0).await?;
     answers.extend(statuses(middle.clients, MANY).await?);
@@ -84,9 +86,9 @@
     let mut fleet = three_regions(1, 3).await?;
     bind(&mut fleet, 0, json!(["south"]));
     sleep(APPLIED).await;
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Unresponsive);
     fleet.plain[2].state().crash();
-    fleet.plain[2].state().down_for = APPLIED;
+    fleet.plain[2].state().restart_delay = APPLIED;
     let before = runs_of(&fleet);
     let answers = statuses(fleet.clients, 0).await?;
     assert!(answers.iter().all(|status| [502, 503].contains(status)));
@@ -125,7 +127,7 @@
 
 const KEY: &str = "key-of-acme-5c1e07a2";
 
-async fn with_key(fleet: &Fleet, id: usize) -> Result<Answer> {
+async fn with_key(fleet: &Fleet, id: usize) -> Result<ClientResponse> {
     let asked = ClientRequest {
         headers: vec![("Api-Key".to_string(), KEY.to_string())],
         ..safe(id)
--- a/testkit/tests/crashing_requests.rs
+++ b/testkit/tests/crashing_requests.rs
@@ -32,7 +32,7 @@
     })
     .await?;
     for engine in &fleet.engines {
-        engine.state().crashed_by = Some(CRASHING.to_vec());
+        engine.state().crash_body = Some(CRASHING.to_vec());
     }
     Ok(fleet)
 }
@@ -52,7 +52,7 @@
 async fn wait_until_served(entry: SocketAddr) {
     until_async("another prompt is served", || async {
         let answer = request(entry, &with_body("other", b"another prompt")).await;
-        answer.is_ok_and(|answer| answer.status == 200 && answer.is_whole)
+        answer.is_ok_and(|answer| answer.status == 200 && answer.is_complete)
     })
     .await;
 }
@@ -61,7 +61,7 @@
 async fn try_crashing(entry: SocketAddr, number: u32) -> Option<u16> {
     let id = format!("crashing-{number}");
     let answer = request(entry, &with_body(&id, CRASHING)).await;
-    let answer = answer.ok().filter(|answer| answer.is_whole)?;
+    let answer = answer.ok().filter(|answer| answer.is_complete)?;
     Some(answer.status)
 }
 
@@ -99,7 +99,7 @@
     let fleet = start(3).await?;
     for engine in &fleet.engines {
         let mut state = engine.state();
-        (state.parts, state.pause) = (40, Duration::from_millis(10));
+        (state.event_count, state.event_interval) = (40, Duration::from_millis(10));
     }
     let mut broken = 0;
     for number in 0..5 {
@@ -118,7 +118,7 @@
     let beside = with_body("beside-last", b"stands beside it");
     until_async("it is served", || async {
         let answer = request(fleet.clients, &beside).await;
-        answer.is_ok_and(|answer| answer.status == 200 && answer.is_whole)
+        answer.is_ok_and(|answer| answer.status == 200 && answer.is_complete)
     })
     .await;
     Ok(())
@@ -175,7 +175,10 @@
 async fn answers_that_break_off_condemn_nobody() -> Result<()> {
     let fleet = start(2).await?;
     wait_until_served(fleet.clients).await;
-    for fault in [BackendFault::CutBeforeAnswer, BackendFault::CutInBody] {
+    for fault in [
+        BackendFault::CloseBeforeResponse,
+        BackendFault::TruncateBody,
+    ] {
         for number in 0..6 {
             for engine in &fleet.engines {
                 engine.set_fault(fault, 1);
@@ -191,7 +194,7 @@
     let breaks_off = with_body("whole", b"breaks off");
     until_async("it is served", || async {
         let answer = request(fleet.clients, &breaks_off).await;
-        answer.is_ok_and(|answer| answer.status == 200 && answer.is_whole)
+        answer.is_ok_and(|answer| answer.status == 200 && answer.is_complete)
     })
     .await;
     assert!(!fleet.log().contains("engine ended"));
--- a/testkit/tests/emptied_zones.rs
+++ b/testkit/tests/emptied_zones.rs
@@ -26,7 +26,7 @@
     let row = json!({
         "Service": "plain", "Address": fleet.plain[1].addr, "Zone": "y", "Version": "v1",
         "Slots": 8, "State": "ready", "ColdLeftMs": 0, "Seq": 1, "Models": [],
-        "born": fleet.plain[1].state().born,
+        "born": fleet.plain[1].state().start_time_ms,
     });
     fleet.store.put("servers/p-1", row);
     Ok(fleet)
--- a/testkit/tests/ingress_answers.rs
+++ b/testkit/tests/ingress_answers.rs
@@ -5,7 +5,8 @@
     anyhow::Result,
     chalkcart_testkit::{
         users_platform::{
-            press, request, BackendFault, ClientRequest, Fleet, FleetSettings, Pressing,
+            request, send_with_retries, BackendFault, ClientRequest, Fleet, FleetSettings,
+            RetryingClients,
         },
         waiting::until,
     },
@@ -36,7 +37,7 @@
     };
     let answer = request(fleet.clients, &sent).await?;
     assert_eq!((answer.status, answer.body.as_slice()), (200, WHOLE));
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.head.get("chalkcart-response-stamp"), Some("stamp"));
     let runs = fleet.plain[0].runs();
     assert_eq!(runs.len(), 1);
@@ -68,35 +69,35 @@
 async fn faults_of_a_back_end() -> Result<()> {
     let cases: &[(&str, BackendFault, u16, usize)] = &[
         // it may be repeated once, at the other back end
-        ("/safe/", BackendFault::CutBeforeAnswer, 200, 2),
-        ("/safe/", BackendFault::CutInBody, 200, 2),
-        ("/safe/", BackendFault::Garbled, 200, 2),
-        ("/safe/", BackendFault::OtherId, 200, 2),
-        ("/safe/", BackendFault::Unsigned, 200, 2),
-        ("/safe/", BackendFault::Encoded, 200, 2),
+        ("/safe/", BackendFault::CloseBeforeResponse, 200, 2),
+        ("/safe/", BackendFault::TruncateBody, 200, 2),
+        ("/safe/", BackendFault::InvalidBytes, 200, 2),
+        ("/safe/", BackendFault::WrongRequestId, 200, 2),
+        ("/safe/", BackendFault::WithoutStamp, 200, 2),
+        ("/safe/", BackendFault::EncodeBody, 200, 2),
         ("/safe/", BackendFault::Status(500), 200, 2),
         ("/safe/", BackendFault::Status(503), 200, 2),
-        ("/safe/", BackendFault::Unframed, 200, 1),
-        ("/safe/", BackendFault::Surplus, 200, 1),
-        ("/safe/", BackendFault::LateSurplus, 200, 1),
-        ("/safe/", BackendFault::Shed, 200, 1),
+        ("/safe/", BackendFault::DelimitBodyByClose, 200, 1),
+        ("/safe/", BackendFault::ExtraResponse, 200, 1),
+        ("/safe/", BackendFault::LateExtraResponse, 200, 1),
+        ("/safe/", BackendFault::Overloaded, 200, 1),
         // it runs at most once, and nothing says that it did not run
-        ("/unsafe/", BackendFault::CutBeforeAnswer, 502, 1),
-        ("/unsafe/", BackendFault::CutInBody, 502, 1),
-        ("/unsafe/", BackendFault::Garbled, 502, 1),
-        ("/unsafe/", BackendFault::OtherId, 502, 1),
-        ("/unsafe/", BackendFault::Unsigned, 502, 1),
-        ("/unsafe/", BackendFault::Encoded, 502, 1),
+        ("/unsafe/", BackendFault::CloseBeforeResponse, 502, 1),
+        ("/unsafe/", BackendFault::TruncateBody, 502, 1),
+        ("/unsafe/", BackendFault::InvalidBytes, 502, 1),
+        ("/unsafe/", BackendFault::WrongRequestId, 502, 1),
+        ("/unsafe/", BackendFault::WithoutStamp, 502, 1),
+        ("/unsafe/", BackendFault::EncodeBody, 502, 1),
         ("/unsafe/", BackendFault::Status(503), 502, 1),
         ("/unsafe/", BackendFault::Status(429), 502, 1),
         // a failure of its own goes back as it is
         ("/unsafe/", BackendFault::Status(500), 500, 1),
         ("/unsafe/", BackendFault::Status(504), 504, 1),
-        ("/unsafe/", BackendFault::Unframed, 200, 1),
-        ("/unsafe/", BackendFault::Surplus, 200, 1),
-        ("/unsafe/", BackendFault::LateSurplus, 200, 1),
+        ("/unsafe/", BackendFault::DelimitBodyByClose, 200, 1),
+        ("/unsafe/", BackendFault::ExtraResponse, 200, 1),
+        ("/unsafe/", BackendFault::LateExtraResponse, 200, 1),
         // proof that it did not run
-        ("/unsafe/", BackendFault::Shed, 200, 1),
+        ("/unsafe/", BackendFault::Overloaded, 200, 1),
     ];
     for (number, (route, fault, status, runs)) in cases.iter().enumerate() {
         let fleet = Fleet::start(FleetSettings {
@@ -110,7 +111,7 @@
         let answer = request(fleet.clients, &to(route, &id)).await?;
         let name = format!("{route} {fault:?}");
         assert_eq!(answer.status, *status, "{name}");
-        assert!(answer.is_whole, "{name}");
+        assert!(answer.is_complete, "{name}");
         if answer.status == 200 {
             assert_eq!(answer.body, WHOLE, "{name}");
         }
@@ -128,11 +129,11 @@
         ..FleetSettings::default()
     })
     .await?;
-    fleet.plain[0].set_fault(BackendFault::Silent, 1);
+    fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
     let answer = request(fleet.clients, &to("/unsafe/", "r1")).await?;
     assert_eq!(answer.status, 504);
     until("the back end is freed", || {
-        fleet.plain[0].runs()[0].was_left
+        fleet.plain[0].runs()[0].client_disconnected
     })
     .await;
     Ok(())
@@ -141,7 +142,7 @@
 #[tokio::test]
 async fn a_client_that_leaves_frees_its_back_end() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    fleet.plain[0].set_fault(BackendFault::Silent, 1);
+    fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
     let waiting = tokio::spawn({
         let clients = fleet.clients;
         async move { request(clients, &to("/unsafe/", "r1")).await }
@@ -149,7 +150,7 @@
     until("it runs", || fleet.plain[0].runs().len() == 1).await;
     waiting.abort();
     until("the back end is freed", || {
-        fleet.plain[0].runs()[0].was_left
+        fleet.plain[0].runs()[0].client_disconnected
     })
     .await;
     Ok(())
@@ -201,7 +202,7 @@
 #[tokio::test]
 async fn before_any_configuration_each_path_gets_503_with_a_time_to_come_back() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
-        configured: false,
+        publish_config: false,
         ..FleetSettings::default()
     })
     .await?;
@@ -234,7 +235,7 @@
 #[tokio::test]
 async fn a_planned_stop_lets_requests_end_and_takes_no_new_clients() -> Result<()> {
     let mut fleet = Fleet::start(FleetSettings::default()).await?;
-    fleet.plain[0].set_fault(BackendFault::Silent, 1);
+    fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
     let clients = fleet.clients;
     let running = tokio::spawn(async move {
         let sent = ClientRequest {
@@ -280,24 +281,24 @@
 /// after a refusal
 #[tokio::test]
 async fn under_pressure_each_refusal_is_true_and_nothing_runs_twice() -> Result<()> {
-    for heeds_retry_after in [true, false] {
+    for honors_retry_after in [true, false] {
         let fleet = Fleet::start(FleetSettings::default()).await?;
         {
             let mut state = fleet.plain[0].state();
             state.slots = 2;
             state.delay = Duration::from_millis(40);
         }
-        let how = Pressing {
+        let how = RetryingClients {
             requests: 60,
             gap: Duration::from_millis(5),
             retries: 2,
-            heeds_retry_after,
+            honors_retry_after,
         };
-        let stories = press(fleet.clients, &to("/unsafe/", "p"), &how).await?;
+        let histories = send_with_retries(fleet.clients, &to("/unsafe/", "p"), &how).await?;
         let runs = fleet.plain[0].runs();
         let ran = |id: &str| runs.iter().filter(|run| run.request == id).count();
-        for story in &stories {
-            for (id, answer) in story.ids.iter().zip(&story.answers) {
+        for history in &histories {
+            for (id, answer) in history.request_ids.iter().zip(&history.responses) {
                 let expected = match answer.status {
                     200 => 1,
                     503 => 0,
@@ -307,9 +308,9 @@
                 assert!(answer.status == 200 || answer.head.get("retry-after").is_some());
             }
         }
-        let served = stories
+        let served = histories
             .iter()
-            .filter(|s| s.answers.last().is_some_and(|a| a.status == 200));
+            .filter(|s| s.responses.last().is_some_and(|a| a.status == 200));
         assert!(served.count() > 0);
     }
     Ok(())
--- a/testkit/tests/ingress_configuration.rs
+++ b/testkit/tests/ingress_configuration.rs
@@ -5,7 +5,9 @@
     chalkcart_coordination::watch::WatchPacing,
     chalkcart_platform::names,
     chalkcart_testkit::{
-        users_platform::{request, Answer, ClientRequest, Fleet, FleetSettings, StoreFault},
+        users_platform::{
+            request, ClientRequest, ClientResponse, Fleet, FleetSettings, StoreFault,
+        },
         waiting::{until, until_async},
     },
     nix::{
@@ -29,7 +31,7 @@
     }
 }
 
-async fn ask(fleet: &Fleet, target: &str) -> Result<Answer> {
+async fn ask(fleet: &Fleet, target: &str) -> Result<ClientResponse> {
     request(fleet.clients, &to(target)).await
 }
 
@@ -70,7 +72,7 @@
 #[tokio::test]
 async fn faults_of_the_store() -> Result<()> {
     let faults = [
-        StoreFault::Silent,
+        StoreFault::Unresponsive,
         StoreFault::Reset,
         StoreFault::Status(503),
         StoreFault::Status(429),
@@ -97,7 +99,7 @@
     fleet.store.set_fault(StoreFault::Status(503));
     until("the fault is noticed", || fleet.log().contains("not read")).await;
     fleet.configure(move_safe_route);
-    fleet.store.forget_history();
+    fleet.store.compact_history();
     fleet.store.set_fault(StoreFault::None);
     until_status(&fleet, "/moved/", 200).await;
     until("the loss is logged", || fleet.log().contains("history of")).await;
@@ -113,7 +115,7 @@
     .await?;
     // each but the last leaves; the last stood on the third page
     for number in 0..6 {
-        fleet.list_plain(number, "draining");
+        fleet.publish_plain(number, "draining");
     }
     until_async("only the last is used", || async {
         let before = fleet.plain[6].runs().len();
--- a/testkit/tests/ingress_engines.rs
+++ b/testkit/tests/ingress_engines.rs
@@ -30,7 +30,7 @@
     let fleet = start(2).await?;
     let answer = serve_prompt(&fleet, "a", "r1").await?;
     assert_eq!(answer.status, 200);
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     let text = String::from_utf8_lossy(&answer.body).to_string();
     for part in 0..3 {
         assert!(text.contains(&format!("id: {part}\n")), "{text}");
@@ -50,7 +50,7 @@
         assert_eq!(answer?.status, 200);
     }
     for engine in &fleet.engines {
-        assert!(engine.state().orders.most <= 2);
+        assert!(engine.state().orders.max_adapters <= 2);
         let orders = engine.orders();
         let holders: HashSet<_> = orders.iter().map(|o| o.holder.clone()).collect();
         assert!(holders.len() <= 1, "{holders:?}");
@@ -103,7 +103,7 @@
 async fn an_engine_that_came_back_empty_is_used_before_the_list_has_it() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].restart_as("e-0-later");
+    fleet.engines[0].restart_with_id("e-0-later");
     let answer = serve_prompt(&fleet, "b", "r2").await?;
     assert_eq!(answer.status, 200);
     let runs = fleet.engines[0].runs();
@@ -127,7 +127,7 @@
     );
     until("it is replaced", || {
         let mut state = fleet.engines[0].state();
-        state.orders.settle(std::time::Instant::now());
+        state.orders.complete_loads(std::time::Instant::now());
         state.orders.held.get("a") == Some(&2)
     })
     .await;
@@ -145,10 +145,10 @@
 async fn a_stream_that_breaks_off_never_looks_complete_nor_runs_again() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].set_fault(BackendFault::CutInBody, 1);
+    fleet.engines[0].set_fault(BackendFault::TruncateBody, 1);
     let answer = request(fleet.clients, &prompt("a", "r2")).await?;
     assert_eq!(answer.status, 200);
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(engine_runs(&fleet, "r2"), 1);
     Ok(())
 }
@@ -157,12 +157,13 @@
 async fn a_client_that_leaves_its_stream_frees_the_engine() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].state().parts = 1_000;
+    fleet.engines[0].state().event_count = 1_000;
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     drop(stream);
     until("the engine is freed", || {
         let runs = fleet.engines[0].runs();
-        runs.iter().any(|run| run.request == "r2" && run.was_left)
+        runs.iter()
+            .any(|run| run.request == "r2" && run.client_disconnected)
     })
     .await;
     Ok(())
@@ -172,11 +173,11 @@
 async fn a_planned_stop_cuts_no_stream() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].state().parts = 200;
+    fleet.engines[0].state().event_count = 200;
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     fleet.ingress.terminate()?;
     let answer = stream.finish().await?;
-    assert!(answer.is_whole, "{} bytes", answer.body.len());
+    assert!(answer.is_complete, "{} bytes", answer.body.len());
     let status = fleet.ingress.wait(Duration::from_secs(30)).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
@@ -186,10 +187,10 @@
 async fn a_killed_sidecar_breaks_no_stream() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].state().parts = 100;
+    fleet.engines[0].state().event_count = 100;
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     fleet.sidecars[0].kill()?;
-    assert!(stream.finish().await?.is_whole);
+    assert!(stream.finish().await?.is_complete);
     Ok(())
 }
 
@@ -250,7 +251,7 @@
     };
     let answer = request(fleet.clients, &resumed).await?;
     let text = String::from_utf8_lossy(&answer.body).to_string();
-    assert!(answer.is_whole && !text.contains("id: 0\n"), "{text}");
+    assert!(answer.is_complete && !text.contains("id: 0\n"), "{text}");
     assert!(
         text.contains("id: 1\n") && text.contains("id: 2\n"),
         "{text}"
@@ -262,11 +263,11 @@
 async fn streams_of_a_full_batch_are_slower_and_all_whole() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    fleet.engines[0].state().pause_per_run = Duration::from_millis(2);
+    fleet.engines[0].state().event_interval_per_run = Duration::from_millis(2);
     let ids: Vec<String> = (0..8).map(|n| format!("batch-{n}")).collect();
     for answer in join_all(ids.iter().map(|id| serve_prompt(&fleet, "a", id))).await {
         let answer = answer?;
-        assert!(answer.status == 200 && answer.is_whole);
+        assert!(answer.status == 200 && answer.is_complete);
     }
     for id in &ids {
         assert_eq!(engine_runs(&fleet, id), 1);
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -3,7 +3,9 @@
 use {
     anyhow::Result,
     chalkcart_testkit::{
-        users_platform::{request, Answer, ClientRequest, Fleet, FleetSettings, StoreFault},
+        users_platform::{
+            request, ClientRequest, ClientResponse, Fleet, FleetSettings, StoreFault,
+        },
         waiting::{until, until_async},
     },
     chalkcart_transport::client::HttpClient,
@@ -36,7 +38,7 @@
 
 async fn start_with(settings: FleetSettings, accounts: Value) -> Result<Fleet> {
     let mut fleet = Fleet::start(FleetSettings {
-        configured: false,
+        publish_config: false,
         revoke_ms: Some(REVOKE_MS),
         ..settings
     })
@@ -72,7 +74,7 @@
     }
 }
 
-async fn ask(fleet: &Fleet, path: &str, id: &str, key: &str) -> Result<Answer> {
+async fn ask(fleet: &Fleet, path: &str, id: &str, key: &str) -> Result<ClientResponse> {
     request(fleet.clients, &asking(path, id, &[("Api-Key", key)])).await
 }
 
@@ -257,7 +259,7 @@
 #[tokio::test]
 async fn silent_watches_of_the_store_are_found_out() -> Result<()> {
     let settings = FleetSettings {
-        forwarded_store: true,
+        has_store_forwarder: true,
         ..FleetSettings::default()
     };
     let mut fleet = start_with(settings, accounts()).await?;
@@ -273,7 +275,7 @@
         .await;
         // and the list: the one plain service leaves and comes back
         for (state, status) in [("draining", 503), ("ready", 200)] {
-            fleet.list_plain(0, state);
+            fleet.publish_plain(0, state);
             until_async("the list is known", || async {
                 let answer = ask(&fleet, "/safe/", "r2", KEY).await;
                 answer.is_ok_and(|answer| answer.status == status)
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -15,8 +15,8 @@
     anyhow::Result,
     chalkcart_testkit::{
         users_platform::{
-            press, prompt, request, serve_prompt, BackendFault, BackendStandIn, ClientRequest,
-            Fleet, FleetSettings, Pressing, StoreFault,
+            prompt, request, send_with_retries, serve_prompt, BackendFault, BackendStandIn,
+            ClientRequest, Fleet, FleetSettings, RetryingClients, StoreFault,
         },
         waiting::until,
     },
@@ -59,12 +59,12 @@
 }
 
 /// many requests in a row; clients that come back do so when they are told to
-fn pressing(retries: u32) -> Pressing {
-    Pressing {
+fn pressing(retries: u32) -> RetryingClients {
+    RetryingClients {
         requests: MANY,
         gap: Duration::from_millis(50),
         retries,
-        heeds_retry_after: true,
+        honors_retry_after: true,
     }
 }
 
@@ -87,9 +87,9 @@
 async fn an_engine_that_says_that_it_leaves_gets_nothing_more() -> Result<()> {
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Unresponsive);
     let leaving = that_ran(&fleet, "first");
-    leaving.state().says_leaving = true;
+    leaving.state().announces_leaving = true;
     let answer = serve_prompt(&fleet, "a", "told").await?;
     assert_eq!(answer.head.get("server-leaving"), Some("1"));
     let told = Instant::now();
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn its_record_does_not_take_its_word_back() -> Result<()> {
     let fleet = plain(2).await?;
-    fleet.plain[0].state().says_leaving = true;
+    fleet.plain[0].state().announces_leaving = true;
     let mut told = false;
     for number in 0..MANY {
         let answer = request(fleet.clients, &safe(&format!("before-{number}"))).await?;
@@ -117,13 +117,13 @@
     }
     assert!(told, "no answer said that its back end leaves");
     let at = Instant::now();
-    fleet.list_plain(0, "draining");
+    fleet.publish_plain(0, "draining");
     sleep(DRAIN / 4).await;
     fleet
         .store
         .delete(&format!("servers/{}", fleet.plain[0].id()));
     sleep(DRAIN / 2).await;
-    fleet.list_plain(0, "ready");
+    fleet.publish_plain(0, "ready");
     sleep(DRAIN / 2).await;
     for number in 0..MANY {
         let answer = request(fleet.clients, &safe(&format!("after-{number}"))).await?;
@@ -141,15 +141,15 @@
 async fn a_back_end_that_asks_for_rest_gets_it() -> Result<()> {
     let fleet = plain(2).await?;
     let resting = &fleet.plain[0];
-    resting.state().asks_rest = Some(REST);
-    resting.set_fault(BackendFault::Shed, u32::MAX);
+    resting.state().requested_backoff = Some(REST);
+    resting.set_fault(BackendFault::Overloaded, u32::MAX);
     let how = pressing(0);
-    let stories = press(fleet.clients, &safe("pressed"), &how).await?;
+    let histories = send_with_retries(fleet.clients, &safe("pressed"), &how).await?;
     let state = resting.state();
-    assert!(!state.rests.is_empty());
-    let most = state.most_in_a_rest(KNOWN_AFTER);
+    assert!(!state.backoffs.is_empty());
+    let most = state.max_requests_in_backoff(KNOWN_AFTER);
     assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
-    let mut answers = stories.iter().flat_map(|s| &s.answers);
+    let mut answers = histories.iter().flat_map(|s| &s.responses);
     assert!(answers.all(|answer| answer.status == 200));
     Ok(())
 }
@@ -160,17 +160,17 @@
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
     let resting = that_ran(&fleet, "first");
-    resting.state().asks_rest = Some(REST);
-    resting.set_fault(BackendFault::Shed, u32::MAX);
+    resting.state().requested_backoff = Some(REST);
+    resting.set_fault(BackendFault::Overloaded, u32::MAX);
     let how = pressing(3);
-    let stories = press(fleet.clients, &prompt("a", "pressed"), &how).await?;
+    let histories = send_with_retries(fleet.clients, &prompt("a", "pressed"), &how).await?;
     let state = resting.state();
-    assert!(!state.rests.is_empty());
-    let most = state.most_in_a_rest(KNOWN_AFTER);
+    assert!(!state.backoffs.is_empty());
+    let most = state.max_requests_in_backoff(KNOWN_AFTER);
     assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
-    let last = stories.iter().filter_map(|s| s.answers.last());
+    let last = histories.iter().filter_map(|s| s.responses.last());
     let served = last.filter(|a| a.status == 200).count();
-    assert!(served * 2 > stories.len(), "{served} served");
+    assert!(served * 2 > histories.len(), "{served} served");
     Ok(())
 }
 
@@ -179,13 +179,13 @@
 async fn a_service_that_rests_as_a_whole_gets_it() -> Result<()> {
     let fleet = plain(1).await?;
     let resting = &fleet.plain[0];
-    resting.state().asks_rest = Some(REST);
-    resting.set_fault(BackendFault::Shed, u32::MAX);
+    resting.state().requested_backoff = Some(REST);
+    resting.set_fault(BackendFault::Overloaded, u32::MAX);
     let how = pressing(0);
-    let stories = press(fleet.clients, &safe("pressed"), &how).await?;
-    let most = resting.state().most_in_a_rest(KNOWN_AFTER);
+    let histories = send_with_retries(fleet.clients, &safe("pressed"), &how).await?;
+    let most = resting.state().max_requests_in_backoff(KNOWN_AFTER);
     assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
-    let answers = stories.iter().flat_map(|s| &s.answers);
+    let answers = histories.iter().flat_map(|s| &s.responses);
     assert!(answers.clone().all(|a| a.status == 503));
     Ok(())
 }
@@ -195,8 +195,8 @@
 async fn a_back_end_is_used_again_after_its_rest() -> Result<()> {
     let fleet = plain(1).await?;
     let resting = &fleet.plain[0];
-    resting.state().asks_rest = Some(REST);
-    resting.set_fault(BackendFault::Shed, 1);
+    resting.state().requested_backoff = Some(REST);
+    resting.set_fault(BackendFault::Overloaded, 1);
     request(fleet.clients, &safe("shed")).await?;
     sleep(REST).await;
     let answer = request(fleet.clients, &safe("after")).await?;
@@ -210,8 +210,8 @@
     let fleet = engines(2).await?;
     for engine in &fleet.engines {
         let mut state = engine.state();
-        state.asks_rest = Some(REST);
-        state.turns_orders_away = true;
+        state.requested_backoff = Some(REST);
+        state.rejects_orders = true;
     }
     // each makes an engine wanted for an adapter that it lacks
     for number in 0..4 {
@@ -222,10 +222,10 @@
         request(fleet.clients, &asked).await?;
     }
     sleep(REST * 2).await;
-    let rests: usize = fleet.engines.iter().map(|e| e.state().rests.len()).sum();
+    let rests: usize = fleet.engines.iter().map(|e| e.state().backoffs.len()).sum();
     assert!(rests > 0, "no order came");
     for engine in &fleet.engines {
-        let most = engine.state().most_in_a_rest(KNOWN_AFTER);
+        let most = engine.state().max_requests_in_backoff(KNOWN_AFTER);
         assert!(most <= MOST_IN_A_REST, "{most} calls came in a rest");
     }
     Ok(())
@@ -236,9 +236,9 @@
 async fn an_entry_knows_by_the_sidecar_that_an_engine_leaves() -> Result<()> {
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Unresponsive);
     let leaving = that_ran(&fleet, "first");
-    leaving.state().says_leaving = true;
+    leaving.state().announces_leaving = true;
     sleep(DRAIN).await;
     let told = Instant::now();
     for number in 0..4 {
@@ -262,10 +262,10 @@
             fleet.sidecar_log(0).contains(&identified)
         })
         .await;
-        engine.state().says_leaving = true;
+        engine.state().announces_leaving = true;
         until("its word is logged", || lines(fleet.sidecar_log(0)) == life).await;
         let mut state = engine.state();
-        state.says_leaving = false;
+        state.announces_leaving = false;
         state.crash();
     }
     Ok(())
--- a/testkit/tests/mixed_builds.rs
+++ b/testkit/tests/mixed_builds.rs
@@ -21,7 +21,11 @@
         for number in 0..3 {
             let id = format!("{round}-{adapter}-{number}");
             let answer = serve_prompt(fleet, adapter, &id).await?;
-            assert!(answer.status == 200 && answer.is_whole, "{:?}", answer.head);
+            assert!(
+                answer.status == 200 && answer.is_complete,
+                "{:?}",
+                answer.head
+            );
         }
     }
     Ok(())
--- a/testkit/tests/named_limits.rs
+++ b/testkit/tests/named_limits.rs
@@ -3,8 +3,9 @@
 use {
     anyhow::Result,
     chalkcart_testkit::users_platform::{
-        allowed_by_limit, press, prompt, request, serve_prompt, BackendStandIn, ClientRequest,
-        Fleet, FleetSettings, OtherIngress, Pressing, CONTACT, LIMIT_WINDOW,
+        max_requests_in_window, prompt, request, send_with_retries, serve_prompt, BackendStandIn,
+        ClientRequest, Fleet, FleetSettings, OtherIngress, RetryingClients, LIMIT_GRACE,
+        LIMIT_WINDOW,
     },
     futures::future::try_join_all,
     std::{
@@ -16,11 +17,11 @@
 
 const LIMIT_PER_S: f64 = 2.0;
 /// for each entry in turn, some ten times what is allowed in all
-const PRESSING: Pressing = Pressing {
+const PRESSING: RetryingClients = RetryingClients {
     requests: 160,
     gap: Duration::from_millis(50),
     retries: 0,
-    heeds_retry_after: false,
+    honors_retry_after: false,
 };
 
 fn safe() -> ClientRequest {
@@ -60,16 +61,18 @@
             id: format!("{}-{number}", asked.id),
             ..asked.clone()
         };
-        async move { press(*entry, &asked, &PRESSING).await }
+        async move { send_with_retries(*entry, &asked, &PRESSING).await }
     });
-    let stories = try_join_all(pressed).await?.into_iter().flatten();
-    let answers = stories.filter_map(|story| story.answers.last().map(|a| a.status));
+    let histories = try_join_all(pressed).await?.into_iter().flatten();
+    let answers = histories.filter_map(|history| history.responses.last().map(|a| a.status));
     Ok(answers.collect())
 }
 
 fn assert_limit_kept(backend: &BackendStandIn, since: Instant) {
-    let most = backend.state().most_within(LIMIT_WINDOW, since + CONTACT);
-    let allowed = allowed_by_limit(LIMIT_PER_S);
+    let most = backend
+        .state()
+        .max_arrivals_within(LIMIT_WINDOW, since + LIMIT_GRACE);
+    let allowed = max_requests_in_window(LIMIT_PER_S);
     assert!(most <= allowed, "{most} requests in 4 s, {allowed} allowed");
 }
 
@@ -84,7 +87,7 @@
     })
     .await?;
     let others = two_more(&fleet).await?;
-    fleet.plain[0].state().names_limit = Some(LIMIT_PER_S);
+    fleet.plain[0].state().advertised_limit = Some(LIMIT_PER_S);
     let since = Instant::now();
     let statuses = press_all(&addrs(&fleet, &others), &safe()).await?;
     assert_limit_kept(&fleet.plain[0], since);
@@ -106,7 +109,7 @@
     let mut engines = fleet.engines.iter();
     let limited = engines.find(|e| e.runs().iter().any(|run| run.request == "first"));
     let limited = limited.expect("an engine ran it");
-    limited.state().names_limit = Some(LIMIT_PER_S);
+    limited.state().advertised_limit = Some(LIMIT_PER_S);
     let since = Instant::now();
     let statuses = press_all(&addrs(&fleet, &others), &prompt("a", "pressed")).await?;
     assert_limit_kept(limited, since);
@@ -120,7 +123,7 @@
 async fn a_service_that_is_limited_as_a_whole_gets_no_more() -> Result<()> {
     let fleet = one_copy().await?;
     let others = two_more(&fleet).await?;
-    fleet.plain[0].state().names_limit = Some(LIMIT_PER_S);
+    fleet.plain[0].state().advertised_limit = Some(LIMIT_PER_S);
     let since = Instant::now();
     let statuses = press_all(&addrs(&fleet, &others), &safe()).await?;
     assert_limit_kept(&fleet.plain[0], since);
@@ -133,9 +136,9 @@
 #[tokio::test]
 async fn a_limit_ends_when_it_is_no_longer_said() -> Result<()> {
     let fleet = one_copy().await?;
-    fleet.plain[0].state().names_limit = Some(LIMIT_PER_S);
+    fleet.plain[0].state().advertised_limit = Some(LIMIT_PER_S);
     press_all(&[fleet.clients], &safe()).await?;
-    fleet.plain[0].state().names_limit = None;
+    fleet.plain[0].state().advertised_limit = None;
     // answers say so at the pace of the limit
     press_all(&[fleet.clients], &safe()).await?;
     let statuses = press_all(&[fleet.clients], &safe()).await?;
@@ -152,7 +155,7 @@
     let others = two_more(&fleet).await?;
     serve_prompt(&fleet, "a", "first").await?;
     let engine = &fleet.engines[0];
-    engine.state().names_limit = Some(LIMIT_PER_S);
+    engine.state().advertised_limit = Some(LIMIT_PER_S);
     let since = Instant::now();
     let statuses = press_all(&addrs(&fleet, &others)[..1], &prompt("a", "pressed")).await?;
     assert_limit_kept(engine, since);
@@ -172,19 +175,19 @@
     .await?;
     let others = two_more(&fleet).await?;
     serve_prompt(&fleet, "a", "first").await?;
-    fleet.engines[0].state().names_limit = Some(0.0);
+    fleet.engines[0].state().advertised_limit = Some(0.0);
     // the answer tells the first entry alone
     serve_prompt(&fleet, "a", "told").await?;
-    sleep(CONTACT).await;
-    let at_once = Pressing {
+    sleep(LIMIT_GRACE).await;
+    let at_once = RetryingClients {
         requests: 20,
         gap: Duration::ZERO,
         ..PRESSING
     };
     let before = fleet.engines[0].state().arrivals.len();
-    press(others[0].clients, &prompt("a", "not-told"), &at_once).await?;
+    send_with_retries(others[0].clients, &prompt("a", "not-told"), &at_once).await?;
     let came = fleet.engines[0].state().arrivals.len() - before;
-    let allowed = allowed_by_limit(0.0);
+    let allowed = max_requests_in_window(0.0);
     assert!(came <= allowed, "{came} came, {allowed} allowed");
     Ok(())
 }
--- a/testkit/tests/reborn_engines.rs
+++ b/testkit/tests/reborn_engines.rs
@@ -6,7 +6,7 @@
     chalkcart_testkit::{
         users_platform::{
             engine_runs, open_stream, prompt, request, serve_prompt, ClientRequest, Fleet,
-            FleetSettings, FIRST_BORN,
+            FleetSettings, FIRST_START_TIME_MS,
         },
         waiting::{until, until_async},
     },
@@ -47,8 +47,8 @@
     let engine = &fleet.engines[0];
     for life in 1..=3 {
         // the weight store is asked for a base model once in a while only
-        engine.start_again(FIRST_BORN + life);
-        engine.state().orders.has_no_model = life == 1;
+        engine.restart(FIRST_START_TIME_MS + life);
+        engine.state().orders.is_base_model_missing = life == 1;
         let id = format!("of-{life}");
         assert_eq!(serve_prompt(&fleet, "a", &id).await?.status, 200);
         assert_eq!(engine_runs(&fleet, &id), 1);
@@ -67,12 +67,12 @@
     serve_prompt(&fleet, "a", "r1").await?;
     for engine in &fleet.engines {
         let mut state = engine.state();
-        (state.parts, state.pause) = (1_000, Duration::from_millis(20));
+        (state.event_count, state.event_interval) = (1_000, Duration::from_millis(20));
     }
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     until("it runs", || engine_runs(&fleet, "r2") == 1).await;
     for engine in &fleet.engines {
-        engine.start_again(FIRST_BORN + 1);
+        engine.restart(FIRST_START_TIME_MS + 1);
     }
     until("the stream has ended", || {
         fleet.log().contains("\"broken\"")
@@ -80,7 +80,7 @@
     .await;
     drop(stream);
     for engine in &fleet.engines {
-        engine.state().parts = 3;
+        engine.state().event_count = 3;
     }
     assert_eq!(serve_prompt(&fleet, "a", "r3").await?.status, 200);
     assert_eq!(engine_runs(&fleet, "r2"), 1);
@@ -120,7 +120,7 @@
             runs(0) == before
         })
         .await;
-        fleet.list_plain(0, "ready");
+        fleet.publish_plain(0, "ready");
         until_async("it is used again", || async {
             let before = runs(0);
             let answer = request(fleet.clients, &plain("/safe/")).await;
--- a/testkit/tests/relays.rs
+++ b/testkit/tests/relays.rs
@@ -3,7 +3,7 @@
 use {
     anyhow::Result,
     chalkcart_testkit::{
-        users_platform::{request, Answer, ClientRequest, Fleet, FleetSettings},
+        users_platform::{request, ClientRequest, ClientResponse, Fleet, FleetSettings},
         waiting::{until, until_async},
     },
     serde_json::{json, Value},
@@ -14,11 +14,11 @@
     start_with(engines, true).await
 }
 
-async fn start_with(engines: u8, sidecars_reach_store: bool) -> Result<Fleet> {
+async fn start_with(engines: u8, can_sidecars_reach_store: bool) -> Result<Fleet> {
     let fleet = Fleet::start(FleetSettings {
         engines,
         relays_from_engines: 1,
-        sidecars_reach_store,
+        can_sidecars_reach_store,
         ..FleetSettings::default()
     })
     .await?;
@@ -26,7 +26,7 @@
     Ok(fleet)
 }
 
-async fn ask(fleet: &Fleet, adapter: &str, id: &str) -> Result<Answer> {
+async fn ask(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
     let prompt = ClientRequest {
         target: "/stream/".to_string(),
         id: id.to_string(),
@@ -59,7 +59,7 @@
         until_served(&fleet, adapter, adapter).await;
     }
     for engine in &fleet.engines {
-        assert!(engine.state().orders.most <= 2, "places");
+        assert!(engine.state().orders.max_adapters <= 2, "places");
     }
     Ok(())
 }
--- a/testkit/tests/soak.rs
+++ b/testkit/tests/soak.rs
@@ -116,7 +116,7 @@
         kind,
         outcome: Outcome::Answered {
             status,
-            is_whole: true,
+            is_complete: true,
             id: "r".to_string(),
             is_signed: true,
             body: body.as_bytes().to_vec(),
@@ -191,11 +191,11 @@
     let mut too_many = ledger(Vec::new(), 0);
     too_many.backends[0].most_adapters = ADAPTER_SLOTS + 1;
     let mut leaving = ledger(Vec::new(), 0);
-    leaving.backends[0].sent_while_leaving = 1;
+    leaving.backends[0].requests_while_leaving = 1;
     let mut resting = ledger(Vec::new(), 0);
-    resting.backends[0].most_in_a_rest = 3;
+    resting.backends[0].max_requests_in_backoff = 3;
     let mut limited = ledger(Vec::new(), 0);
-    limited.backends[0].over_limit = 2;
+    limited.backends[0].requests_over_limit = 2;
     let mut back = ledger(Vec::new(), 0);
     back.configurations = ConfigurationSeen {
         lives: vec![vec![3, 5], vec![4, 6, 2]],
--- a/testkit/tests/unknown_headers.rs
+++ b/testkit/tests/unknown_headers.rs
@@ -34,7 +34,7 @@
 async fn a_new_header_is_counted_by_name_and_logged_once() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
     let odd = ("Server-Mood", VALUE.to_string());
-    fleet.plain[0].state().odd_headers = vec![odd];
+    fleet.plain[0].state().extra_headers = vec![odd];
     for number in 0..3 {
         let answer = request(fleet.clients, &safe(&format!("r-{number}"))).await?;
         assert_eq!(answer.head.get("server-mood"), Some(VALUE));
@@ -63,7 +63,7 @@
 async fn many_names_count_together_beyond_the_first() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
     let odd = NAMES.map(|name| (name, VALUE.to_string()));
-    fleet.plain[0].state().odd_headers = odd.to_vec();
+    fleet.plain[0].state().extra_headers = odd.to_vec();
     request(fleet.clients, &safe("r")).await?;
     let page = fleet.metrics_text().await;
     let rows = page.matches("unknown_headers_total{").count();
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn what_is_known_is_not_counted() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    fleet.plain[0].state().names_limit = Some(1_000.0);
+    fleet.plain[0].state().advertised_limit = Some(1_000.0);
     request(fleet.clients, &safe("r")).await?;
     let page = fleet.metrics_text().await;
     assert_eq!(page.matches("unknown_headers_total{").count(), 0);
