--- a/testkit/examples/soak/main.rs
+++ b/testkit/examples/soak/main.rs
@@ -4,7 +4,7 @@
     anyhow::{ensure, Result},
     chalkcart_testkit::{
         cluster::Binaries,
-        soak::{play, SoakReport, SoakSettings},
+        soak::{run_soak, SoakReport, SoakSettings},
     },
     getopts::{Matches, Options},
     std::{env, str::FromStr, time::Duration},
@@ -41,7 +41,7 @@
     let seeds = number(&matches, "seeds", 1)?;
     let mut failed = 0;
     for seed in settings.seed..settings.seed + seeds {
-        let report = play(&SoakSettings {
+        let report = run_soak(&SoakSettings {
             seed,
             ..settings.clone()
         })
@@ -61,12 +61,16 @@
         engines: number(matches, "engines", default.engines)?,
         plain: number(matches, "plain", default.plain)?,
         clients: number(matches, "clients", default.clients)?,
-        crashing: matches.opt_present("crashing"),
-        own_words: matches.opt_present("own-words"),
-        limits: matches.opt_present("limits"),
-        other_build: Binaries::of_other_build(),
-        span: Duration::from_secs(number(matches, "span", default.span.as_secs())?),
-        gap: Duration::from_millis(number(matches, "gap", default.gap.as_millis() as u64)?),
+        crashing_requests: matches.opt_present("crashing"),
+        backend_signals: matches.opt_present("own-words"),
+        rate_limits: matches.opt_present("limits"),
+        other_build: Binaries::from_other_build(),
+        fault_period: Duration::from_secs(number(matches, "span", default.fault_period.as_secs())?),
+        mean_fault_interval: Duration::from_millis(number(
+            matches,
+            "gap",
+            default.mean_fault_interval.as_millis() as u64,
+        )?),
     })
 }
 
@@ -82,7 +86,7 @@
         "seed {}: {} faults, {} asked, {} served, {:?}",
         report.seed,
         report.faults.len(),
-        report.asked,
+        report.requests,
         report.served,
         report.outcomes
     );
@@ -93,12 +97,12 @@
         println!(
             "  {:.2} s for {:.2} s: {:?}",
             planned.at.as_secs_f64(),
-            planned.lasts.as_secs_f64(),
+            planned.duration.as_secs_f64(),
             planned.fault
         );
     }
     for violation in &report.violations {
         println!("  NOT KEPT: {violation}");
     }
-    println!("  logs: {}", report.logs);
+    println!("  logs: {}", report.log_folder);
 }
--- a/testkit/src/cluster/addresses.rs
+++ b/testkit/src/cluster/addresses.rs
@@ -9,9 +9,9 @@
 
 /// below the range from which the system takes ports for connections
 const FIRST_PORT: u16 = 7_000;
-const PORTS: u32 = 2_000;
+const PORT_COUNT: u32 = 2_000;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
 /// an address of loopback that nobody listens on; the host part differs
 /// between test processes, so that they don't meet
@@ -19,7 +19,7 @@
     let pid = std::process::id();
     let host = [127, 1 + (pid >> 8) as u8 % 250, pid as u8, 1];
     loop {
-        let offset = NEXT.fetch_add(1, Ordering::Relaxed) % PORTS;
+        let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
         let addr = SocketAddr::from((host, FIRST_PORT + offset as u16));
         if try_bind(addr).is_ok() {
             return addr;
--- a/testkit/src/cluster/binaries.rs
+++ b/testkit/src/cluster/binaries.rs
@@ -23,7 +23,7 @@
 
 impl Binaries {
     /// those of the older build that the environment names, if it does
-    pub fn of_other_build() -> Option<Self> {
+    pub fn from_other_build() -> Option<Self> {
         let folder = PathBuf::from(env::var_os(OTHER_BUILD)?);
         Some(Self {
             entry: folder.join("chalkcart"),
@@ -43,8 +43,8 @@
 
 fn build() -> Result<Binaries> {
     // tests run from target/PROFILE/deps, examples from target/PROFILE/examples
-    let own = env::current_exe().context("find the running program")?;
-    let profile = own.parent().and_then(|deps| deps.parent());
+    let current_exe = env::current_exe().context("find the running program")?;
+    let profile = current_exe.parent().and_then(|deps| deps.parent());
     let folder = profile
         .context("find the folder of the build")?
         .to_path_buf();
--- a/testkit/src/cluster/fleet.rs
+++ b/testkit/src/cluster/fleet.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         next_addr,
-        node::{Node, NodeStart},
+        node::{Node, NodeOptions},
         ClusterSettings, ServiceSettings,
     },
     crate::{
@@ -33,8 +33,8 @@
     tonic::transport::{Channel, Endpoint},
 };
 
-const LOOK: Duration = Duration::from_millis(50);
-const IN_FORCE_LIMIT_MS: u32 = 30_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const IN_FORCE_TIMEOUT_MS: u32 = 30_000;
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
@@ -104,14 +104,14 @@
         }
         let generation = self.platform.documents().root.generation;
         for entry in 0..self.entries.len() {
-            self.wait_known(entry).await?;
+            self.wait_for_targets(entry).await?;
             self.wait_in_force(entry, generation).await?;
         }
         Ok(())
     }
 
     /// wait until an entry knows as many targets as the platform lists
-    pub async fn wait_known(&self, entry: usize) -> Result<()> {
+    pub async fn wait_for_targets(&self, entry: usize) -> Result<()> {
         let listed = self.platform.list().targets().count();
         let mut admin = AdminClient::new(self.channel(entry).await?);
         loop {
@@ -119,7 +119,7 @@
             if status.targets.len() == listed {
                 return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -128,7 +128,7 @@
         let mut admin = AdminClient::new(self.channel(entry).await?);
         let req = WaitInForceRequest {
             generation,
-            timeout_ms: IN_FORCE_LIMIT_MS,
+            timeout_ms: IN_FORCE_TIMEOUT_MS,
         };
         let answer = admin.wait_in_force(req).await?.into_inner();
         ensure!(
@@ -152,7 +152,7 @@
         let name = format!("entry-{index}");
         let zone = self.zone(index);
         let listen = next_addr();
-        let peers: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed).collect();
+        let peers: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed_addr).collect();
         let mut settings = object(json!({
             "name": name,
             "zone": zone,
@@ -161,7 +161,7 @@
             "peers": peers,
         }));
         settings.extend(self.settings.entry_settings.clone());
-        let node = Node::start(NodeStart {
+        let node = Node::start(NodeOptions {
             name: &name,
             zone: &zone,
             role: Role::Entry,
@@ -170,7 +170,7 @@
             settings,
             folder: &self.folder,
         })?;
-        self.platform.add_box(node.row());
+        self.platform.add_box(node.list_entry());
         self.entries.push(node);
         Ok(index)
     }
@@ -251,7 +251,7 @@
     ) -> Result<Node> {
         let zone = self.zone(index);
         let listen = next_addr();
-        let entries: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed).collect();
+        let entries: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed_addr).collect();
         let mut settings = object(json!({
             "name": name,
             "zone": zone,
@@ -260,7 +260,7 @@
             "target": target,
         }));
         settings.extend(self.settings.sidecar_settings.clone());
-        let node = Node::start(NodeStart {
+        let node = Node::start(NodeOptions {
             name,
             zone: &zone,
             role,
@@ -269,7 +269,7 @@
             settings,
             folder: &self.folder,
         })?;
-        self.platform.add_box(node.row());
+        self.platform.add_box(node.list_entry());
         Ok(node)
     }
 
--- a/testkit/src/cluster/node.rs
+++ b/testkit/src/cluster/node.rs
@@ -15,9 +15,9 @@
     tokio::time::sleep,
 };
 
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const READY_LOOK: Duration = Duration::from_millis(20);
-const HTTP_LIMIT: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const HTTP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// one box of the fleet with its process
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// where the process listens
     pub listen: SocketAddr,
     /// where the platform's list says that it listens
-    pub listed: SocketAddr,
+    pub listed_addr: SocketAddr,
     pub forwarder: Option<TcpForwarder>,
     pub process: Process,
     program: PathBuf,
@@ -38,7 +38,7 @@
 
 /// what a node is started with
 #[derive(Debug)]
-pub struct NodeStart<'a> {
+pub struct NodeOptions<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     pub role: Role,
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    pub fn start(start: NodeStart) -> Result<Self> {
+    pub fn start(start: NodeOptions) -> Result<Self> {
         let binaries = Binaries::get()?;
         let program = match start.role {
             Role::Entry => binaries.entry,
@@ -68,7 +68,7 @@
             zone: start.zone.to_string(),
             role: start.role,
             listen: start.listen,
-            listed: start.forwarder.as_ref().map_or(start.listen, |f| f.addr),
+            listed_addr: start.forwarder.as_ref().map_or(start.listen, |f| f.addr),
             forwarder: start.forwarder,
             process,
             program,
@@ -78,11 +78,11 @@
     }
 
     /// its row of the platform's list
-    pub fn row(&self) -> FleetBox {
+    pub fn list_entry(&self) -> FleetBox {
         FleetBox {
             name: self.name.clone(),
             zone: self.zone.clone(),
-            addr: self.listed,
+            addr: self.listed_addr,
             role: self.role.clone(),
             state: BoxState::Live,
         }
@@ -101,7 +101,7 @@
 
     /// wait until `/readyz` says so
     pub async fn wait_ready(&self) -> Result<()> {
-        let until = Instant::now() + READY_LIMIT;
+        let until = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
             ensure!(
                 Instant::now() < until,
@@ -109,7 +109,7 @@
                 self.name,
                 self.log()
             );
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -131,7 +131,7 @@
                 path,
                 "text/plain",
                 bytes::Bytes::new(),
-                HTTP_LIMIT,
+                HTTP_TIMEOUT,
             )
             .await?;
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
--- a/testkit/src/cluster/process.rs
+++ b/testkit/src/cluster/process.rs
@@ -14,10 +14,10 @@
     tokio::time::sleep,
 };
 
-const STOP_LOOK: Duration = Duration::from_micros(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_micros(200);
 /// of the system's masks of signals
 const SIGHUP_BIT: u64 = 1 << (Signal::SIGHUP as u64 - 1);
-const EXIT_LOOK: Duration = Duration::from_millis(10);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// a process of the system under test; it is killed when this is dropped
 #[derive(Debug)]
@@ -49,10 +49,10 @@
     }
     /// SIGSTOP, and wait until no thread runs any more: the signal returns up to
     /// 23 ms earlier on a busy machine
-    pub fn freeze(&self) -> Result<()> {
+    pub fn pause(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)?;
         while !self.is_stopped()? {
-            thread::sleep(STOP_LOOK);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         Ok(())
     }
@@ -73,7 +73,7 @@
         Ok(true)
     }
     /// SIGCONT
-    pub fn thaw(&self) -> Result<()> {
+    pub fn resume(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
     /// SIGTERM: a planned stop
@@ -82,7 +82,7 @@
     }
     /// Whether SIGHUP does not end it: it is held back or followed, by the system's own
     /// word. Before its program begins nothing can do that.
-    pub fn outlives_hangups(&self) -> bool {
+    pub fn survives_sighup(&self) -> bool {
         let status = fs::read_to_string(format!("/proc/{}/status", self.id()));
         let status = status.unwrap_or_default();
         let mask = |name: &str| {
@@ -104,7 +104,7 @@
                 return Ok(status);
             }
             anyhow::ensure!(Instant::now() < until, "still runs after {limit:?}");
-            sleep(EXIT_LOOK).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     }
     fn signal(&self, signal: Signal) -> Result<()> {
--- a/testkit/src/soak/checks.rs
+++ b/testkit/src/soak/checks.rs
@@ -1,7 +1,7 @@
 //! the promises, held against what was seen
 
 use {
-    super::{AskKind, Asked, BackendRecord, Outcome, SoakLedger},
+    super::{BackendRecord, Outcome, RequestKind, RequestRecord, SoakRecord},
     crate::users_platform::ADAPTER_SLOTS,
     std::{
         collections::{BTreeSet, HashSet},
@@ -11,35 +11,35 @@
 };
 
 /// runs that a safe request may have: the attempts of its route
-const SAFE_RUNS: usize = 2;
+const MAX_SAFE_RUNS: usize = 2;
 /// statuses that promise that the request has not run and never will
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// engines that end until a request is known to do that, and tries that may still reach some
-const UNTIL_KNOWN: u32 = 3;
-const MORE_TRIES: u32 = 3;
+const CRASHES_UNTIL_BLOCKED: u32 = 3;
+const MAX_LATE_CRASHES: u32 = 3;
 /// requests that may come while a back end rests
-const MOST_IN_A_REST: usize = 2;
-const PLAIN_BODY: &[u8] = b"the whole answer";
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
+const PLAIN_RESPONSE_BODY: &[u8] = b"the whole answer";
 
 /// a promise that was not kept
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    RunTooOften { id: String, runs: usize },
-    RefusedAndRun { id: String, status: u16 },
-    ForeignAnswer { id: String },
-    SpoiltAnswer { id: String },
-    NotFound { id: String },
-    UnaskedRun { id: String },
-    TwoHolders { engine: String },
-    FenceFell { engine: String },
+    TooManyRuns { id: String, runs: usize },
+    RejectedButRun { id: String, status: u16 },
+    WrongRequestId { id: String },
+    CorruptResponse { id: String },
+    UnexpectedNotFound { id: String },
+    UnknownRequestRun { id: String },
+    MultipleHolders { engine: String },
+    FenceDecreased { engine: String },
     TooManyAdapters { engine: String, most: usize },
     SentToLeaving { engine: String, requests: usize },
-    RestNotKept { engine: String, requests: usize },
-    LimitNotKept { engine: String, over: usize },
-    ConfigurationBack { from: u64, to: u64 },
-    BudgetExceeded { repeats: usize, allowed: usize },
-    CrashingSent { ended: u32, allowed: u32 },
-    Ended { process: String },
+    BackoffNotHonored { engine: String, requests: usize },
+    LimitNotHonored { engine: String, over: usize },
+    ConfigurationRegressed { from: u64, to: u64 },
+    RetryBudgetExceeded { repeats: usize, allowed: usize },
+    TooManyCrashes { ended: u32, allowed: u32 },
+    UnexpectedExit { process: String },
     NotRecovered { what: String },
 }
 
@@ -50,105 +50,105 @@
 }
 
 /// each promise that was not kept
-pub fn violations(ledger: &SoakLedger) -> Vec<Violation> {
+pub fn violations(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
-    found.extend(runs_and_refusals(ledger));
-    found.extend(ledger.asked.iter().filter_map(answer));
-    found.extend(unasked(ledger));
-    found.extend(ledger.backends.iter().flat_map(orders));
-    found.extend(ledger.backends.iter().flat_map(own_words));
-    found.extend(configurations(ledger));
-    found.extend(budget(ledger, true));
-    found.extend(budget(ledger, false));
-    found.extend(crashing(ledger));
-    let ended = ledger.ended_by_themselves.iter();
-    found.extend(ended.map(|process| Violation::Ended {
+    found.extend(check_runs(record));
+    found.extend(record.requests.iter().filter_map(check_response));
+    found.extend(unknown_request_runs(record));
+    found.extend(record.backends.iter().flat_map(check_orders));
+    found.extend(record.backends.iter().flat_map(check_signal_compliance));
+    found.extend(check_configurations(record));
+    found.extend(check_retry_budget(record, true));
+    found.extend(check_retry_budget(record, false));
+    found.extend(check_crashes(record));
+    let ended = record.exited_processes.iter();
+    found.extend(ended.map(|process| Violation::UnexpectedExit {
         process: process.clone(),
     }));
-    let missing = ledger.not_recovered.iter();
+    let missing = record.not_recovered.iter();
     found.extend(missing.map(|what| Violation::NotRecovered { what: what.clone() }));
     found
 }
 
-fn runs_and_refusals(ledger: &SoakLedger) -> Vec<Violation> {
-    let runs = ledger.runs();
+fn check_runs(record: &SoakRecord) -> Vec<Violation> {
+    let runs = record.runs();
     let mut found = Vec::new();
-    for asked in &ledger.asked {
-        let id = asked.id.clone();
+    for request in &record.requests {
+        let id = request.id.clone();
         let runs = runs.get(id.as_str()).copied().unwrap_or(0);
-        let most = match asked.kind {
-            AskKind::Safe => SAFE_RUNS,
-            AskKind::Unsafe | AskKind::Stream => 1,
+        let max_runs = match request.kind {
+            RequestKind::Safe => MAX_SAFE_RUNS,
+            RequestKind::Unsafe | RequestKind::Stream => 1,
         };
-        if runs > most {
-            found.push(Violation::RunTooOften { id, runs });
+        if runs > max_runs {
+            found.push(Violation::TooManyRuns { id, runs });
             continue;
         }
-        let Outcome::Answered { status, .. } = asked.outcome else {
+        let Outcome::Responded { status, .. } = request.outcome else {
             continue;
         };
-        if PROMISES.contains(&status) && runs > 0 && asked.kind != AskKind::Safe {
-            found.push(Violation::RefusedAndRun { id, status });
+        if NOT_RUN_STATUSES.contains(&status) && runs > 0 && request.kind != RequestKind::Safe {
+            found.push(Violation::RejectedButRun { id, status });
         }
     }
     found
 }
 
 /// an answer is that of the request, and whole where it seems so
-fn answer(asked: &Asked) -> Option<Violation> {
-    let Outcome::Answered {
+fn check_response(request: &RequestRecord) -> Option<Violation> {
+    let Outcome::Responded {
         status,
         is_complete,
         id,
-        is_signed,
+        has_stamp,
         body,
-    } = &asked.outcome
+    } = &request.outcome
     else {
         return None;
     };
-    let own = asked.id.clone();
-    if *id != own {
-        return Some(Violation::ForeignAnswer { id: own });
+    let request_id = request.id.clone();
+    if *id != request_id {
+        return Some(Violation::WrongRequestId { id: request_id });
     }
     if *status == 404 {
-        return Some(Violation::NotFound { id: own });
+        return Some(Violation::UnexpectedNotFound { id: request_id });
     }
     let is_success = (200..300).contains(status);
-    let is_sound = match asked.kind {
-        AskKind::Safe | AskKind::Unsafe => body == PLAIN_BODY,
-        AskKind::Stream => is_whole_stream(body),
+    let is_body_valid = match request.kind {
+        RequestKind::Safe | RequestKind::Unsafe => body == PLAIN_RESPONSE_BODY,
+        RequestKind::Stream => is_complete_stream(body),
     };
-    let is_spoilt = is_success && *is_complete && !(*is_signed && is_sound);
-    is_spoilt.then_some(Violation::SpoiltAnswer { id: own })
+    let is_corrupt = is_success && *is_complete && !(*has_stamp && is_body_valid);
+    is_corrupt.then_some(Violation::CorruptResponse { id: request_id })
 }
 
 /// its events are numbered from 0 on without a gap
-fn is_whole_stream(body: &[u8]) -> bool {
+fn is_complete_stream(body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
     let numbers = text.lines().filter_map(|line| line.strip_prefix("id: "));
     let numbers: Vec<usize> = numbers.filter_map(|n| n.trim().parse().ok()).collect();
     !numbers.is_empty() && numbers.iter().enumerate().all(|(at, n)| at == *n)
 }
 
-fn unasked(ledger: &SoakLedger) -> Vec<Violation> {
-    let asked: HashSet<&str> = ledger.asked.iter().map(|a| a.id.as_str()).collect();
-    let runs = ledger.backends.iter().flat_map(|b| &b.runs);
-    let unknown: BTreeSet<&String> = runs.filter(|id| !asked.contains(id.as_str())).collect();
+fn unknown_request_runs(record: &SoakRecord) -> Vec<Violation> {
+    let known_ids: HashSet<&str> = record.requests.iter().map(|r| r.id.as_str()).collect();
+    let runs = record.backends.iter().flat_map(|b| &b.runs);
+    let unknown: BTreeSet<&String> = runs.filter(|id| !known_ids.contains(id.as_str())).collect();
     let found = unknown
         .into_iter()
-        .map(|id| Violation::UnaskedRun { id: id.clone() });
+        .map(|id| Violation::UnknownRequestRun { id: id.clone() });
     found.collect()
 }
 
-fn orders(backend: &BackendRecord) -> Vec<Violation> {
+fn check_orders(backend: &BackendRecord) -> Vec<Violation> {
     let engine = || backend.name.clone();
     let mut found = Vec::new();
     let holders: BTreeSet<&str> = backend.orders.iter().map(|o| o.holder.as_str()).collect();
     if holders.len() > 1 {
-        found.push(Violation::TwoHolders { engine: engine() });
+        found.push(Violation::MultipleHolders { engine: engine() });
     }
     if backend.orders.windows(2).any(|w| w[1].fence < w[0].fence) {
-        found.push(Violation::FenceFell { engine: engine() });
+        found.push(Violation::FenceDecreased { engine: engine() });
     }
     if backend.most_adapters > ADAPTER_SLOTS {
         found.push(Violation::TooManyAdapters {
@@ -160,7 +160,7 @@
 }
 
 /// what a back end said of itself is heeded
-fn own_words(backend: &BackendRecord) -> Vec<Violation> {
+fn check_signal_compliance(backend: &BackendRecord) -> Vec<Violation> {
     let engine = || backend.name.clone();
     let mut found = Vec::new();
     if backend.requests_while_leaving > 0 {
@@ -169,14 +169,14 @@
             requests: backend.requests_while_leaving,
         });
     }
-    if backend.max_requests_in_backoff > MOST_IN_A_REST {
-        found.push(Violation::RestNotKept {
+    if backend.max_requests_in_backoff > MAX_REQUESTS_IN_BACKOFF {
+        found.push(Violation::BackoffNotHonored {
             engine: engine(),
             requests: backend.max_requests_in_backoff,
         });
     }
     if backend.requests_over_limit > 0 {
-        found.push(Violation::LimitNotKept {
+        found.push(Violation::LimitNotHonored {
             engine: engine(),
             over: backend.requests_over_limit,
         });
@@ -184,10 +184,11 @@
     found
 }
 
-fn configurations(ledger: &SoakLedger) -> Vec<Violation> {
-    let lives = ledger.configurations.lives.iter();
-    let back = lives.flat_map(|life| life.windows(2).filter(|w| w[1] <= w[0]));
-    let found = back.map(|w| Violation::ConfigurationBack {
+fn check_configurations(record: &SoakRecord) -> Vec<Violation> {
+    let incarnations = record.configurations.incarnations.iter();
+    let regressions =
+        incarnations.flat_map(|incarnation| incarnation.windows(2).filter(|w| w[1] <= w[0]));
+    let found = regressions.map(|w| Violation::ConfigurationRegressed {
         from: w[0],
         to: w[1],
     });
@@ -195,40 +196,42 @@
 }
 
 /// a request that ends engines reaches few of them, and as many again where it is forgotten
-fn crashing(ledger: &SoakLedger) -> Option<Violation> {
-    let allowed = UNTIL_KNOWN + MORE_TRIES + UNTIL_KNOWN * ledger.forgotten;
-    let ended = ledger.crashes;
-    (ended > allowed).then_some(Violation::CrashingSent { ended, allowed })
+fn check_crashes(record: &SoakRecord) -> Option<Violation> {
+    let allowed = CRASHES_UNTIL_BLOCKED
+        + MAX_LATE_CRASHES
+        + CRASHES_UNTIL_BLOCKED * record.crash_registry_losses;
+    let ended = record.crashes;
+    (ended > allowed).then_some(Violation::TooManyCrashes { ended, allowed })
 }
 
 /// arrivals beyond the first of each request, of engines or of the plain service, in any
 /// window that begins with one
-fn budget(ledger: &SoakLedger, of_engines: bool) -> Option<Violation> {
-    let backends = ledger.backends.iter().filter(|b| b.is_engine == of_engines);
+fn check_retry_budget(record: &SoakRecord, of_engines: bool) -> Option<Violation> {
+    let backends = record.backends.iter().filter(|b| b.is_engine == of_engines);
     let mut arrivals: Vec<&(Instant, String)> = backends.flat_map(|b| &b.arrivals).collect();
     arrivals.sort();
     let mut seen = HashSet::new();
-    let rows: Vec<(Instant, bool)> = arrivals
+    let window_events: Vec<(Instant, bool)> = arrivals
         .into_iter()
         .map(|(at, id)| (*at, !seen.insert(id)))
         .collect();
     let mut worst = None;
     let (mut from, mut repeats, mut requests) = (0, 0, 0);
-    for (at, is_repeat) in &rows {
+    for (at, is_repeat) in &window_events {
         match is_repeat {
             true => repeats += 1,
             false => requests += 1,
         }
-        while *at - rows[from].0 > ledger.retry_window {
-            match rows[from].1 {
+        while *at - window_events[from].0 > record.retry_window {
+            match window_events[from].1 {
                 true => repeats -= 1,
                 false => requests -= 1,
             }
             from += 1;
         }
-        let allowed = (ledger.retry_ratio * requests as f64 + ledger.retry_extra) as usize;
+        let allowed = (record.retry_ratio * requests as f64 + record.retry_extra) as usize;
         if repeats > allowed {
-            worst = Some(Violation::BudgetExceeded { repeats, allowed });
+            worst = Some(Violation::RetryBudgetExceeded { repeats, allowed });
         }
     }
     worst
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -2,16 +2,18 @@
 //! series that overlap. What callers and back ends saw is checked against the promises.
 
 mod checks;
-mod faults;
-mod kept_client;
-mod ledger;
-mod play;
+mod fault_schedule;
+mod keep_alive_client;
+mod record;
+mod runner;
 mod settings;
 
 pub use {
     checks::{violations, Violation},
-    faults::{draw, Fault, PlannedFault},
-    ledger::{AskKind, Asked, BackendRecord, ConfigurationSeen, Outcome, SoakLedger},
-    play::{play, SoakReport},
+    fault_schedule::{schedule_faults, Fault, ScheduledFault},
+    record::{
+        BackendRecord, ConfigurationHistory, Outcome, RequestKind, RequestRecord, SoakRecord,
+    },
+    runner::{run_soak, SoakReport},
     settings::SoakSettings,
 };
--- a/testkit/src/soak/ledger.rs
+++ b/testkit/src/soak/record.rs
@@ -8,7 +8,7 @@
 
 /// what a client asks for
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskKind {
+pub enum RequestKind {
     /// may run more than once
     Safe,
     Unsafe,
@@ -19,24 +19,24 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// an answer; its body ended as its framing says
-    Answered {
+    Responded {
         status: u16,
         is_complete: bool,
         /// the id that it bears
         id: String,
         /// a back end's signature
-        is_signed: bool,
+        has_stamp: bool,
         body: Vec<u8>,
     },
     /// the connection ended with no answer, or broke off in one
-    Cut,
+    ConnectionLost,
 }
 
 /// one request of a client
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestRecord {
     pub id: String,
-    pub kind: AskKind,
+    pub kind: RequestKind,
     pub outcome: Outcome,
 }
 
@@ -61,23 +61,23 @@
 
 /// configurations that came into force at an entry, in the order of its log
 #[derive(Debug, Clone, Default)]
-pub struct ConfigurationSeen {
+pub struct ConfigurationHistory {
     /// one list for each life of the process
-    pub lives: Vec<Vec<u64>>,
+    pub incarnations: Vec<Vec<u64>>,
 }
 
 /// all that was seen in a soak
 #[derive(Debug, Clone, Default)]
-pub struct SoakLedger {
-    pub asked: Vec<Asked>,
+pub struct SoakRecord {
+    pub requests: Vec<RequestRecord>,
     pub backends: Vec<BackendRecord>,
-    pub configurations: ConfigurationSeen,
+    pub configurations: ConfigurationHistory,
     /// engines that have ended under a request
     pub crashes: u32,
     /// times that an entry and sidecars were struck and may have forgotten it together
-    pub forgotten: u32,
+    pub crash_registry_losses: u32,
     /// processes that ended and were not ended by the soak
-    pub ended_by_themselves: Vec<String>,
+    pub exited_processes: Vec<String>,
     /// what did not come about once all faults were over
     pub not_recovered: Vec<String>,
     pub retry_ratio: f64,
@@ -85,7 +85,7 @@
     pub retry_window: Duration,
 }
 
-impl SoakLedger {
+impl SoakRecord {
     /// runs of each request, over all back ends
     pub fn runs(&self) -> HashMap<&str, usize> {
         let mut runs = HashMap::new();
--- a/testkit/src/soak/play.rs
+++ b/testkit/src/soak/runner.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        draw, kept_client::KeptClient, violations, Asked, BackendRecord, ConfigurationSeen, Fault,
-        Outcome, PlannedFault, SoakLedger, SoakSettings, Violation,
+        keep_alive_client::KeepAliveClient, schedule_faults, violations, BackendRecord,
+        ConfigurationHistory, Fault, Outcome, RequestRecord, ScheduledFault, SoakRecord,
+        SoakSettings, Violation,
     },
     crate::{
         cluster::Binaries,
@@ -32,44 +33,44 @@
 };
 
 /// time for the fleet to serve again after the last fault, far beyond what it needs
-const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
-const RECOVERY_LOOK: Duration = Duration::from_millis(50);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// time between SIGTERM and SIGKILL, and for a process to end after it
 const GRACE_S: f64 = 2.0;
-const STOP_LIMIT: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// rest that engines ask for
-const REST: Duration = Duration::from_secs(1);
+const BACKOFF: Duration = Duration::from_secs(1);
 /// requests a second that limited back ends take
-const LIMIT_PER_S: f64 = 2.0;
+const RATE_LIMIT_PER_S: f64 = 2.0;
 /// requests that a fault of a back end strikes at the most
-const STRUCK: u32 = 40;
+const MAX_FAULTY_REQUESTS: u32 = 40;
 const CRASHING_BODY: &[u8] = b"ends each engine that runs it";
-const CRASHING_EVERY: Duration = Duration::from_millis(150);
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
 /// what became of a soak
 #[derive(Debug)]
 pub struct SoakReport {
     pub seed: u64,
-    pub faults: Vec<PlannedFault>,
-    pub asked: usize,
+    pub faults: Vec<ScheduledFault>,
+    pub requests: usize,
     pub served: usize,
     /// by status; 0 for connections that were cut
     pub outcomes: BTreeMap<u16, usize>,
     pub violations: Vec<Violation>,
     /// where the processes' logs lie
-    pub logs: String,
+    pub log_folder: String,
 }
 
 /// one thing to do, and whether it begins or ends a fault
 #[derive(Debug, Clone, Copy)]
-struct Act {
+struct FaultStep {
     at: Duration,
     fault: Fault,
     begins: bool,
 }
 
 /// play one seed
-pub async fn play(settings: &SoakSettings) -> Result<SoakReport> {
+pub async fn run_soak(settings: &SoakSettings) -> Result<SoakReport> {
     let fleet = Fleet::start(FleetSettings {
         engines: settings.engines,
         plain: settings.plain,
@@ -80,37 +81,39 @@
     .await?;
     let stop = Arc::new(AtomicBool::new(false));
     let clients = (0..settings.clients).map(|number| {
-        let client = KeptClient::new(fleet.clients, settings.seed, number);
+        let client = KeepAliveClient::new(fleet.clients, settings.seed, number);
         tokio::spawn(client.run(stop.clone()))
     });
     let clients: Vec<_> = clients.collect();
-    let crashing = settings.crashing.then(|| send_crashing(&fleet, &stop));
-    let faults = draw(settings);
-    let mut soak = Soak {
+    let crashing_client = settings
+        .crashing_requests
+        .then(|| send_crashing_requests(&fleet, &stop));
+    let faults = schedule_faults(settings);
+    let mut soak = SoakRun {
         fleet,
         is_stopped: false,
-        ended: Vec::new(),
-        lives: 0,
-        versions: 0,
-        other: settings.other_build.clone(),
+        exited: Vec::new(),
+        incarnations: 0,
+        adapter_versions: 0,
+        other_build: settings.other_build.clone(),
         starts: 0,
     };
-    soak.strike(&faults).await?;
-    if let Some(crashing) = crashing {
-        crashing.abort();
+    soak.inject_faults(&faults).await?;
+    if let Some(client) = crashing_client {
+        client.abort();
     }
     let not_recovered = soak.recover().await;
     stop.store(true, Ordering::Relaxed);
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for client in clients {
-        asked.extend(client.await?);
+        requests.extend(client.await?);
     }
-    soak.note_ends();
-    Ok(soak.report(settings.seed, faults, asked, not_recovered))
+    soak.record_exits();
+    Ok(soak.report(settings.seed, faults, requests, not_recovered))
 }
 
 /// send a request that ends engines, under another id each time
-fn send_crashing(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
+fn send_crashing_requests(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
     for engine in &fleet.engines {
         engine.state().crash_body = Some(CRASHING_BODY.to_vec());
     }
@@ -119,172 +122,184 @@
         let mut number = 0;
         while !stop.load(Ordering::Relaxed) {
             number += 1;
-            let crashing = ClientRequest {
+            let crashing_request = ClientRequest {
                 body: CRASHING_BODY.to_vec(),
                 ..prompt("a0", &format!("{CRASHING_ID}{number}"))
             };
             // whatever becomes of it: the engines count their ends
-            let _ = request(entry, &crashing).await;
-            sleep(CRASHING_EVERY).await;
+            let _ = request(entry, &crashing_request).await;
+            sleep(CRASHING_REQUEST_INTERVAL).await;
         }
     })
 }
 
 /// a fleet under faults
-struct Soak {
+struct SoakRun {
     fleet: Fleet,
     /// the ingress was ended and is not started yet
     is_stopped: bool,
     /// processes that ended by themselves
-    ended: Vec<String>,
-    lives: u64,
-    versions: u64,
+    exited: Vec<String>,
+    incarnations: u64,
+    adapter_versions: u64,
     /// programs of an older build, which processes are started with in turn
-    other: Option<Binaries>,
+    other_build: Option<Binaries>,
     starts: u64,
 }
 
-impl Soak {
+impl SoakRun {
     /// each start of a process is of another build than the one before
-    fn choose_build(&mut self) {
+    fn select_build(&mut self) {
         self.starts += 1;
-        let other = self.other.clone().filter(|_| self.starts % 2 == 1);
+        let other = self.other_build.clone().filter(|_| self.starts % 2 == 1);
         let (entry, sidecar) = other.map(|b| (b.entry, b.sidecar)).unzip();
         self.fleet.set_programs(entry, sidecar);
     }
 
-    async fn strike(&mut self, faults: &[PlannedFault]) -> Result<()> {
+    async fn inject_faults(&mut self, faults: &[ScheduledFault]) -> Result<()> {
         let begin = tokio::time::Instant::now();
-        let acts = faults.iter().flat_map(|planned| {
-            let act = |at, begins| Act {
+        let steps = faults.iter().flat_map(|planned| {
+            let step = |at, begins| FaultStep {
                 at,
                 fault: planned.fault,
                 begins,
             };
             [
-                act(planned.at, true),
-                act(planned.at + planned.lasts, false),
+                step(planned.at, true),
+                step(planned.at + planned.duration, false),
             ]
         });
-        let mut acts: Vec<Act> = acts.collect();
-        acts.sort_by_key(|act| act.at);
-        for act in acts {
-            sleep_until(begin + act.at).await;
-            let done = match act.begins {
-                true => self.begin(act.fault).await,
-                false => self.end(act.fault).await,
+        let mut steps: Vec<FaultStep> = steps.collect();
+        steps.sort_by_key(|step| step.at);
+        for step in steps {
+            sleep_until(begin + step.at).await;
+            let done = match step.begins {
+                true => self.start_fault(step.fault).await,
+                false => self.end_fault(step.fault).await,
             };
-            done.with_context(|| format!("{act:?}"))?;
+            done.with_context(|| format!("{step:?}"))?;
         }
         Ok(())
     }
 
-    async fn begin(&mut self, fault: Fault) -> Result<()> {
-        self.note_ends();
+    async fn start_fault(&mut self, fault: Fault) -> Result<()> {
+        self.record_exits();
         let fleet = &mut self.fleet;
         match fault {
             Fault::KillIngress if !self.is_stopped => {
                 fleet.ingress.kill()?;
                 self.is_stopped = true;
             }
-            Fault::StopIngress if !self.is_stopped => {
+            Fault::TerminateIngress if !self.is_stopped => {
                 // one that is frozen can't end by itself
-                fleet.ingress.thaw()?;
+                fleet.ingress.resume()?;
                 fleet.ingress.terminate()?;
                 self.is_stopped = true;
             }
-            Fault::FreezeIngress if !self.is_stopped => fleet.ingress.freeze()?,
-            Fault::HangUpIngress if !self.is_stopped => {
+            Fault::PauseIngress if !self.is_stopped => fleet.ingress.pause()?,
+            Fault::ReloadIngress if !self.is_stopped => {
                 kill(Pid::from_raw(fleet.ingress.id() as i32), Signal::SIGHUP)?;
             }
             Fault::KillIngress
-            | Fault::StopIngress
-            | Fault::FreezeIngress
-            | Fault::HangUpIngress => {}
+            | Fault::TerminateIngress
+            | Fault::PauseIngress
+            | Fault::ReloadIngress => {}
             Fault::KillSidecar(n) => {
                 fleet.sidecars[usize::from(n)].kill()?;
-                self.choose_build();
+                self.select_build();
                 self.fleet.sidecars[usize::from(n)] = self.fleet.start_sidecar(n)?;
             }
-            Fault::FreezeSidecar(n) => fleet.sidecars[usize::from(n)].freeze()?,
-            Fault::EngineBornAgain(n) => {
-                self.lives += 1;
-                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS + self.lives);
+            Fault::PauseSidecar(n) => fleet.sidecars[usize::from(n)].pause()?,
+            Fault::EngineRestarts(n) => {
+                self.incarnations += 1;
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS + self.incarnations);
             }
-            Fault::EngineBornEarlier(n) => {
-                self.lives += 1;
-                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS - self.lives);
+            Fault::EngineRestartsWithEarlierClock(n) => {
+                self.incarnations += 1;
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS - self.incarnations);
+            }
+            Fault::EngineOverloaded(n) => {
+                engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS)
             }
-            Fault::EngineSheds(n) => engine(fleet, n).set_fault(BackendFault::Overloaded, STRUCK),
             Fault::EngineLeaves(n) => engine(fleet, n).state().announces_leaving = true,
-            Fault::EngineRests(n) => {
-                engine(fleet, n).state().requested_backoff = Some(REST);
-                engine(fleet, n).set_fault(BackendFault::Overloaded, STRUCK);
+            Fault::EngineRequestsBackoff(n) => {
+                engine(fleet, n).state().requested_backoff = Some(BACKOFF);
+                engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS);
             }
-            Fault::EngineLimited(n) => engine(fleet, n).state().set_limit(Some(LIMIT_PER_S)),
-            Fault::PlainLimited(n) => plain(fleet, n).state().set_limit(Some(LIMIT_PER_S)),
-            Fault::EngineCutsStreams(n) => {
-                engine(fleet, n).set_fault(BackendFault::TruncateBody, STRUCK);
+            Fault::EngineLimited(n) => engine(fleet, n).state().set_limit(Some(RATE_LIMIT_PER_S)),
+            Fault::PlainLimited(n) => plain(fleet, n).state().set_limit(Some(RATE_LIMIT_PER_S)),
+            Fault::EngineTruncatesStreams(n) => {
+                engine(fleet, n).set_fault(BackendFault::TruncateBody, MAX_FAULTY_REQUESTS);
             }
             Fault::EngineFails(n) => {
-                engine(fleet, n).set_fault(BackendFault::Status(500), STRUCK);
+                engine(fleet, n).set_fault(BackendFault::Status(500), MAX_FAULTY_REQUESTS);
+            }
+            Fault::PlainUnresponsive(n) => {
+                plain(fleet, n).set_fault(BackendFault::Unresponsive, MAX_FAULTY_REQUESTS)
+            }
+            Fault::PlainClosesWithoutResponse(n) => {
+                plain(fleet, n).set_fault(BackendFault::CloseBeforeResponse, MAX_FAULTY_REQUESTS);
             }
-            Fault::PlainSilent(n) => plain(fleet, n).set_fault(BackendFault::Unresponsive, STRUCK),
-            Fault::PlainCuts(n) => {
-                plain(fleet, n).set_fault(BackendFault::CloseBeforeResponse, STRUCK);
+            Fault::PlainOverloaded(n) => {
+                plain(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS)
             }
-            Fault::PlainSheds(n) => plain(fleet, n).set_fault(BackendFault::Overloaded, STRUCK),
             Fault::PlainDrains(n) => fleet.publish_plain(usize::from(n), "draining"),
-            Fault::PlainForeignRecord(n) => {
+            Fault::PlainRecordUnreadable(n) => {
                 let key = format!("servers/{}", plain(fleet, n).id());
                 fleet.store.put_bytes(&key, b"{\"Service\":[]");
             }
-            Fault::StoreSilent => fleet.store.set_fault(StoreFault::Unresponsive),
-            Fault::StoreRefuses => fleet.store.set_fault(StoreFault::Status(503)),
-            Fault::StoreResets => fleet.store.set_fault(StoreFault::Reset),
-            Fault::StoreForgets => fleet.store.compact_history(),
-            Fault::StoreConnectionsSilent => fleet.store.silence_connections(),
+            Fault::StoreUnresponsive => fleet.store.set_fault(StoreFault::Unresponsive),
+            Fault::StoreReturnsErrors => fleet.store.set_fault(StoreFault::Status(503)),
+            Fault::StoreResetsConnections => fleet.store.set_fault(StoreFault::Reset),
+            Fault::StoreCompacts => fleet.store.compact_history(),
+            Fault::StoreConnectionsUnresponsive => fleet.store.silence_connections(),
             Fault::Configuration => fleet.configure(|_| {}),
             Fault::AdapterVersion(n) => {
-                self.versions += 1;
-                let (adapter, version) = (format!("a{n}"), 1 + self.versions);
+                self.adapter_versions += 1;
+                let (adapter, version) = (format!("a{n}"), 1 + self.adapter_versions);
                 for engine in &fleet.engines {
                     let mut state = engine.state();
                     state.orders.versions.insert(adapter.clone(), version);
                 }
                 let key = format!("op/version/{MODEL}.{adapter}");
-                let named = json!({"Model": MODEL, "Adapter": adapter, "Version": version});
-                fleet.store.put(&key, named);
+                let document = json!({"Model": MODEL, "Adapter": adapter, "Version": version});
+                fleet.store.put(&key, document);
             }
         }
         Ok(())
     }
 
-    async fn end(&mut self, fault: Fault) -> Result<()> {
+    async fn end_fault(&mut self, fault: Fault) -> Result<()> {
         match fault {
-            Fault::KillIngress | Fault::StopIngress => self.start_ingress().await?,
-            Fault::FreezeIngress if !self.is_stopped => {
-                self.fleet.ingress.thaw()?;
+            Fault::KillIngress | Fault::TerminateIngress => self.start_ingress().await?,
+            Fault::PauseIngress if !self.is_stopped => {
+                self.fleet.ingress.resume()?;
                 self.reset_signals();
             }
-            Fault::FreezeSidecar(n) => self.fleet.sidecars[usize::from(n)].thaw()?,
-            Fault::EngineSheds(n) | Fault::EngineCutsStreams(n) | Fault::EngineFails(n) => {
+            Fault::PauseSidecar(n) => self.fleet.sidecars[usize::from(n)].resume()?,
+            Fault::EngineOverloaded(n)
+            | Fault::EngineTruncatesStreams(n)
+            | Fault::EngineFails(n) => {
                 engine(&self.fleet, n).set_fault(BackendFault::None, 0);
             }
-            Fault::EngineRests(n) => {
+            Fault::EngineRequestsBackoff(n) => {
                 engine(&self.fleet, n).set_fault(BackendFault::None, 0);
                 engine(&self.fleet, n).state().requested_backoff = None;
             }
             Fault::EngineLimited(n) => engine(&self.fleet, n).state().set_limit(None),
             Fault::PlainLimited(n) => plain(&self.fleet, n).state().set_limit(None),
             Fault::EngineLeaves(n) => self.replace_engine(n),
-            Fault::PlainSilent(n) | Fault::PlainCuts(n) | Fault::PlainSheds(n) => {
+            Fault::PlainUnresponsive(n)
+            | Fault::PlainClosesWithoutResponse(n)
+            | Fault::PlainOverloaded(n) => {
                 plain(&self.fleet, n).set_fault(BackendFault::None, 0);
             }
-            Fault::PlainDrains(n) | Fault::PlainForeignRecord(n) => {
+            Fault::PlainDrains(n) | Fault::PlainRecordUnreadable(n) => {
                 self.fleet.publish_plain(usize::from(n), "ready");
             }
-            Fault::StoreSilent | Fault::StoreRefuses | Fault::StoreResets => {
+            Fault::StoreUnresponsive
+            | Fault::StoreReturnsErrors
+            | Fault::StoreResetsConnections => {
                 self.fleet.store.set_fault(StoreFault::None);
             }
             _ => {}
@@ -301,10 +316,10 @@
 
     /// the engine that left ends, and another one comes at its address
     fn replace_engine(&mut self, number: u8) {
-        self.lives += 1;
+        self.incarnations += 1;
         let key = format!("servers/{}", engine(&self.fleet, number).id());
         self.fleet.store.delete(&key);
-        let name = format!("e-{number}-{}", self.lives);
+        let name = format!("e-{number}-{}", self.incarnations);
         engine(&self.fleet, number).restart_with_id(&name);
         self.fleet.publish_engine(usize::from(number), "ready");
     }
@@ -312,11 +327,11 @@
     async fn start_ingress(&mut self) -> Result<()> {
         if self.is_stopped {
             // one that was stopped ends within its grace
-            self.fleet.ingress.wait(STOP_LIMIT).await?;
-            self.choose_build();
+            self.fleet.ingress.wait(STOP_TIMEOUT).await?;
+            self.select_build();
             self.fleet.restart_ingress()?;
             let ingress = &self.fleet.ingress;
-            until("the ingress has begun", || ingress.outlives_hangups()).await;
+            until("the ingress has begun", || ingress.survives_sighup()).await;
             self.is_stopped = false;
             self.reset_signals();
         }
@@ -324,13 +339,13 @@
     }
 
     /// processes that have ended though nobody ended them
-    fn note_ends(&mut self) {
+    fn record_exits(&mut self) {
         if !self.is_stopped && self.fleet.ingress.has_ended() {
-            self.ended.push("ingress".to_string());
+            self.exited.push("ingress".to_string());
         }
         for (number, sidecar) in self.fleet.sidecars.iter_mut().enumerate() {
             if sidecar.has_ended() {
-                self.ended.push(format!("sidecar {number}"));
+                self.exited.push(format!("sidecar {number}"));
             }
         }
     }
@@ -340,65 +355,65 @@
     async fn recover(&mut self) -> Vec<String> {
         self.fleet.configure(|_| {});
         // by its gauge: a line of the log may be left out
-        let wanted = format!("chalkcart_ingress_configuration {}\n", self.fleet.version());
-        let until = Instant::now() + RECOVERY_LIMIT;
+        let gauge_line = format!("chalkcart_ingress_configuration {}\n", self.fleet.version());
+        let until = Instant::now() + RECOVERY_TIMEOUT;
         let mut missing: Vec<&str> = vec!["/safe/", "/unsafe/", "/stream/"];
         let mut tries = 0;
         while Instant::now() < until {
             let mut left = Vec::new();
             for target in missing {
                 tries += 1;
-                if !self.is_served(target, tries).await {
+                if !self.is_route_served(target, tries).await {
                     left.push(target);
                 }
             }
             missing = left;
-            let is_in_force = self.fleet.metrics_text().await.contains(&wanted);
+            let is_in_force = self.fleet.metrics_text().await.contains(&gauge_line);
             if missing.is_empty() && is_in_force {
                 return Vec::new();
             }
-            sleep(RECOVERY_LOOK).await;
+            sleep(RECOVERY_POLL_INTERVAL).await;
         }
         let mut missing: Vec<String> = missing.into_iter().map(str::to_string).collect();
-        missing.push(wanted);
+        missing.push(gauge_line);
         missing
     }
 
-    async fn is_served(&self, target: &str, number: u32) -> bool {
-        let asked = ClientRequest {
+    async fn is_route_served(&self, target: &str, number: u32) -> bool {
+        let probe = ClientRequest {
             target: target.to_string(),
             id: format!("{RECOVERY_ID}{number}"),
             adapter: (target == "/stream/").then(|| format!("{MODEL}/a0")),
             ..ClientRequest::default()
         };
-        let answer = request(self.fleet.clients, &asked).await;
+        let answer = request(self.fleet.clients, &probe).await;
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
     fn report(
         self,
         seed: u64,
-        faults: Vec<PlannedFault>,
-        asked: Vec<Asked>,
+        faults: Vec<ScheduledFault>,
+        requests: Vec<RequestRecord>,
         not_recovered: Vec<String>,
     ) -> SoakReport {
-        let status = |asked: &Asked| match &asked.outcome {
-            Outcome::Answered { status, .. } => *status,
-            Outcome::Cut => 0,
+        let status = |request: &RequestRecord| match &request.outcome {
+            Outcome::Responded { status, .. } => *status,
+            Outcome::ConnectionLost => 0,
         };
         let mut outcomes = BTreeMap::new();
-        for one in &asked {
-            *outcomes.entry(status(one)).or_default() += 1;
+        for request in &requests {
+            *outcomes.entry(status(request)).or_default() += 1;
         }
-        let engines = self.fleet.engines.iter().map(|b| record(b, true));
-        let plain = self.fleet.plain.iter().map(|b| record(b, false));
-        let ledger = SoakLedger {
+        let engines = self.fleet.engines.iter().map(|b| backend_record(b, true));
+        let plain = self.fleet.plain.iter().map(|b| backend_record(b, false));
+        let record = SoakRecord {
             backends: engines.chain(plain).collect(),
-            asked,
-            configurations: configurations(&self.fleet.log()),
+            requests,
+            configurations: applied_configurations(&self.fleet.log()),
             crashes: self.fleet.engines.iter().map(|e| e.state().crashes).sum(),
-            forgotten: forgotten(&faults),
-            ended_by_themselves: self.ended,
+            crash_registry_losses: crash_registry_losses(&faults),
+            exited_processes: self.exited,
             not_recovered,
             retry_ratio: 0.2,
             retry_extra: 50.0,
@@ -407,11 +422,11 @@
         SoakReport {
             seed,
             faults,
-            asked: ledger.asked.len(),
+            requests: record.requests.len(),
             served: outcomes.get(&200).copied().unwrap_or(0),
             outcomes,
-            violations: violations(&ledger),
-            logs: self
+            violations: violations(&record),
+            log_folder: self
                 .fleet
                 .settings_file
                 .with_file_name("")
@@ -428,15 +443,15 @@
 
 /// Each start of the only entry empties it, and sidecars that were struck, too, may have
 /// nothing to tell it.
-fn forgotten(faults: &[PlannedFault]) -> u32 {
-    let is_entry = |f: &&PlannedFault| {
+fn crash_registry_losses(faults: &[ScheduledFault]) -> u32 {
+    let is_entry = |f: &&ScheduledFault| {
         matches!(
             f.fault,
-            Fault::KillIngress | Fault::StopIngress | Fault::FreezeIngress
+            Fault::KillIngress | Fault::TerminateIngress | Fault::PauseIngress
         )
     };
     let is_sidecar =
-        |f: &PlannedFault| matches!(f.fault, Fault::KillSidecar(_) | Fault::FreezeSidecar(_));
+        |f: &ScheduledFault| matches!(f.fault, Fault::KillSidecar(_) | Fault::PauseSidecar(_));
     match faults.iter().any(is_sidecar) {
         true => faults.iter().filter(is_entry).count() as u32,
         false => 0,
@@ -451,41 +466,43 @@
     &fleet.plain[usize::from(number)]
 }
 
-fn record(backend: &BackendStandIn, is_engine: bool) -> BackendRecord {
+fn backend_record(backend: &BackendStandIn, is_engine: bool) -> BackendRecord {
     let state = backend.state();
-    let of_clients = |id: &str| !id.starts_with(RECOVERY_ID) && !id.starts_with(CRASHING_ID);
+    let is_client_request = |id: &str| !id.starts_with(RECOVERY_ID) && !id.starts_with(CRASHING_ID);
     let runs = state.runs.iter().map(|run| run.request.clone());
     BackendRecord {
         name: state.id.clone(),
         is_engine,
-        runs: runs.filter(|id| of_clients(id)).collect(),
+        runs: runs.filter(|id| is_client_request(id)).collect(),
         arrivals: state.arrivals.clone(),
         orders: state.all_orders.clone(),
         most_adapters: state.orders.max_adapters,
         requests_while_leaving: state.requests_while_leaving,
-        max_requests_in_backoff: state.max_requests_in_backoff(WORD_KNOWN_AFTER),
+        max_requests_in_backoff: state.max_requests_in_backoff(SIGNAL_PROPAGATION_DELAY),
         requests_over_limit: state.requests_over_limit,
     }
 }
 
 /// time for a back end's word to reach the entry
-const WORD_KNOWN_AFTER: Duration = Duration::from_millis(500);
+const SIGNAL_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
 /// the configurations that an ingress put in force, life by life
-fn configurations(log: &str) -> ConfigurationSeen {
-    let mut lives: Vec<Vec<u64>> = vec![Vec::new()];
+fn applied_configurations(log: &str) -> ConfigurationHistory {
+    let mut incarnations: Vec<Vec<u64>> = vec![Vec::new()];
     for line in log.lines() {
         if line.contains("serves on ") {
-            lives.push(Vec::new());
+            incarnations.push(Vec::new());
         }
         let Some((_, rest)) = line.split_once("configuration ") else {
             continue;
         };
         let number = rest.split(' ').next().and_then(|n| n.parse().ok());
         let is_in_force = rest.contains(" in force, ");
-        if let (Some(number), true, Some(life)) = (number, is_in_force, lives.last_mut()) {
-            life.push(number);
+        if let (Some(number), true, Some(incarnation)) =
+            (number, is_in_force, incarnations.last_mut())
+        {
+            incarnation.push(number);
         }
     }
-    ConfigurationSeen { lives }
+    ConfigurationHistory { incarnations }
 }
--- a/testkit/src/soak/settings.rs
+++ b/testkit/src/soak/settings.rs
@@ -9,18 +9,18 @@
     pub plain: u8,
     pub clients: u32,
     /// one more client sends a request that ends each engine which runs it, again and again
-    pub crashing: bool,
+    pub crashing_requests: bool,
     /// engines also say of themselves that they leave or want rest; seeds draw other faults
     /// with it
-    pub own_words: bool,
+    pub backend_signals: bool,
     /// back ends also name how many requests they take; seeds draw other faults with it
-    pub limits: bool,
+    pub rate_limits: bool,
     /// programs of an older build, which processes are started with in turn
     pub other_build: Option<Binaries>,
     /// how long faults strike
-    pub span: Duration,
+    pub fault_period: Duration,
     /// mean time between two faults; each lasts longer, so that they overlap
-    pub gap: Duration,
+    pub mean_fault_interval: Duration,
 }
 
 impl Default for SoakSettings {
@@ -30,12 +30,12 @@
             engines: 3,
             plain: 2,
             clients: 16,
-            crashing: false,
-            own_words: false,
-            limits: false,
+            crashing_requests: false,
+            backend_signals: false,
+            rate_limits: false,
             other_build: None,
-            span: Duration::from_secs(8),
-            gap: Duration::from_millis(500),
+            fault_period: Duration::from_secs(8),
+            mean_fault_interval: Duration::from_millis(500),
         }
     }
 }
--- a/testkit/tests/at_most_once.rs
+++ b/testkit/tests/at_most_once.rs
@@ -120,7 +120,7 @@
     let mut first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
     let id = reserve(&mut first).await?;
-    cluster.services[0].sidecar.process.freeze()?;
+    cluster.services[0].sidecar.process.pause()?;
     let failure = call_once(&mut first, SERVICE, BODY, &id, SHORT).await;
     assert_eq!(failure.expect_err("frozen").outcome, Outcome::MayHaveRun);
     let old = cluster.replace_service_sidecar(0).await?;
@@ -131,7 +131,7 @@
     assert_eq!(failure.reason, "EARLIER_INCARNATION");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     assert_eq!(cancel(&mut second, &id).await?, OutcomeCode::MayHaveRun);
-    old.process.thaw()?;
+    old.process.resume()?;
     old.wait_ready().await?;
     let fresh = reserve(&mut second).await?;
     let answer = call_once(&mut second, SERVICE, b"another", &fresh, LONG).await;
@@ -225,10 +225,10 @@
     let first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
     let id = reserve(&mut second).await?;
-    cluster.entries[0].process.freeze()?;
+    cluster.entries[0].process.pause()?;
     let in_hand = spawn_call(first, &id, LONG);
     assert_eq!(cancel(&mut second, &id).await?, OutcomeCode::NotRun);
-    cluster.entries[0].process.thaw()?;
+    cluster.entries[0].process.resume()?;
     let failure = in_hand.await?.expect_err("cancelled");
     assert_eq!(failure.outcome, Outcome::NotRun, "{failure:?}");
     assert_eq!(cluster.services[0].service.runs(BODY), 0);
@@ -401,10 +401,10 @@
     }
     let service = &cluster.services[0];
     service.service.wait_total(20).await;
-    service.sidecar.process.freeze()?;
+    service.sidecar.process.pause()?;
     cluster.entries[0].process.kill()?;
     sleep(Duration::from_millis(1_800)).await;
-    cluster.services[0].sidecar.process.thaw()?;
+    cluster.services[0].sidecar.process.resume()?;
     cluster.entries[0].respawn()?;
     cluster.services[0].service.wait_total(60).await;
     cluster.entries[1].process.kill()?;
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -97,14 +97,14 @@
     let cluster = Cluster::start(three_entries()).await?;
     // watchers are asleep, one entry hears of it, then the platform goes
     for paused in &cluster.entries[1..] {
-        paused.process.freeze()?;
+        paused.process.pause()?;
     }
     let next = cluster.platform.documents().changed(&new_version())?;
     cluster.platform.publish(next);
     wait_generation(&cluster, 0, 2).await?;
     cluster.platform.set_down(true);
     for paused in &cluster.entries[1..] {
-        paused.process.thaw()?;
+        paused.process.resume()?;
     }
     cluster.wait_in_force(0, 2).await
 }
--- a/testkit/tests/mixed_builds.rs
+++ b/testkit/tests/mixed_builds.rs
@@ -42,7 +42,7 @@
 
 #[tokio::test]
 async fn entries_of_an_older_build_are_served_by_sidecars_of_this_one() -> Result<()> {
-    let Some(other) = Binaries::of_other_build() else {
+    let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
     let fleet = start(FleetSettings {
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn entries_of_this_build_are_served_by_sidecars_of_an_older_one() -> Result<()> {
-    let Some(other) = Binaries::of_other_build() else {
+    let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
     let fleet = start(FleetSettings {
@@ -69,7 +69,7 @@
 /// the same by a relay, which is one of the sidecars
 #[tokio::test]
 async fn relays_of_one_build_stand_between_ends_of_another() -> Result<()> {
-    let Some(other) = Binaries::of_other_build() else {
+    let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
     for entry_program in [None, Some(other.entry)] {
@@ -92,7 +92,7 @@
 /// one process after the other: older, this one, older again, this one again
 #[tokio::test]
 async fn processes_are_replaced_one_after_the_other_and_back() -> Result<()> {
-    let Some(other) = Binaries::of_other_build() else {
+    let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
     let (entry, sidecar) = (Some(other.entry), Some(other.sidecar));
--- a/testkit/tests/processes.rs
+++ b/testkit/tests/processes.rs
@@ -14,9 +14,9 @@
     let log = env::temp_dir().join(format!("chalkcart-freeze-{}.log", std::process::id()));
     let mut process = Process::spawn(Path::new("/bin/sh"), &["-c", "while :; do :; done"], &log)?;
     for _ in 0..ROUNDS {
-        process.freeze()?;
+        process.pause()?;
         assert!(process.is_stopped()?);
-        process.thaw()?;
+        process.resume()?;
     }
     process.kill()
 }
--- a/testkit/tests/soak.rs
+++ b/testkit/tests/soak.rs
@@ -4,8 +4,8 @@
     anyhow::Result,
     chalkcart_testkit::{
         soak::{
-            draw, play, violations, AskKind, Asked, BackendRecord, ConfigurationSeen, Outcome,
-            SoakLedger, SoakSettings, Violation,
+            run_soak, schedule_faults, violations, BackendRecord, ConfigurationHistory, Outcome,
+            RequestKind, RequestRecord, SoakRecord, SoakSettings, Violation,
         },
         users_platform::{TakenOrder, ADAPTER_SLOTS},
     },
@@ -21,7 +21,7 @@
 
 /// play a short soak in which all promises must be kept
 async fn play_clean(settings: SoakSettings) -> Result<()> {
-    let report = play(&settings).await?;
+    let report = run_soak(&settings).await?;
     let seed = settings.seed;
     assert!(report.served > 0, "seed {seed}: {:?}", report.outcomes);
     assert!(
@@ -29,7 +29,7 @@
         "seed {seed}: {:?}, faults {:?}, logs {}",
         report.violations,
         report.faults,
-        report.logs
+        report.log_folder
     );
     Ok(())
 }
@@ -39,8 +39,8 @@
     for (seed, gap_ms) in SEEDS {
         play_clean(SoakSettings {
             seed,
-            gap: Duration::from_millis(gap_ms),
-            span: SPAN,
+            mean_fault_interval: Duration::from_millis(gap_ms),
+            fault_period: SPAN,
             ..SoakSettings::default()
         })
         .await?;
@@ -56,9 +56,9 @@
     for (seed, gap_ms) in [(11, 500), (12, 500), (338, 300), (344, 300), (439, 300)] {
         play_clean(SoakSettings {
             seed,
-            crashing: true,
-            gap: Duration::from_millis(gap_ms),
-            span: SPAN,
+            crashing_requests: true,
+            mean_fault_interval: Duration::from_millis(gap_ms),
+            fault_period: SPAN,
             ..SoakSettings::default()
         })
         .await?;
@@ -72,9 +72,9 @@
     for seed in [21, 22, 23] {
         play_clean(SoakSettings {
             seed,
-            own_words: true,
-            gap: Duration::from_millis(300),
-            span: SPAN,
+            backend_signals: true,
+            mean_fault_interval: Duration::from_millis(300),
+            fault_period: SPAN,
             ..SoakSettings::default()
         })
         .await?;
@@ -88,9 +88,9 @@
     for seed in [31, 32] {
         play_clean(SoakSettings {
             seed,
-            limits: true,
-            gap: Duration::from_millis(700),
-            span: LIMITED_SPAN,
+            rate_limits: true,
+            mean_fault_interval: Duration::from_millis(700),
+            fault_period: LIMITED_SPAN,
             ..SoakSettings::default()
         })
         .await?;
@@ -101,7 +101,7 @@
 #[test]
 fn a_seed_draws_the_same_faults_each_time() {
     let settings = SoakSettings::default();
-    let drawn = |settings: &SoakSettings| format!("{:?}", draw(settings));
+    let drawn = |settings: &SoakSettings| format!("{:?}", schedule_faults(settings));
     assert_eq!(drawn(&settings), drawn(&settings));
     let other = SoakSettings {
         seed: 2,
@@ -110,37 +110,37 @@
     assert_ne!(drawn(&settings), drawn(&other));
 }
 
-fn answered(kind: AskKind, status: u16, body: &str) -> Asked {
-    Asked {
+fn answered(kind: RequestKind, status: u16, body: &str) -> RequestRecord {
+    RequestRecord {
         id: "r".to_string(),
         kind,
-        outcome: Outcome::Answered {
+        outcome: Outcome::Responded {
             status,
             is_complete: true,
             id: "r".to_string(),
-            is_signed: true,
+            has_stamp: true,
             body: body.as_bytes().to_vec(),
         },
     }
 }
 
-fn with_id(mut asked: Asked, other: &str) -> Asked {
-    if let Outcome::Answered { id, .. } = &mut asked.outcome {
+fn with_id(mut request: RequestRecord, other: &str) -> RequestRecord {
+    if let Outcome::Responded { id, .. } = &mut request.outcome {
         *id = other.to_string();
     }
-    asked
+    request
 }
 
-fn unsigned(mut asked: Asked) -> Asked {
-    if let Outcome::Answered { is_signed, .. } = &mut asked.outcome {
-        *is_signed = false;
+fn unsigned(mut request: RequestRecord) -> RequestRecord {
+    if let Outcome::Responded { has_stamp, .. } = &mut request.outcome {
+        *has_stamp = false;
     }
-    asked
+    request
 }
 
-fn ledger(asked: Vec<Asked>, runs: usize) -> SoakLedger {
-    SoakLedger {
-        asked,
+fn ledger(requests: Vec<RequestRecord>, runs: usize) -> SoakRecord {
+    SoakRecord {
+        requests,
         backends: vec![BackendRecord {
             name: "e".to_string(),
             is_engine: true,
@@ -150,7 +150,7 @@
         retry_ratio: 0.2,
         retry_extra: 50.0,
         retry_window: Duration::from_secs(10),
-        ..SoakLedger::default()
+        ..SoakRecord::default()
     }
 }
 
@@ -169,11 +169,11 @@
 #[test]
 fn what_is_sound_is_not_found_fault_with() {
     let sound = [
-        ledger(vec![answered(AskKind::Unsafe, 200, WHOLE)], 1),
-        ledger(vec![answered(AskKind::Safe, 200, WHOLE)], 2),
-        ledger(vec![answered(AskKind::Stream, 200, EVENTS)], 1),
-        ledger(vec![answered(AskKind::Unsafe, 503, "")], 0),
-        ledger(vec![answered(AskKind::Unsafe, 502, "")], 1),
+        ledger(vec![answered(RequestKind::Unsafe, 200, WHOLE)], 1),
+        ledger(vec![answered(RequestKind::Safe, 200, WHOLE)], 2),
+        ledger(vec![answered(RequestKind::Stream, 200, EVENTS)], 1),
+        ledger(vec![answered(RequestKind::Unsafe, 503, "")], 0),
+        ledger(vec![answered(RequestKind::Unsafe, 502, "")], 1),
     ];
     for ledger in sound {
         assert_eq!(violations(&ledger), [], "{ledger:?}");
@@ -197,58 +197,67 @@
     let mut limited = ledger(Vec::new(), 0);
     limited.backends[0].requests_over_limit = 2;
     let mut back = ledger(Vec::new(), 0);
-    back.configurations = ConfigurationSeen {
-        lives: vec![vec![3, 5], vec![4, 6, 2]],
+    back.configurations = ConfigurationHistory {
+        incarnations: vec![vec![3, 5], vec![4, 6, 2]],
     };
-    let mut repeats = ledger(vec![answered(AskKind::Safe, 503, "")], 0);
+    let mut repeats = ledger(vec![answered(RequestKind::Safe, 503, "")], 0);
     let now = Instant::now();
     repeats.backends[0].arrivals = vec![(now, id()); 52];
-    let mut crashing = ledger(Vec::new(), 0);
-    (crashing.crashes, crashing.forgotten) = (10, 1);
+    let mut crashing_requests = ledger(Vec::new(), 0);
+    (
+        crashing_requests.crashes,
+        crashing_requests.crash_registry_losses,
+    ) = (10, 1);
     let mut ended = ledger(Vec::new(), 0);
-    ended.ended_by_themselves = vec!["ingress".to_string()];
+    ended.exited_processes = vec!["ingress".to_string()];
     let mut missing = ledger(Vec::new(), 0);
     missing.not_recovered = vec!["/safe/".to_string()];
-    let unsafe_ok = || answered(AskKind::Unsafe, 200, WHOLE);
+    let unsafe_ok = || answered(RequestKind::Unsafe, 200, WHOLE);
     let cases = [
         (
             ledger(vec![unsafe_ok()], 2),
-            Violation::RunTooOften { id: id(), runs: 2 },
+            Violation::TooManyRuns { id: id(), runs: 2 },
         ),
         (
-            ledger(vec![answered(AskKind::Safe, 200, WHOLE)], 3),
-            Violation::RunTooOften { id: id(), runs: 3 },
+            ledger(vec![answered(RequestKind::Safe, 200, WHOLE)], 3),
+            Violation::TooManyRuns { id: id(), runs: 3 },
         ),
         (
-            ledger(vec![answered(AskKind::Stream, 429, "")], 1),
-            Violation::RefusedAndRun {
+            ledger(vec![answered(RequestKind::Stream, 429, "")], 1),
+            Violation::RejectedButRun {
                 id: id(),
                 status: 429,
             },
         ),
         (
             ledger(vec![with_id(unsafe_ok(), "other")], 1),
-            Violation::ForeignAnswer { id: id() },
+            Violation::WrongRequestId { id: id() },
         ),
         (
             ledger(vec![unsigned(unsafe_ok())], 1),
-            Violation::SpoiltAnswer { id: id() },
+            Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(vec![answered(AskKind::Unsafe, 200, "the whole")], 1),
-            Violation::SpoiltAnswer { id: id() },
+            ledger(vec![answered(RequestKind::Unsafe, 200, "the whole")], 1),
+            Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(vec![answered(AskKind::Stream, 200, "id: 0\nid: 2\n")], 1),
-            Violation::SpoiltAnswer { id: id() },
+            ledger(
+                vec![answered(RequestKind::Stream, 200, "id: 0\nid: 2\n")],
+                1,
+            ),
+            Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(vec![answered(AskKind::Safe, 404, "")], 0),
-            Violation::NotFound { id: id() },
+            ledger(vec![answered(RequestKind::Safe, 404, "")], 0),
+            Violation::UnexpectedNotFound { id: id() },
         ),
-        (ledger(Vec::new(), 1), Violation::UnaskedRun { id: id() }),
-        (two_holders, Violation::TwoHolders { engine: engine() }),
-        (fence_fell, Violation::FenceFell { engine: engine() }),
+        (
+            ledger(Vec::new(), 1),
+            Violation::UnknownRequestRun { id: id() },
+        ),
+        (two_holders, Violation::MultipleHolders { engine: engine() }),
+        (fence_fell, Violation::FenceDecreased { engine: engine() }),
         (
             too_many,
             Violation::TooManyAdapters {
@@ -265,36 +274,36 @@
         ),
         (
             resting,
-            Violation::RestNotKept {
+            Violation::BackoffNotHonored {
                 engine: engine(),
                 requests: 3,
             },
         ),
         (
             limited,
-            Violation::LimitNotKept {
+            Violation::LimitNotHonored {
                 engine: engine(),
                 over: 2,
             },
         ),
-        (back, Violation::ConfigurationBack { from: 6, to: 2 }),
+        (back, Violation::ConfigurationRegressed { from: 6, to: 2 }),
         (
             repeats,
-            Violation::BudgetExceeded {
+            Violation::RetryBudgetExceeded {
                 repeats: 51,
                 allowed: 50,
             },
         ),
         (
-            crashing,
-            Violation::CrashingSent {
+            crashing_requests,
+            Violation::TooManyCrashes {
                 ended: 10,
                 allowed: 9,
             },
         ),
         (
             ended,
-            Violation::Ended {
+            Violation::UnexpectedExit {
                 process: "ingress".to_string(),
             },
         ),
--- a/testkit/tests/whole_answers.rs
+++ b/testkit/tests/whole_answers.rs
@@ -196,10 +196,10 @@
     let cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
     wait_running(&cluster, 4).await;
-    cluster.engines[0].sidecar.process.freeze()?;
+    cluster.engines[0].sidecar.process.pause()?;
     expect_all_whole(running, "frozen").await?;
     // woken, it serves again
-    cluster.engines[0].sidecar.process.thaw()?;
+    cluster.engines[0].sidecar.process.resume()?;
     cluster.engines[0].sidecar.wait_ready().await?;
     let running = spawn_all(&cluster, 8).await?;
     expect_all_whole(running, "woken").await?;
