--- a/entry/tests/command_line.rs
+++ b/entry/tests/command_line.rs
@@ -2,7 +2,7 @@
 
 use {
     anyhow::Result,
-    chalkcart_testkit::commands::{run_program, settings_file, Ran},
+    chalkcart_testkit::commands::{run_program, settings_file, ProgramOutput},
     std::{fs, path::Path},
 };
 
@@ -10,11 +10,11 @@
     "serve", "ingress", "explain", "check", "status", "plan", "wait", "call", "generate",
 ];
 
-fn chalkcart(args: &[&str]) -> Result<Ran> {
+fn chalkcart(args: &[&str]) -> Result<ProgramOutput> {
     run_program(Path::new(env!("CARGO_BIN_EXE_chalkcart")), args)
 }
 
-fn check(text: &str) -> Result<Ran> {
+fn check(text: &str) -> Result<ProgramOutput> {
     let file = settings_file(text)?;
     let ran = chalkcart(&["check", &file.to_string_lossy()])?;
     fs::remove_file(file)?;
@@ -149,7 +149,7 @@
             ["zoom", "unknown field"],
         ),
     ];
-    let check = |text: &str| -> Result<Ran> {
+    let check = |text: &str| -> Result<ProgramOutput> {
         let file = settings_file(text)?;
         let ran = chalkcart(&["ingress", "--check", &file.to_string_lossy()])?;
         fs::remove_file(file)?;
--- a/sidecar/tests/command_line.rs
+++ b/sidecar/tests/command_line.rs
@@ -2,11 +2,11 @@
 
 use {
     anyhow::Result,
-    chalkcart_testkit::commands::{run_program, settings_file, Ran},
+    chalkcart_testkit::commands::{run_program, settings_file, ProgramOutput},
     std::{fs, path::Path},
 };
 
-fn sidecar(args: &[&str]) -> Result<Ran> {
+fn sidecar(args: &[&str]) -> Result<ProgramOutput> {
     run_program(Path::new(env!("CARGO_BIN_EXE_chalkcart-sidecar")), args)
 }
 
--- a/testkit/examples/demo.rs
+++ b/testkit/examples/demo.rs
@@ -8,7 +8,7 @@
         cluster::{Cluster, ClusterSettings, ServiceSettings},
         configs::Documents,
         engine::EngineSettings,
-        load::{call_once, reserve_for_service, run_load, LoadSettings, Stream},
+        load::{call_once, reserve_for_service, run_load, LoadSettings, RequestStream},
         store::StoreSettings,
     },
     getopts::Options,
@@ -100,21 +100,21 @@
     println!(
         "calls that run once: {} sent, {} run",
         ids.len(),
-        service.total()
+        service.total_runs()
     );
     println!(
         "wrong {} cut off {} doubled {}",
-        report.wrong,
-        report.cut_off,
-        service.doubled()
+        report.mismatched,
+        report.incomplete,
+        service.duplicate_runs()
     );
-    ensure!(report.wrong + report.cut_off == 0, "bad answers");
-    ensure!(service.doubled() == 0, "doubled calls");
+    ensure!(report.mismatched + report.incomplete == 0, "bad answers");
+    ensure!(service.duplicate_runs() == 0, "doubled calls");
     Ok(())
 }
 
-fn stream(group: &str, class: &str, prefix: &str, rate: f64, max_tokens: u32) -> Stream {
-    Stream {
+fn stream(group: &str, class: &str, prefix: &str, rate: f64, max_tokens: u32) -> RequestStream {
+    RequestStream {
         group: group.to_string(),
         class: class.to_string(),
         prefix: prefix.to_string(),
@@ -123,7 +123,7 @@
         rate,
         max_tokens,
         timeout_ms: 0,
-        in_time: Duration::from_secs(2),
+        first_token_target: Duration::from_secs(2),
     }
 }
 
--- a/testkit/examples/experiment/fleet.rs
+++ b/testkit/examples/experiment/fleet.rs
@@ -7,7 +7,7 @@
         cluster::{Cluster, ClusterSettings},
         configs::UserSize,
         engine::EngineSettings,
-        load::{LoadReport, Stream},
+        load::{LoadReport, RequestStream},
         store::StoreSettings,
     },
     serde_json::Value,
@@ -69,8 +69,8 @@
 }
 
 /// the user's main class at a rate
-pub fn user_stream(user: &UserSize, rate: f64) -> Stream {
-    Stream {
+pub fn user_stream(user: &UserSize, rate: f64) -> RequestStream {
+    RequestStream {
         group: user.group.to_string(),
         class: user.class.to_string(),
         prefix: user.prefix.to_string(),
@@ -79,7 +79,7 @@
         rate,
         max_tokens: TOKENS,
         timeout_ms: TIMEOUT_MS,
-        in_time: Duration::from_secs(2),
+        first_token_target: Duration::from_secs(2),
     }
 }
 
@@ -98,7 +98,7 @@
         .iter()
         .map(|e| e.engine.unloaded_in_use())
         .sum();
-    let bad = report.wrong + report.cut_off + report.open + u64::from(unloaded);
+    let bad = report.mismatched + report.incomplete + report.unfinished + u64::from(unloaded);
     ensure!(bad == 0, "bad outcomes: {report:?}");
     Ok(bad)
 }
--- a/testkit/examples/experiment/overhead.rs
+++ b/testkit/examples/experiment/overhead.rs
@@ -59,7 +59,7 @@
         let req = prompt(number);
         let answer = generate(&mut client, req.clone()).await;
         let answer = answer.map_err(|e| anyhow::anyhow!("{}", e.status))?;
-        through.add(answer.first_token, answer.took)?;
+        through.add(answer.time_to_first_token, answer.duration)?;
         let (first, took) = direct.generate(&req).await?;
         straight.add(first, took)?;
     }
--- a/testkit/examples/experiment/overload.rs
+++ b/testkit/examples/experiment/overload.rs
@@ -6,7 +6,7 @@
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
         configs::Documents,
-        load::{run_load, LoadSettings, Stream},
+        load::{run_load, LoadSettings, RequestStream},
     },
     serde_json::{json, Value},
     std::time::Duration,
@@ -41,7 +41,7 @@
     })
     .await?;
     let load = LoadSettings {
-        streams: vec![Stream {
+        streams: vec![RequestStream {
             group: "clients".to_string(),
             class: "sameday".to_string(),
             prefix: "client".to_string(),
@@ -50,7 +50,7 @@
             rate: factor * CAPACITY,
             max_tokens: TOKENS,
             timeout_ms: TIMEOUT_MS,
-            in_time: Duration::from_millis(u64::from(TIMEOUT_MS)),
+            first_token_target: Duration::from_millis(u64::from(TIMEOUT_MS)),
         }],
         span: plan.span(),
         shift: None,
@@ -69,9 +69,9 @@
         "goodput tokens/s": class.window_tokens as f64 / window,
         "not run": class.not_run,
         "unclear": class.may_have_run,
-        "says when to come back": class.refused_with_retry_after,
-        "refused p50 ms": class.refused_ms(0.5),
-        "refused p99 ms": class.refused_ms(0.99),
+        "says when to come back": class.rejected_with_retry_after,
+        "refused p50 ms": class.rejected_ms(0.5),
+        "refused p99 ms": class.rejected_ms(0.99),
         "ttft p99 ms": class.first_token_ms(0.99),
         "reasons": format!("{:?}", class.reasons),
         "bad": bad,
--- a/testkit/examples/experiment/permits.rs
+++ b/testkit/examples/experiment/permits.rs
@@ -7,7 +7,7 @@
     chalkcart_testkit::{
         cluster::Cluster,
         configs::{head_office, trentside, UserSize},
-        load::{run_load, LoadSettings, Stream},
+        load::{run_load, LoadSettings, RequestStream},
     },
     serde_json::{json, Value},
     std::time::Duration,
@@ -55,14 +55,14 @@
     Ok(rows)
 }
 
-fn streams(user: &UserSize) -> Vec<Stream> {
-    let urgent = Stream {
+fn streams(user: &UserSize) -> Vec<RequestStream> {
+    let urgent = RequestStream {
         class: "counter".to_string(),
         ..user_stream(user, URGENT_RATE)
     };
-    let patient = Stream {
+    let patient = RequestStream {
         class: "overnight".to_string(),
-        in_time: Duration::from_secs(20),
+        first_token_target: Duration::from_secs(20),
         timeout_ms: 20_000,
         ..user_stream(user, PATIENT_RATE)
     };
@@ -115,7 +115,7 @@
         "variant": variant,
         "seed": seed,
         "counter sent": urgent.sent,
-        "counter in time %": 100.0 * urgent.in_time as f64 / urgent.sent as f64,
+        "counter in time %": 100.0 * urgent.within_target as f64 / urgent.sent as f64,
         "counter ttft p50 ms": urgent.first_token_ms(0.5),
         "counter ttft p99 ms": urgent.first_token_ms(0.99),
         "overnight whole %": 100.0 * patient.completed as f64 / patient.sent as f64,
--- a/testkit/examples/experiment/routing.rs
+++ b/testkit/examples/experiment/routing.rs
@@ -7,7 +7,7 @@
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
         configs::{head_office, trentside, UserSize},
-        load::{run_load, scrape_engines, LoadSettings, Scraped, Stream},
+        load::{run_load, scrape_engines, HistogramTotals, LoadSettings, RequestStream},
     },
     futures::future::join_all,
     serde_json::{json, Map, Value},
@@ -37,7 +37,7 @@
 struct Variant {
     name: String,
     settings: ClusterSettings,
-    stream: Stream,
+    stream: RequestStream,
 }
 
 /// many adapters: the weight store is the bottleneck
@@ -47,14 +47,17 @@
 
 /// few hot adapters: the engines are the bottleneck
 pub async fn run_hot(plan: &Plan) -> Result<Vec<Value>> {
-    let stream = |user: &UserSize| Stream {
+    let stream = |user: &UserSize| RequestStream {
         adapters: HOT_ADAPTERS,
         ..user_stream(user, HOT_RATE)
     };
     run_policies(plan, stream).await
 }
 
-async fn run_policies(plan: &Plan, stream: impl Fn(&UserSize) -> Stream) -> Result<Vec<Value>> {
+async fn run_policies(
+    plan: &Plan,
+    stream: impl Fn(&UserSize) -> RequestStream,
+) -> Result<Vec<Value>> {
     let mut rows = Vec::new();
     for user in [head_office(), trentside()] {
         for seed in 1..=plan.seeds {
@@ -125,7 +128,7 @@
         "variant": variant.name,
         "seed": seed,
         "sent": class.sent,
-        "in time %": 100.0 * class.in_time as f64 / class.sent as f64,
+        "in time %": 100.0 * class.within_target as f64 / class.sent as f64,
         "not run": class.not_run,
         "stalled %": 100.0 * engines.stalls.count / engines.waits.count.max(1.0),
         "stall p50 s": engines.stalls.quantile(0.5),
@@ -140,8 +143,8 @@
 
 /// what the engines and their sidecars have counted
 struct Engines {
-    stalls: Scraped,
-    waits: Scraped,
+    stalls: HistogramTotals,
+    waits: HistogramTotals,
     steps: u64,
     /// requests in the steps
     requests: u64,
--- a/testkit/examples/experiment/shares.rs
+++ b/testkit/examples/experiment/shares.rs
@@ -7,7 +7,7 @@
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
         configs::Documents,
-        load::{run_load, LoadReport, LoadSettings, Stream},
+        load::{run_load, LoadReport, LoadSettings, RequestStream},
     },
     serde_json::{json, Value},
     std::time::Duration,
@@ -46,8 +46,8 @@
     }
 }
 
-fn stream(group: &str, class: &str, rate: f64) -> Stream {
-    Stream {
+fn stream(group: &str, class: &str, rate: f64) -> RequestStream {
+    RequestStream {
         group: group.to_string(),
         class: class.to_string(),
         prefix: group.to_string(),
@@ -56,11 +56,11 @@
         rate,
         max_tokens: TOKENS,
         timeout_ms: 15_000,
-        in_time: Duration::from_secs(2),
+        first_token_target: Duration::from_secs(2),
     }
 }
 
-async fn load(streams: Vec<Stream>, plan: &Plan, seed: u64) -> Result<(LoadReport, u64)> {
+async fn load(streams: Vec<RequestStream>, plan: &Plan, seed: u64) -> Result<(LoadReport, u64)> {
     let cluster = Cluster::start(fleet()).await?;
     let load = LoadSettings {
         streams,
--- a/testkit/src/commands.rs
+++ b/testkit/src/commands.rs
@@ -11,20 +11,20 @@
 
 /// how a program ended and what it printed
 #[derive(Debug)]
-pub struct Ran {
+pub struct ProgramOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
 /// run a program to its end
-pub fn run_program(program: &Path, args: &[&str]) -> anyhow::Result<Ran> {
+pub fn run_program(program: &Path, args: &[&str]) -> anyhow::Result<ProgramOutput> {
     let Output {
         status,
         stdout,
         stderr,
     } = Command::new(program).args(args).output()?;
-    Ok(Ran {
+    Ok(ProgramOutput {
         code: status.code(),
         stdout: String::from_utf8_lossy(&stdout).into_owned(),
         stderr: String::from_utf8_lossy(&stderr).into_owned(),
--- a/testkit/src/engine/batch.rs
+++ b/testkit/src/engine/batch.rs
@@ -13,20 +13,20 @@
 };
 
 /// pause of an engine without requests
-const IDLE: Duration = Duration::from_millis(2);
+const IDLE_INTERVAL: Duration = Duration::from_millis(2);
 
 pub async fn run(engine: SharedEngine) {
     let mut next = Instant::now();
     loop {
-        let span = lock(&engine).step();
-        match span {
-            Some(span) => {
+        let step_time = lock(&engine).step();
+        match step_time {
+            Some(step_time) => {
                 // steps are laid end to end, so that a late timer costs nothing
-                next = (next + span).max(Instant::now() - span);
+                next = (next + step_time).max(Instant::now() - step_time);
                 sleep_until(next.into()).await;
             }
             None => {
-                sleep(IDLE).await;
+                sleep(IDLE_INTERVAL).await;
                 next = Instant::now();
             }
         }
@@ -42,7 +42,7 @@
             .take(self.settings.max_batch as usize)
             .cloned()
             .collect();
-        self.note_load(batch.len());
+        self.record_batch_size(batch.len());
         if batch.is_empty() {
             return None;
         }
@@ -57,32 +57,35 @@
 
     fn advance(&mut self, request: &str) {
         let wrong_version = self.faults.wrong_version;
-        let Some(found) = self.requests.get_mut(request) else {
+        let Some(entry) = self.requests.get_mut(request) else {
             return;
         };
-        if found.prefill_left > 0 {
-            found.prefill_left -= 1;
+        if entry.prefill_left > 0 {
+            entry.prefill_left -= 1;
             return;
         }
-        let body = &found.body;
-        let index = body.generated.len() + found.events.len();
+        let body = &entry.body;
+        let index = body.generated.len() + entry.events.len();
         if index < body.max_tokens as usize {
             let adapter = &body.adapter;
             let text = expected_token(&adapter.adapter, adapter.version, &body.prompt, index);
-            found.push(EventBody::Token(text));
+            entry.push(EventBody::Token(text));
         }
-        let made = found.body.generated.len() + found.events.len();
-        if made >= found.body.max_tokens as usize {
-            let mut ran: AdapterBody = found.body.adapter.clone();
-            ran.version += u32::from(wrong_version);
-            self.end(request, EventBody::Finished(ran));
+        let generated = entry.body.generated.len() + entry.events.len();
+        if generated >= entry.body.max_tokens as usize {
+            let mut used_adapter: AdapterBody = entry.body.adapter.clone();
+            used_adapter.version += u32::from(wrong_version);
+            self.end(request, EventBody::Finished(used_adapter));
         }
     }
 
-    fn note_load(&mut self, running: usize) {
-        let changed = self.load_history.last().is_none_or(|(_, n)| *n != running);
+    fn record_batch_size(&mut self, running: usize) {
+        let changed = self
+            .batch_size_history
+            .last()
+            .is_none_or(|(_, n)| *n != running);
         if changed {
-            self.load_history.push((Instant::now(), running));
+            self.batch_size_history.push((Instant::now(), running));
         }
     }
 }
--- a/testkit/src/engine/engine_stand_in.rs
+++ b/testkit/src/engine/engine_stand_in.rs
@@ -62,8 +62,8 @@
     /// mean part of the batch that was used, over the steps done
     pub fn batch_fill(&self) -> f64 {
         let state = lock(&self.state);
-        let room = state.steps * u64::from(state.settings.max_batch);
-        state.step_requests as f64 / room.max(1) as f64
+        let capacity = state.steps * u64::from(state.settings.max_batch);
+        state.step_requests as f64 / capacity.max(1) as f64
     }
     /// steps done, and requests in them
     pub fn steps(&self) -> (u64, u64) {
--- a/testkit/src/engine/engine_state.rs
+++ b/testkit/src/engine/engine_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{errors::Disobedience, prefix_cache::PrefixCache, EngineFaults, EngineSettings},
+    super::{order_error::OrderError, prefix_cache::PrefixCache, EngineFaults, EngineSettings},
     chalkcart_state::ids::{Fence, Incarnation, RequestId},
     chalkcart_transport::engine::{
         AdapterBody, CancelState, EngineEvent, EventBody, FenceBody, GenerateBody, RunningBody,
@@ -44,13 +44,13 @@
     pub cache: PrefixCache,
     pub faults: EngineFaults,
     /// load figures as they were at times past
-    pub load_history: Vec<(Instant, usize)>,
+    pub batch_size_history: Vec<(Instant, usize)>,
     /// started runs by the prompt, which tests make unique
     pub runs: HashMap<String, u32>,
     /// unloads of an adapter in use
     pub unloaded_in_use: u32,
     /// runs of an adapter that was not loaded, had they been let in
-    pub refused_orders: u32,
+    pub rejected_orders: u32,
     /// steps, and requests in them
     pub steps: u64,
     pub step_requests: u64,
@@ -68,10 +68,10 @@
             requests: HashMap::new(),
             queue: Vec::new(),
             faults: EngineFaults::default(),
-            load_history: Vec::new(),
+            batch_size_history: Vec::new(),
             runs: HashMap::new(),
             unloaded_in_use: 0,
-            refused_orders: 0,
+            rejected_orders: 0,
             steps: 0,
             step_requests: 0,
         }
@@ -108,33 +108,33 @@
         }
     }
 
-    pub fn check(&mut self, order: FenceBody) -> Result<(), Disobedience> {
+    pub fn check(&mut self, order: FenceBody) -> Result<(), OrderError> {
         let result = if order.incarnation != self.incarnation {
-            Err(Disobedience::OtherIncarnation)
+            Err(OrderError::OtherIncarnation)
         } else if order.fence != self.fence {
-            Err(Disobedience::OtherFence)
+            Err(OrderError::OtherFence)
         } else {
             Ok(())
         };
-        self.refused_orders += u32::from(result.is_err());
+        self.rejected_orders += u32::from(result.is_err());
         result
     }
 
-    pub fn take_fence(&mut self, order: FenceBody) -> Result<(), Disobedience> {
+    pub fn accept_fence(&mut self, order: FenceBody) -> Result<(), OrderError> {
         if order.incarnation != self.incarnation {
-            return Err(Disobedience::OtherIncarnation);
+            return Err(OrderError::OtherIncarnation);
         }
         if order.fence < self.fence {
-            return Err(Disobedience::OtherFence);
+            return Err(OrderError::OtherFence);
         }
         self.fence = order.fence;
         Ok(())
     }
 
-    pub fn begin_load(&mut self, order: FenceBody) -> Result<(), Disobedience> {
+    pub fn begin_load(&mut self, order: FenceBody) -> Result<(), OrderError> {
         self.check(order)?;
         if self.loaded.len() + self.loading >= self.settings.slots {
-            return Err(Disobedience::NoFreeSlot);
+            return Err(OrderError::NoFreeSlot);
         }
         self.loading += 1;
         Ok(())
@@ -146,23 +146,23 @@
         order: FenceBody,
         adapter: AdapterBody,
         fetched: bool,
-    ) -> Result<(), Disobedience> {
+    ) -> Result<(), OrderError> {
         if order.incarnation != self.incarnation {
-            return Err(Disobedience::OtherIncarnation);
+            return Err(OrderError::OtherIncarnation);
         }
         self.loading = self.loading.saturating_sub(1);
         self.check(order)?;
         if !fetched {
-            return Err(Disobedience::LoadFailed);
+            return Err(OrderError::LoadFailed);
         }
         self.loaded.push(adapter);
         Ok(())
     }
 
-    pub fn unload(&mut self, order: FenceBody, adapter: &AdapterBody) -> Result<(), Disobedience> {
+    pub fn unload(&mut self, order: FenceBody, adapter: &AdapterBody) -> Result<(), OrderError> {
         self.check(order)?;
         let Some(index) = self.loaded.iter().position(|a| a == adapter) else {
-            return Err(Disobedience::NotLoaded);
+            return Err(OrderError::NotLoaded);
         };
         self.loaded.remove(index);
         let users: Vec<RequestId> = self
@@ -178,22 +178,22 @@
         Ok(())
     }
 
-    pub fn generate(&mut self, body: GenerateBody) -> Result<(), Disobedience> {
+    pub fn generate(&mut self, body: GenerateBody) -> Result<(), OrderError> {
         self.check(body.order)?;
         if !self.loaded.contains(&body.adapter) {
-            return Err(Disobedience::NotLoaded);
+            return Err(OrderError::NotLoaded);
         }
         if self.requests.contains_key(&body.request) {
             return Ok(());
         }
         *self.runs.entry(body.prompt.clone()).or_insert(0) += 1;
         let words = body.prompt.split_whitespace().count() + body.generated.len();
-        let prefill_left = match self.cache.use_prefix(&body.prompt) {
+        let prefill_left = match self.cache.lookup_or_insert(&body.prompt) {
             true => 0,
             false => words / self.settings.prefill_words.max(1),
         };
-        let place = self.place_of(body.priority);
-        self.queue.insert(place, body.request.clone());
+        let position = self.queue_position(body.priority);
+        self.queue.insert(position, body.request.clone());
         let request = EngineRequest {
             prefill_left,
             events: Vec::new(),
@@ -208,7 +208,7 @@
     pub fn cancel(&mut self, request: &str) -> CancelState {
         match self.requests.get(request) {
             None => CancelState::Unknown,
-            Some(found) if found.is_ended => CancelState::Ended,
+            Some(entry) if entry.is_ended => CancelState::Ended,
             Some(_) => {
                 self.end(request, EventBody::Failed("cancelled".to_string()));
                 CancelState::Cancelled
@@ -219,27 +219,30 @@
     /// end a request; its events stay for those that resume
     pub fn end(&mut self, request: &str, body: EventBody) {
         self.queue.retain(|r| r != request);
-        if let Some(found) = self.requests.get_mut(request) {
-            found.push(body);
+        if let Some(entry) = self.requests.get_mut(request) {
+            entry.push(body);
         }
     }
 
     /// requests in the batch, as they were a while ago
-    pub fn lagging_load(&mut self, now: Instant) -> usize {
+    pub fn reported_batch_size(&mut self, now: Instant) -> usize {
         let lag = self.settings.lag;
-        let seen = |at: &Instant| now.saturating_duration_since(*at) >= lag;
-        let last = self.load_history.iter().rposition(|(at, _)| seen(at));
+        let is_visible = |at: &Instant| now.saturating_duration_since(*at) >= lag;
+        let last = self
+            .batch_size_history
+            .iter()
+            .rposition(|(at, _)| is_visible(at));
         match last {
             Some(index) => {
-                self.load_history.drain(..index);
-                self.load_history[0].1
+                self.batch_size_history.drain(..index);
+                self.batch_size_history[0].1
             }
             None => 0,
         }
     }
 
     /// behind the running ones, and behind those as urgent
-    fn place_of(&self, priority: u8) -> usize {
+    fn queue_position(&self, priority: u8) -> usize {
         let running = self.queue.len().min(self.settings.max_batch as usize);
         let waiting = &self.queue[running..];
         let before = waiting
--- a/testkit/src/engine/mod.rs
+++ b/testkit/src/engine/mod.rs
@@ -3,7 +3,7 @@
 mod batch;
 mod engine_stand_in;
 mod engine_state;
-mod errors;
+mod order_error;
 mod prefix_cache;
 mod routes;
 mod settings;
@@ -13,5 +13,5 @@
     engine_stand_in::EngineStandIn,
     engine_state::EngineState,
     settings::{EngineFaults, EngineSettings},
-    text::{expected_token, prompt_mark},
+    text::{expected_token, prompt_hash},
 };
--- a/testkit/src/engine/errors.rs
+++ b/testkit/src/engine/order_error.rs
@@ -8,7 +8,7 @@
 
 /// why an engine does not obey
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Disobedience {
+pub enum OrderError {
     OtherIncarnation,
     OtherFence,
     NoFreeSlot,
@@ -17,7 +17,7 @@
     UnknownRequest,
 }
 
-impl Disobedience {
+impl OrderError {
     pub fn reply(self) -> Reply {
         let status = match self {
             Self::OtherIncarnation | Self::OtherFence => StatusCode::CONFLICT,
--- a/testkit/src/engine/prefix_cache.rs
+++ b/testkit/src/engine/prefix_cache.rs
@@ -20,7 +20,7 @@
     pub prefix: String,
     pub cached: bool,
     #[serde(skip)]
-    seen_from: Option<Instant>,
+    visible_from: Option<Instant>,
 }
 
 /// prompt prefixes in limited memory
@@ -44,7 +44,7 @@
         }
     }
     /// whether the prompt's prefix was cached; it is now
-    pub fn use_prefix(&mut self, prompt: &str) -> bool {
+    pub fn lookup_or_insert(&mut self, prompt: &str) -> bool {
         let words: Vec<&str> = prompt.split_whitespace().take(PREFIX_WORDS).collect();
         let prefix = words.join(" ");
         if let Some(index) = self.prefixes.iter().position(|p| *p == prefix) {
@@ -54,22 +54,22 @@
         }
         if self.prefixes.len() >= self.capacity {
             if let Some(dropped) = self.prefixes.pop_front() {
-                self.tell(dropped, false);
+                self.record_event(dropped, false);
             }
         }
         self.prefixes.push_back(prefix.clone());
-        self.tell(prefix, true);
+        self.record_event(prefix, true);
         false
     }
     /// events after a number that can be seen by now
     pub fn events_after(&self, after: u64, now: Instant) -> Vec<CacheEvent> {
         let events = self.events.iter();
         events
-            .filter(|e| e.number > after && e.seen_from.is_none_or(|from| from <= now))
+            .filter(|e| e.number > after && e.visible_from.is_none_or(|from| from <= now))
             .cloned()
             .collect()
     }
-    fn tell(&mut self, prefix: String, cached: bool) {
+    fn record_event(&mut self, prefix: String, cached: bool) {
         self.next_event += 1;
         if self.next_event.is_multiple_of(LOST_EVERY) {
             return;
@@ -81,7 +81,7 @@
             number: self.next_event,
             prefix,
             cached,
-            seen_from: Some(Instant::now() + self.lag),
+            visible_from: Some(Instant::now() + self.lag),
         });
     }
 }
--- a/testkit/src/engine/routes.rs
+++ b/testkit/src/engine/routes.rs
@@ -39,7 +39,7 @@
     let (chain, pipelines) = single_pipeline(pipeline);
     build_router(chain, pipelines, |route| {
         route.get("/engine/status").to_async(status);
-        route.get("/engine/load").to_async(lagging_load);
+        route.get("/engine/load").to_async(reported_batch_size);
         route.get("/engine/events").to_async(cache_events);
         route.post("/engine/fence").to_async(fence);
         route.post("/engine/load").to_async(load);
@@ -54,11 +54,11 @@
     SharedData::<Mutex<EngineState>>::of(state)
 }
 
-fn done() -> Reply {
+fn success() -> Reply {
     json_reply(StatusCode::OK, &OrderReply::default())
 }
 
-fn bad(e: BodyError) -> Reply {
+fn bad_request(e: BodyError) -> Reply {
     text_reply(StatusCode::BAD_REQUEST, e.to_string())
 }
 
@@ -67,8 +67,8 @@
     Ok((state, json_reply(StatusCode::OK, &status)))
 }
 
-async fn lagging_load(state: State) -> HandlerResult {
-    let running = lock(&engine(&state)).lagging_load(Instant::now());
+async fn reported_batch_size(state: State) -> HandlerResult {
+    let running = lock(&engine(&state)).reported_batch_size(Instant::now());
     Ok((state, json_reply(StatusCode::OK, &running)))
 }
 
@@ -84,10 +84,10 @@
 async fn fence(mut state: State) -> HandlerResult {
     let reply = match read_json::<FenceBody>(&mut state).await {
         Ok(order) => {
-            let result = lock(&engine(&state)).take_fence(order);
-            result.map_or_else(|e| e.reply(), |()| done())
+            let result = lock(&engine(&state)).accept_fence(order);
+            result.map_or_else(|e| e.reply(), |()| success())
         }
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
@@ -98,7 +98,7 @@
             let store = SharedData::<WeightStore>::of(&state);
             load_adapter(engine(&state), store, order).await
         }
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
@@ -109,12 +109,12 @@
         return e.reply();
     }
     // a load goes on when its caller is gone
-    let ended = tokio::spawn(async move {
+    let load_task = tokio::spawn(async move {
         let fetched = store.load().await;
         lock(&engine).end_load(order.order, order.adapter, fetched)
     });
-    match ended.await {
-        Ok(Ok(())) => done(),
+    match load_task.await {
+        Ok(Ok(())) => success(),
         Ok(Err(e)) => e.reply(),
         Err(e) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
     }
@@ -124,9 +124,9 @@
     let reply = match read_json::<AdapterOrder>(&mut state).await {
         Ok(order) => {
             let result = lock(&engine(&state)).unload(order.order, &order.adapter);
-            result.map_or_else(|e| e.reply(), |()| done())
+            result.map_or_else(|e| e.reply(), |()| success())
         }
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
@@ -142,7 +142,7 @@
                 Err(e) => e.reply(),
             }
         }
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
@@ -150,7 +150,7 @@
 async fn resume(mut state: State) -> HandlerResult {
     let reply = match read_json::<ResumeBody>(&mut state).await {
         Ok(body) => stream_events(engine(&state), body.request, body.from as usize),
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
@@ -161,26 +161,26 @@
             let state = lock(&engine(&state)).cancel(&body.request);
             json_reply(StatusCode::OK, &CancelReply { state })
         }
-        Err(e) => bad(e),
+        Err(e) => bad_request(e),
     };
     Ok((state, reply))
 }
 
 /// follows one request's events, with the engine's faults
-struct Follower {
+struct EventStream {
     engine: SharedEngine,
     request: RequestId,
     count: watch::Receiver<usize>,
     next: usize,
     sent: u32,
-    swapped: Option<EngineEvent>,
-    ended: bool,
+    held_back: Option<EngineEvent>,
+    has_ended: bool,
 }
 
-impl Follower {
+impl EventStream {
     /// the next lines; none at the end, an error where the stream breaks
     async fn next_lines(&mut self) -> Option<io::Result<Bytes>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
         let next = self.next;
@@ -197,17 +197,17 @@
         }
         self.next += 1;
         self.sent += 1;
-        self.ended = !matches!(event.body, chalkcart_transport::engine::EventBody::Token(_));
-        if faults.swap_events && !self.ended && self.swapped.is_none() {
-            self.swapped = Some(event);
+        self.has_ended = !matches!(event.body, chalkcart_transport::engine::EventBody::Token(_));
+        if faults.swap_events && !self.has_ended && self.held_back.is_none() {
+            self.held_back = Some(event);
             return Some(Ok(Bytes::new()));
         }
         let mut lines = line(&event);
-        if faults.repeat_events {
+        if faults.duplicate_events {
             lines.extend(line(&event));
         }
-        if let Some(swapped) = self.swapped.take() {
-            lines.extend(line(&swapped));
+        if let Some(held_back) = self.held_back.take() {
+            lines.extend(line(&held_back));
         }
         Some(Ok(lines.into()))
     }
@@ -225,20 +225,20 @@
         .get(&request)
         .map(|r| r.count.subscribe());
     let Some(count) = count else {
-        return super::errors::Disobedience::UnknownRequest.reply();
+        return super::order_error::OrderError::UnknownRequest.reply();
     };
-    let follower = Follower {
+    let event_stream = EventStream {
         engine,
         request,
         count,
         next: from,
         sent: 0,
-        swapped: None,
-        ended: false,
+        held_back: None,
+        has_ended: false,
     };
-    let lines = stream::unfold(follower, |mut follower| async move {
-        let lines = follower.next_lines().await?;
-        Some((lines.map(Frame::data), follower))
+    let lines = stream::unfold(event_stream, |mut event_stream| async move {
+        let lines = event_stream.next_lines().await?;
+        Some((lines.map(Frame::data), event_stream))
     });
     Response::new(Body::new(StreamBody::new(lines)))
 }
--- a/testkit/src/engine/settings.rs
+++ b/testkit/src/engine/settings.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineFaults {
     /// each event is sent twice
-    pub repeat_events: bool,
+    pub duplicate_events: bool,
     /// neighbouring events change places
     pub swap_events: bool,
     /// a stream breaks after so many events
--- a/testkit/src/forwarder/mod.rs
+++ b/testkit/src/forwarder/mod.rs
@@ -2,4 +2,4 @@
 
 mod tcp_forwarder;
 
-pub use tcp_forwarder::{Cut, TcpForwarder};
+pub use tcp_forwarder::{LinkFault, TcpForwarder};
--- a/testkit/src/forwarder/tcp_forwarder.rs
+++ b/testkit/src/forwarder/tcp_forwarder.rs
@@ -16,22 +16,22 @@
 
 /// what a forwarder does with its connections
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Cut {
+pub enum LinkFault {
     #[default]
     None,
     /// connections break, and no new one comes about
     Closed,
     /// bytes are swallowed both ways; connections stay open
-    Silent,
+    Blackhole,
     /// bytes towards the peer arrive; its answers are swallowed
-    AnswersLost,
+    ResponsesLost,
 }
 
 /// passes TCP connections on to a peer, until they are cut
 #[derive(Debug)]
 pub struct TcpForwarder {
     pub addr: SocketAddr,
-    cut: watch::Sender<Cut>,
+    fault: watch::Sender<LinkFault>,
     /// connections of an earlier epoch are silent
     epoch: watch::Sender<u64>,
 }
@@ -41,100 +41,110 @@
     pub async fn start(peer: SocketAddr, delay: Duration) -> Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let addr = listener.local_addr()?;
-        let (cut, epoch) = (watch::Sender::new(Cut::None), watch::Sender::new(0));
-        let state = (cut.subscribe(), epoch.subscribe());
+        let (fault, epoch) = (watch::Sender::new(LinkFault::None), watch::Sender::new(0));
+        let state = (fault.subscribe(), epoch.subscribe());
         tokio::spawn(accept(listener, peer, delay, state));
-        Ok(Self { addr, cut, epoch })
+        Ok(Self { addr, fault, epoch })
     }
-    pub fn set(&self, cut: Cut) {
-        self.cut.send_replace(cut);
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
     /// connections that are open fall silent for good, without a reset; new ones work
-    pub fn silence_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         self.epoch.send_modify(|epoch| *epoch += 1);
     }
 }
 
 /// what a connection must know of its forwarder
-type State = (watch::Receiver<Cut>, watch::Receiver<u64>);
+type FaultState = (watch::Receiver<LinkFault>, watch::Receiver<u64>);
 
-async fn accept(listener: TcpListener, peer: SocketAddr, delay: Duration, (cut, epoch): State) {
+async fn accept(
+    listener: TcpListener,
+    peer: SocketAddr,
+    delay: Duration,
+    (fault, epoch): FaultState,
+) {
     while let Ok((near, _)) = listener.accept().await {
-        if *cut.borrow() != Cut::Closed {
-            let line = Line {
-                cut: cut.clone(),
-                born: *epoch.borrow(),
+        if *fault.borrow() != LinkFault::Closed {
+            let connection = Connection {
+                fault: fault.clone(),
+                opened_in_epoch: *epoch.borrow(),
                 epoch: epoch.clone(),
                 delay,
             };
-            tokio::spawn(forward(near, peer, line));
+            tokio::spawn(forward(near, peer, connection));
         }
     }
 }
 
 /// one connection's own view of the forwarder
 #[derive(Clone)]
-struct Line {
-    cut: watch::Receiver<Cut>,
-    born: u64,
+struct Connection {
+    fault: watch::Receiver<LinkFault>,
+    opened_in_epoch: u64,
     epoch: watch::Receiver<u64>,
     delay: Duration,
 }
 
-impl Line {
+impl Connection {
     /// whether bytes that go this way are swallowed now
-    fn swallows(&self, way: Way) -> bool {
-        if *self.epoch.borrow() != self.born {
+    fn drops_bytes(&self, direction: Direction) -> bool {
+        if *self.epoch.borrow() != self.opened_in_epoch {
             return true;
         }
-        match *self.cut.borrow() {
-            Cut::None | Cut::Closed => false,
-            Cut::Silent => true,
-            Cut::AnswersLost => way == Way::Back,
+        match *self.fault.borrow() {
+            LinkFault::None | LinkFault::Closed => false,
+            LinkFault::Blackhole => true,
+            LinkFault::ResponsesLost => direction == Direction::FromPeer,
         }
     }
 }
 
-async fn forward(near: TcpStream, peer: SocketAddr, line: Line) {
-    let mut cut = line.cut.clone();
+async fn forward(near: TcpStream, peer: SocketAddr, connection: Connection) {
+    let mut fault = connection.fault.clone();
     let Ok(far) = TcpStream::connect(peer).await else {
         return;
     };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let there = pass(near_read, far_write, &line, Way::There);
-    let back = pass(far_read, near_write, &line, Way::Back);
+    let to_peer = copy_bytes(near_read, far_write, &connection, Direction::ToPeer);
+    let from_peer = copy_bytes(far_read, near_write, &connection, Direction::FromPeer);
     tokio::select! {
-        () = there => {}
-        () = back => {}
-        _ = cut.wait_for(|cut| *cut == Cut::Closed) => {}
+        () = to_peer => {}
+        () = from_peer => {}
+        _ = fault.wait_for(|fault| *fault == LinkFault::Closed) => {}
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToPeer,
+    FromPeer,
 }
 
-async fn pass(mut read: OwnedReadHalf, mut write: OwnedWriteHalf, line: &Line, way: Way) {
+async fn copy_bytes(
+    mut read: OwnedReadHalf,
+    mut write: OwnedWriteHalf,
+    connection: &Connection,
+    direction: Direction,
+) {
     let mut buf = vec![0; BUFFER_BYTES];
-    let mut has_hole = false;
+    let mut has_gap = false;
     while let Ok(count) = read.read(&mut buf).await {
         if count == 0 {
             break;
         }
-        if !line.delay.is_zero() {
-            sleep(line.delay).await;
+        if !connection.delay.is_zero() {
+            sleep(connection.delay).await;
         }
-        let swallowed = line.swallows(way);
-        has_hole |= swallowed;
-        if swallowed {
+        let is_dropped = connection.drops_bytes(direction);
+        has_gap |= is_dropped;
+        if is_dropped {
             continue;
         }
         // a stream with a hole can't go on
-        if has_hole || write.write_all(&buf[..count]).await.is_err() {
+        if has_gap || write.write_all(&buf[..count]).await.is_err() {
             break;
         }
     }
--- a/testkit/src/ledger/mod.rs
+++ b/testkit/src/ledger/mod.rs
@@ -1,5 +1,5 @@
 //! what was said of requests that run at most once, against what ran
 
-mod once_ledger;
+mod at_most_once_ledger;
 
-pub use once_ledger::{OnceLedger, Violation};
+pub use at_most_once_ledger::{AtMostOnceLedger, Violation};
--- a/testkit/src/load/calls.rs
+++ b/testkit/src/load/calls.rs
@@ -1,5 +1,5 @@
 use {
-    super::Answer,
+    super::Completion,
     chalkcart_protocol::{
         peer::Outcome,
         status::{outcome_of, reason_of, retry_after_of},
@@ -18,19 +18,19 @@
     pub outcome: Outcome,
     pub reason: String,
     pub retry_after: Option<Duration>,
-    pub took: Duration,
+    pub duration: Duration,
     pub status: Status,
     /// tokens that came before
     pub tokens: usize,
 }
 
 impl Failure {
-    fn new(status: Status, took: Duration, tokens: usize) -> Self {
+    fn new(status: Status, duration: Duration, tokens: usize) -> Self {
         Self {
             outcome: outcome_of(&status),
             reason: reason_of(&status).unwrap_or_else(|| status.code().to_string()),
             retry_after: retry_after_of(&status),
-            took,
+            duration,
             status,
             tokens,
         }
@@ -41,9 +41,9 @@
 pub async fn generate(
     client: &mut InferenceClient<Channel>,
     req: GenerateRequest,
-) -> Result<Answer, Box<Failure>> {
+) -> Result<Completion, Box<Failure>> {
     let started = Instant::now();
-    let mut answer = Answer::default();
+    let mut answer = Completion::default();
     let failed = |status, tokens| Box::new(Failure::new(status, started.elapsed(), tokens));
     let response = client.generate(req).await.map_err(|e| failed(e, 0))?;
     let mut events = response.into_inner();
@@ -54,7 +54,7 @@
             Some(event) => match event.event {
                 Some(Event::Token(token)) => {
                     if answer.tokens.is_empty() {
-                        answer.first_token = started.elapsed();
+                        answer.time_to_first_token = started.elapsed();
                     }
                     answer.tokens.push(token.text);
                 }
@@ -63,7 +63,7 @@
             },
         }
     }
-    answer.took = started.elapsed();
+    answer.duration = started.elapsed();
     Ok(answer)
 }
 
--- a/testkit/src/load/answer.rs
+++ b/testkit/src/load/completion.rs
@@ -6,45 +6,45 @@
 
 /// what a caller got for one prompt
 #[derive(Debug, Clone, Default)]
-pub struct Answer {
+pub struct Completion {
     pub tokens: Vec<String>,
     pub finished: Option<Finished>,
-    pub first_token: Duration,
-    pub took: Duration,
+    pub time_to_first_token: Duration,
+    pub duration: Duration,
 }
 
 /// what is wrong with an answer
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    Good,
+pub enum CompletionCheck {
+    Correct,
     /// made by another adapter or version, or for another prompt
-    Wrong,
+    Mismatched,
     /// not the whole answer, or in disorder
-    CutOff,
+    Incomplete,
 }
 
 /// check a whole answer against its request
-pub fn check_answer(req: &GenerateRequest, answer: &Answer) -> Verdict {
+pub fn check_completion(req: &GenerateRequest, answer: &Completion) -> CompletionCheck {
     let expected = |index| expected_token(&req.adapter, req.version, &req.prompt, index);
     let pairs = answer.tokens.iter().enumerate();
     for (index, token) in pairs {
         if *token == expected(index) {
             continue;
         }
-        let made_for_it = (0..req.max_tokens as usize).any(|i| *token == expected(i));
-        return match made_for_it {
-            true => Verdict::CutOff,
-            false => Verdict::Wrong,
+        let is_other_token = (0..req.max_tokens as usize).any(|i| *token == expected(i));
+        return match is_other_token {
+            true => CompletionCheck::Incomplete,
+            false => CompletionCheck::Mismatched,
         };
     }
     let Some(finished) = &answer.finished else {
-        return Verdict::CutOff;
+        return CompletionCheck::Incomplete;
     };
     if finished.adapter != req.adapter || finished.version != req.version {
-        return Verdict::Wrong;
+        return CompletionCheck::Mismatched;
     }
     match answer.tokens.len() == req.max_tokens as usize {
-        true => Verdict::Good,
-        false => Verdict::CutOff,
+        true => CompletionCheck::Correct,
+        false => CompletionCheck::Incomplete,
     }
 }
--- a/testkit/src/load/open_loop.rs
+++ b/testkit/src/load/open_loop.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        check_answer, generate, report::LoadReport, Answer, ClassReport, Failure, Popularity,
-        Verdict,
+        check_completion, generate, report::LoadReport, ClassReport, Completion, CompletionCheck,
+        Failure, Popularity,
     },
     chalkcart_protocol::{
         peer::Outcome,
@@ -15,7 +15,7 @@
 
 /// requests of one group and class
 #[derive(Debug, Clone)]
-pub struct Stream {
+pub struct RequestStream {
     pub group: String,
     pub class: String,
     /// adapter names are PREFIX-N
@@ -28,13 +28,13 @@
     pub max_tokens: u32,
     pub timeout_ms: u32,
     /// an answer counts as in time if its first token came by then
-    pub in_time: Duration,
+    pub first_token_target: Duration,
 }
 
 /// an open-loop load: requests leave on schedule, whatever the answers do
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    pub streams: Vec<Stream>,
+    pub streams: Vec<RequestStream>,
     pub span: Duration,
     /// when popularity shifts
     pub shift: Option<Duration>,
@@ -45,15 +45,15 @@
 
 enum Event {
     Sent,
-    Answered(Box<GenerateRequest>, Answer),
+    Completed(Box<GenerateRequest>, Completion),
     Failed(Box<Failure>),
 }
 
 /// what happened to a request of a stream
-struct Noted {
+struct StreamEvent {
     stream: usize,
     /// it was sent after the warm-up
-    counted: bool,
+    is_measured: bool,
     event: Event,
 }
 
@@ -78,17 +78,17 @@
 
 async fn send_stream(
     index: usize,
-    stream: Stream,
+    stream: RequestStream,
     settings: LoadSettings,
     clients: Vec<InferenceClient<Channel>>,
-    events: mpsc::UnboundedSender<Noted>,
+    events: mpsc::UnboundedSender<StreamEvent>,
 ) {
     let seed = settings.seed.wrapping_mul(1_000).wrapping_add(index as u64);
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut popularity = Popularity::new(stream.adapters, stream.exponent, seed ^ 1);
     let start = Instant::now();
     let mut at = Duration::ZERO;
-    let mut shifted = false;
+    let mut has_shifted = false;
     for number in 0u64.. {
         // exponential gaps make arrivals a Poisson process
         let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
@@ -96,9 +96,9 @@
         if at >= settings.span {
             return;
         }
-        if !shifted && settings.shift.is_some_and(|shift| at >= shift) {
+        if !has_shifted && settings.shift.is_some_and(|shift| at >= shift) {
             popularity.shift();
-            shifted = true;
+            has_shifted = true;
         }
         sleep_until((start + at).into()).await;
         let req = GenerateRequest {
@@ -112,95 +112,100 @@
             ..GenerateRequest::default()
         };
         let client = clients[number as usize % clients.len()].clone();
-        let noted = move |event| Noted {
+        let stream_event = move |event| StreamEvent {
             stream: index,
-            counted: at >= settings.warm_up,
+            is_measured: at >= settings.warm_up,
             event,
         };
         // the collector lives until all senders are gone
-        let _ = events.send(noted(Event::Sent));
-        tokio::spawn(send_one(client, req, events.clone(), noted));
+        let _ = events.send(stream_event(Event::Sent));
+        tokio::spawn(send_one(client, req, events.clone(), stream_event));
     }
 }
 
 async fn send_one(
     mut client: InferenceClient<Channel>,
     req: GenerateRequest,
-    events: mpsc::UnboundedSender<Noted>,
-    noted: impl Fn(Event) -> Noted,
+    events: mpsc::UnboundedSender<StreamEvent>,
+    stream_event: impl Fn(Event) -> StreamEvent,
 ) {
     let event = match generate(&mut client, req.clone()).await {
-        Ok(answer) => Event::Answered(Box::new(req), answer),
+        Ok(answer) => Event::Completed(Box::new(req), answer),
         Err(failure) => Event::Failed(failure),
     };
-    let _ = events.send(noted(event));
+    let _ = events.send(stream_event(event));
 }
 
 async fn collect(
     settings: &LoadSettings,
-    mut events: mpsc::UnboundedReceiver<Noted>,
+    mut events: mpsc::UnboundedReceiver<StreamEvent>,
 ) -> LoadReport {
     let started = Instant::now();
     let mut report = LoadReport::default();
-    while let Some(noted) = events.recv().await {
-        check(&mut report, &noted.event);
-        let stream = &settings.streams[noted.stream];
+    while let Some(stream_event) = events.recv().await {
+        count_outcome(&mut report, &stream_event.event);
+        let stream = &settings.streams[stream_event.stream];
         let name = format!("{}/{}", stream.group, stream.class);
         let class = report.classes.entry(name).or_default();
         let now = started.elapsed();
         if now >= settings.warm_up && now <= settings.span {
-            class.window_tokens += tokens_of(&noted.event);
+            class.window_tokens += token_count(&stream_event.event);
         }
-        if !noted.counted {
+        if !stream_event.is_measured {
             continue;
         }
-        match noted.event {
+        match stream_event.event {
             Event::Sent => class.sent += 1,
             Event::Failed(failure) => count_failure(class, &failure),
-            Event::Answered(req, answer) => {
-                let is_good = check_answer(&req, &answer) == Verdict::Good;
-                count_answer(class, stream, &answer, is_good);
+            Event::Completed(req, answer) => {
+                let is_good = check_completion(&req, &answer) == CompletionCheck::Correct;
+                count_completion(class, stream, &answer, is_good);
             }
         }
     }
     report
 }
 
-fn tokens_of(event: &Event) -> u64 {
+fn token_count(event: &Event) -> u64 {
     match event {
-        Event::Answered(_, answer) => answer.tokens.len() as u64,
+        Event::Completed(_, answer) => answer.tokens.len() as u64,
         Event::Sent | Event::Failed(_) => 0,
     }
 }
 
 /// bad outcomes are counted over the whole run, the warm-up included
-fn check(report: &mut LoadReport, event: &Event) {
+fn count_outcome(report: &mut LoadReport, event: &Event) {
     match event {
-        Event::Sent => report.open += 1,
-        Event::Failed(_) => report.open -= 1,
-        Event::Answered(req, answer) => {
-            report.open -= 1;
-            match check_answer(req, answer) {
-                Verdict::Good => {}
-                Verdict::Wrong => report.wrong += 1,
-                Verdict::CutOff => report.cut_off += 1,
+        Event::Sent => report.unfinished += 1,
+        Event::Failed(_) => report.unfinished -= 1,
+        Event::Completed(req, answer) => {
+            report.unfinished -= 1;
+            match check_completion(req, answer) {
+                CompletionCheck::Correct => {}
+                CompletionCheck::Mismatched => report.mismatched += 1,
+                CompletionCheck::Incomplete => report.incomplete += 1,
             }
         }
     }
 }
 
-fn count_answer(class: &mut ClassReport, stream: &Stream, answer: &Answer, is_good: bool) {
+fn count_completion(
+    class: &mut ClassReport,
+    stream: &RequestStream,
+    answer: &Completion,
+    is_good: bool,
+) {
     if !is_good {
         return;
     }
     class.completed += 1;
     class.tokens += answer.tokens.len() as u64;
-    class.in_time += u64::from(answer.first_token <= stream.in_time);
+    class.within_target += u64::from(answer.time_to_first_token <= stream.first_token_target);
     // the histograms grow with their values
     let _ = class
         .first_token
-        .record(answer.first_token.as_micros() as u64);
-    let _ = class.total.record(answer.took.as_micros() as u64);
+        .record(answer.time_to_first_token.as_micros() as u64);
+    let _ = class.total.record(answer.duration.as_micros() as u64);
 }
 
 fn count_failure(class: &mut ClassReport, failure: &Failure) {
@@ -209,6 +214,8 @@
         Outcome::MayHaveRun | Outcome::Ran => class.may_have_run += 1,
     }
     *class.reasons.entry(failure.reason.clone()).or_insert(0) += 1;
-    class.refused_with_retry_after += u64::from(failure.retry_after.is_some());
-    let _ = class.refused_after.record(failure.took.as_micros() as u64);
+    class.rejected_with_retry_after += u64::from(failure.retry_after.is_some());
+    let _ = class
+        .rejection_time
+        .record(failure.duration.as_micros() as u64);
 }
--- a/testkit/src/load/report.rs
+++ b/testkit/src/load/report.rs
@@ -9,7 +9,7 @@
     pub sent: u64,
     pub completed: u64,
     /// completed within the stream's own limit
-    pub in_time: u64,
+    pub within_target: u64,
     pub not_run: u64,
     pub may_have_run: u64,
     pub tokens: u64,
@@ -21,8 +21,8 @@
     /// of whole requests, in µs
     pub total: Histogram<u64>,
     /// of refusals, in µs
-    pub refused_after: Histogram<u64>,
-    pub refused_with_retry_after: u64,
+    pub rejection_time: Histogram<u64>,
+    pub rejected_with_retry_after: u64,
     pub reasons: BTreeMap<String, u64>,
 }
 
@@ -32,15 +32,15 @@
         Self {
             sent: 0,
             completed: 0,
-            in_time: 0,
+            within_target: 0,
             not_run: 0,
             may_have_run: 0,
             tokens: 0,
             window_tokens: 0,
             first_token: histogram(),
             total: histogram(),
-            refused_after: histogram(),
-            refused_with_retry_after: 0,
+            rejection_time: histogram(),
+            rejected_with_retry_after: 0,
             reasons: BTreeMap::new(),
         }
     }
@@ -53,8 +53,8 @@
     pub fn total_ms(&self, quantile: f64) -> f64 {
         self.total.value_at_quantile(quantile) as f64 / 1e3
     }
-    pub fn refused_ms(&self, quantile: f64) -> f64 {
-        self.refused_after.value_at_quantile(quantile) as f64 / 1e3
+    pub fn rejected_ms(&self, quantile: f64) -> f64 {
+        self.rejection_time.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
@@ -64,11 +64,11 @@
     /// by stream
     pub classes: BTreeMap<String, ClassReport>,
     /// answers of another adapter, version or prompt
-    pub wrong: u64,
+    pub mismatched: u64,
     /// answers that were not whole
-    pub cut_off: u64,
+    pub incomplete: u64,
     /// requests without any word at the end
-    pub open: u64,
+    pub unfinished: u64,
     pub span: Duration,
 }
 
@@ -76,8 +76,8 @@
     pub fn completed(&self) -> u64 {
         self.classes.values().map(|c| c.completed).sum()
     }
-    pub fn in_time(&self) -> u64 {
-        self.classes.values().map(|c| c.in_time).sum()
+    pub fn within_target(&self) -> u64 {
+        self.classes.values().map(|c| c.within_target).sum()
     }
     pub fn sent(&self) -> u64 {
         self.classes.values().map(|c| c.sent).sum()
@@ -102,7 +102,7 @@
                 name,
                 class.sent,
                 class.completed,
-                class.in_time,
+                class.within_target,
                 class.not_run,
                 class.may_have_run,
                 class.first_token_ms(0.5),
--- a/testkit/src/load/scrape.rs
+++ b/testkit/src/load/scrape.rs
@@ -2,14 +2,14 @@
 
 /// a histogram summed over processes and labels
 #[derive(Debug, Default, Clone)]
-pub struct Scraped {
+pub struct HistogramTotals {
     pub count: f64,
     pub sum: f64,
     /// observations up to each bound, by the bound's text
     buckets: BTreeMap<u64, f64>,
 }
 
-impl Scraped {
+impl HistogramTotals {
     /// upper bound of the bucket in which a quantile lies, in seconds
     pub fn quantile(&self, quantile: f64) -> f64 {
         let wanted = self.count * quantile;
@@ -30,7 +30,7 @@
             self.count += value;
         } else if rest.starts_with("_sum") {
             self.sum += value;
-        } else if let Some(bound) = bound_of(rest) {
+        } else if let Some(bound) = bucket_bound(rest) {
             // positive floats sort like their bits
             *self.buckets.entry(bound.to_bits()).or_insert(0.0) += value;
         }
@@ -38,8 +38,8 @@
 }
 
 /// sum one histogram over all sidecars of engines
-pub async fn scrape_engines(cluster: &Cluster, name: &str) -> Result<Scraped> {
-    let mut scraped = Scraped::default();
+pub async fn scrape_engines(cluster: &Cluster, name: &str) -> Result<HistogramTotals> {
+    let mut scraped = HistogramTotals::default();
     for node in &cluster.engines {
         let (_, page) = node.sidecar.get("/metrics").await?;
         for line in page.lines() {
@@ -53,7 +53,7 @@
     Ok(scraped)
 }
 
-fn bound_of(rest: &str) -> Option<f64> {
+fn bucket_bound(rest: &str) -> Option<f64> {
     let (_, from_bound) = rest.split_once("le=\"")?;
     let (bound, _) = from_bound.split_once('"')?;
     match bound {
--- a/testkit/src/platform/platform_stand_in.rs
+++ b/testkit/src/platform/platform_stand_in.rs
@@ -32,11 +32,11 @@
     /// served instead of `documents` while set
     stale: Mutex<Option<Documents>>,
     generation: watch::Sender<Generation>,
-    down: Mutex<bool>,
+    is_down: Mutex<bool>,
     list: Mutex<FleetList>,
     /// lists with the time from which each is seen
-    seen: Mutex<Vec<(Instant, FleetList)>>,
-    lag: Mutex<Duration>,
+    visible_lists: Mutex<Vec<(Instant, FleetList)>>,
+    list_lag: Mutex<Duration>,
 }
 
 impl PlatformStandIn {
@@ -46,10 +46,10 @@
             generation: watch::Sender::new(documents.root.generation),
             documents: Mutex::new(documents),
             stale: Mutex::new(None),
-            down: Mutex::new(false),
+            is_down: Mutex::new(false),
             list: Mutex::new(FleetList::default()),
-            seen: Mutex::new(Vec::new()),
-            lag: Mutex::new(Duration::ZERO),
+            visible_lists: Mutex::new(Vec::new()),
+            list_lag: Mutex::new(Duration::ZERO),
         });
         let serving = serve_router(new_router(state.clone())).await?;
         Ok(Self { state, serving })
@@ -68,16 +68,16 @@
         self.state.generation.send_replace(generation);
     }
     /// answer nothing but errors
-    pub fn set_down(&self, down: bool) {
-        *lock(&self.state.down) = down;
+    pub fn set_down(&self, is_down: bool) {
+        *lock(&self.state.is_down) = is_down;
     }
     /// serve an earlier state of the configuration
     pub fn set_stale(&self, stale: Option<Documents>) {
         *lock(&self.state.stale) = stale;
     }
     /// show changes of the list only after this time
-    pub fn set_list_lag(&self, lag: Duration) {
-        *lock(&self.state.lag) = lag;
+    pub fn set_list_lag(&self, list_lag: Duration) {
+        *lock(&self.state.list_lag) = list_lag;
     }
     pub fn add_box(&self, added: FleetBox) {
         self.state.change_list(|boxes| {
@@ -104,14 +104,14 @@
 
 impl PlatformState {
     pub fn is_down(&self) -> bool {
-        *lock(&self.down)
+        *lock(&self.is_down)
     }
-    pub fn served(&self) -> Documents {
+    pub fn served_documents(&self) -> Documents {
         let stale = lock(&self.stale).clone();
         stale.unwrap_or_else(|| lock(&self.documents).clone())
     }
     /// wait until the served root is newer
-    pub async fn wait_newer(&self, known: Generation, wait: Duration) {
+    pub async fn wait_for_newer(&self, known: Generation, wait: Duration) {
         let mut generation = self.generation.subscribe();
         let newer = async {
             // the sender lives as long as this state
@@ -119,14 +119,14 @@
         };
         let _ = tokio::time::timeout(wait, newer).await;
     }
-    pub fn seen_list(&self) -> FleetList {
+    pub fn visible_list(&self) -> FleetList {
         let now = Instant::now();
-        let mut seen = lock(&self.seen);
-        let last = seen.iter().rposition(|(from, _)| *from <= now);
+        let mut visible_lists = lock(&self.visible_lists);
+        let last = visible_lists.iter().rposition(|(from, _)| *from <= now);
         match last {
             Some(index) => {
-                seen.drain(..index);
-                seen[0].1.clone()
+                visible_lists.drain(..index);
+                visible_lists[0].1.clone()
             }
             None => FleetList::default(),
         }
@@ -135,7 +135,7 @@
         let mut list = lock(&self.list);
         change(&mut list.boxes);
         list.version += 1;
-        let from = Instant::now() + *lock(&self.lag);
-        lock(&self.seen).push((from, list.clone()));
+        let from = Instant::now() + *lock(&self.list_lag);
+        lock(&self.visible_lists).push((from, list.clone()));
     }
 }
--- a/testkit/src/platform/routes.rs
+++ b/testkit/src/platform/routes.rs
@@ -41,7 +41,7 @@
     platform.calls.count_list();
     let reply = match platform.is_down() {
         true => down(),
-        false => json_reply(StatusCode::OK, &platform.seen_list()),
+        false => json_reply(StatusCode::OK, &platform.visible_list()),
     };
     Ok((state, reply))
 }
@@ -53,11 +53,11 @@
 async fn root(platform: &PlatformState, uri: &Uri) -> Reply {
     let known: Generation = query(uri, "after");
     let wait = Duration::from_millis(query(uri, "wait_ms"));
-    platform.wait_newer(known, wait).await;
+    platform.wait_for_newer(known, wait).await;
     if platform.is_down() {
         return down();
     }
-    let root = platform.served().root;
+    let root = platform.served_documents().root;
     match root.generation > known {
         true => json_reply(StatusCode::OK, &root),
         false => text_reply(StatusCode::NOT_MODIFIED, ""),
@@ -68,7 +68,7 @@
     let index = key
         .strip_prefix("shard/")
         .and_then(|i| i.parse::<usize>().ok());
-    let documents = platform.served();
+    let documents = platform.served_documents();
     match index.and_then(|i| documents.shards.get(i)) {
         Some(shard) => json_reply(StatusCode::OK, shard.as_ref()),
         None => text_reply(StatusCode::NOT_FOUND, "no such document"),
--- a/testkit/src/service/service_stand_in.rs
+++ b/testkit/src/service/service_stand_in.rs
@@ -34,9 +34,9 @@
     runs: Mutex<HashMap<Vec<u8>, u32>>,
     delay: Mutex<Duration>,
     /// calls wait while it is true
-    held: watch::Sender<bool>,
+    paused: watch::Sender<bool>,
     /// grows with each run
-    total: watch::Sender<u64>,
+    total_runs: watch::Sender<u64>,
 }
 
 impl ServiceStandIn {
@@ -44,8 +44,8 @@
         let state = Arc::new(ServiceState {
             runs: Mutex::new(HashMap::new()),
             delay: Mutex::new(delay),
-            held: watch::Sender::new(false),
-            total: watch::Sender::new(0),
+            paused: watch::Sender::new(false),
+            total_runs: watch::Sender::new(0),
         });
         let serving = serve_router(new_router(state.clone())).await?;
         Ok(Self { state, serving })
@@ -58,21 +58,21 @@
         lock(&self.state.runs).get(body).copied().unwrap_or(0)
     }
     /// bodies that ran more than once
-    pub fn doubled(&self) -> usize {
+    pub fn duplicate_runs(&self) -> usize {
         lock(&self.state.runs).values().filter(|n| **n > 1).count()
     }
-    pub fn total(&self) -> u64 {
-        *self.state.total.borrow()
+    pub fn total_runs(&self) -> u64 {
+        *self.state.total_runs.borrow()
     }
     /// hold each call after it was counted
-    pub fn set_held(&self, held: bool) {
-        self.state.held.send_replace(held);
+    pub fn set_paused(&self, paused: bool) {
+        self.state.paused.send_replace(paused);
     }
     /// wait until so many calls ran
-    pub async fn wait_total(&self, total: u64) {
-        let mut seen = self.state.total.subscribe();
+    pub async fn wait_for_runs(&self, total_runs: u64) {
+        let mut seen = self.state.total_runs.subscribe();
         // the sender lives as long as this
-        let _ = seen.wait_for(|t| *t >= total).await;
+        let _ = seen.wait_for(|t| *t >= total_runs).await;
     }
 }
 
@@ -92,10 +92,10 @@
         Err(e) => return Ok((state, text_reply(StatusCode::BAD_REQUEST, e.to_string()))),
     };
     *lock(&service.runs).entry(body.to_vec()).or_insert(0) += 1;
-    service.total.send_modify(|total| *total += 1);
-    let mut held = service.held.subscribe();
+    service.total_runs.send_modify(|total| *total += 1);
+    let mut paused = service.paused.subscribe();
     // the sender lives as long as the state
-    let _ = held.wait_for(|held| !held).await;
+    let _ = paused.wait_for(|paused| !paused).await;
     let delay = *lock(&service.delay);
     sleep(delay).await;
     let reply = bytes_reply(StatusCode::OK, "application/octet-stream", body);
--- a/testkit/src/store/weight_store.rs
+++ b/testkit/src/store/weight_store.rs
@@ -11,7 +11,7 @@
 };
 
 /// how often a load looks at its share of the speed
-const STEP: Duration = Duration::from_millis(10);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(10);
 
 /// limits of the store
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
     running: AtomicU32,
     started: AtomicU64,
     /// so many of the next loads fail
-    failing: AtomicU32,
+    loads_to_fail: AtomicU32,
 }
 
 impl WeightStore {
@@ -53,12 +53,12 @@
             next_start: Mutex::new(Instant::now()),
             running: AtomicU32::new(0),
             started: AtomicU64::new(0),
-            failing: AtomicU32::new(0),
+            loads_to_fail: AtomicU32::new(0),
         }
     }
     /// make the next loads fail
     pub fn fail_next(&self, count: u32) {
-        self.failing.store(count, Ordering::Relaxed);
+        self.loads_to_fail.store(count, Ordering::Relaxed);
     }
     pub fn started(&self) -> u64 {
         self.started.load(Ordering::Relaxed)
@@ -66,25 +66,25 @@
 
     /// fetch one adapter's weights; false if the load failed
     pub async fn load(&self) -> bool {
-        sleep_until(self.take_start().into()).await;
+        sleep_until(self.reserve_start_time().into()).await;
         self.started.fetch_add(1, Ordering::Relaxed);
         self.running.fetch_add(1, Ordering::Relaxed);
-        let guard = Running(&self.running);
+        let guard = RunningLoad(&self.running);
         let mut left = self.settings.load_time.as_secs_f64();
         while left > 0.0 {
-            sleep(STEP).await;
+            sleep(PROGRESS_INTERVAL).await;
             let running = self.running.load(Ordering::Relaxed).max(1);
             let speed = f64::from(self.settings.at_once) / f64::from(running);
-            left -= STEP.as_secs_f64() * speed.min(1.0);
+            left -= PROGRESS_INTERVAL.as_secs_f64() * speed.min(1.0);
         }
         drop(guard);
         let failed = self
-            .failing
+            .loads_to_fail
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1));
         failed.is_err()
     }
 
-    fn take_start(&self) -> Instant {
+    fn reserve_start_time(&self) -> Instant {
         let mut next = lock(&self.next_start);
         let start = (*next).max(Instant::now());
         *next = start + Duration::from_secs_f64(1.0 / self.settings.loads_per_second);
@@ -93,9 +93,9 @@
 }
 
 /// counts a running load until it is dropped
-struct Running<'a>(&'a AtomicU32);
+struct RunningLoad<'a>(&'a AtomicU32);
 
-impl Drop for Running<'_> {
+impl Drop for RunningLoad<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -186,9 +186,9 @@
         }
         let index = usize::from(detail) % self.stragglers.len();
         let late = self.stragglers.remove(index);
-        let refused = self.engine.refused_orders;
+        let refused = self.engine.rejected_orders;
         self.obey(&late, false);
-        let was_refused = self.engine.refused_orders > refused;
+        let was_refused = self.engine.rejected_orders > refused;
         LATE_REFUSED.fetch_add(u64::from(was_refused), Ordering::Relaxed);
     }
 
@@ -198,7 +198,7 @@
             SidecarAction::ReadEngine => Some(read(&self.engine)),
             SidecarAction::TakeFence(order) => {
                 let body = FenceBody::from(*order);
-                let result = match self.engine.take_fence(body) {
+                let result = match self.engine.accept_fence(body) {
                     Ok(()) => OrderResult::Done,
                     Err(_) => OrderResult::Fenced,
                 };
--- a/testkit/tests/at_most_once.rs
+++ b/testkit/tests/at_most_once.rs
@@ -13,8 +13,8 @@
     },
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
-        forwarder::Cut,
-        ledger::{OnceLedger, Violation},
+        forwarder::LinkFault,
+        ledger::{AtMostOnceLedger, Violation},
         load::{call_once, generate, reserve_for_adapter, reserve_for_service, Failure},
         waiting::{until, until_async},
     },
@@ -74,15 +74,15 @@
     let cluster = Cluster::start(one_service()).await?;
     let (mut first, second) = (cluster.client(0).await?, cluster.client(1).await?);
     let service = &cluster.services[0].service;
-    service.set_held(true);
+    service.set_paused(true);
     let id = reserve(&mut first).await?;
     let one = spawn_call(first, &id, LONG);
-    service.wait_total(1).await;
+    service.wait_for_runs(1).await;
     let other = spawn_call(second, &id, LONG);
     // the copy is at the sidecar when a third one's cancel was answered
     let mut third = cluster.client(1).await?;
     assert_eq!(cancel_unstarted(&mut third).await?, OutcomeCode::NotRun);
-    service.set_held(false);
+    service.set_paused(false);
     assert_eq!(one.await?.expect("answered"), BODY);
     assert_eq!(other.await?.expect("answered"), BODY);
     assert_eq!(service.runs(BODY), 1);
@@ -100,14 +100,14 @@
     let mut cluster = Cluster::start(one_service()).await?;
     let mut first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
-    cluster.services[0].service.set_held(true);
+    cluster.services[0].service.set_paused(true);
     let id = reserve(&mut first).await?;
     let lost = spawn_call(first, &id, LONG);
-    cluster.services[0].service.wait_total(1).await;
+    cluster.services[0].service.wait_for_runs(1).await;
     cluster.entries[0].process.kill()?;
     let failure = lost.await?.expect_err("the entry is gone");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
-    cluster.services[0].service.set_held(false);
+    cluster.services[0].service.set_paused(false);
     let answer = call_once(&mut second, SERVICE, BODY, &id, LONG).await;
     assert_eq!(answer.expect("answered"), BODY);
     assert_eq!(cluster.services[0].service.runs(BODY), 1);
@@ -144,16 +144,16 @@
 async fn a_killed_and_restarted_sidecar_refuses_its_earlier_ids() -> Result<()> {
     let mut cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
-    cluster.services[0].service.set_held(true);
+    cluster.services[0].service.set_paused(true);
     let id = reserve(&mut client).await?;
     let lost = spawn_call(client.clone(), &id, LONG);
-    cluster.services[0].service.wait_total(1).await;
+    cluster.services[0].service.wait_for_runs(1).await;
     cluster.services[0].sidecar.process.kill()?;
     let failure = lost.await?.expect_err("the sidecar is gone");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     cluster.services[0].sidecar.respawn()?;
     cluster.services[0].sidecar.wait_ready().await?;
-    cluster.services[0].service.set_held(false);
+    cluster.services[0].service.set_paused(false);
     let failure = call_once(&mut client, SERVICE, BODY, &id, LONG).await;
     assert_eq!(failure.expect_err("refused").reason, "EARLIER_INCARNATION");
     assert_eq!(cluster.services[0].service.runs(BODY), 1);
@@ -162,7 +162,11 @@
 
 #[tokio::test]
 async fn a_cut_that_swallows_the_answer_is_healed_by_a_copy() -> Result<()> {
-    for cut in [Cut::AnswersLost, Cut::Silent, Cut::Closed] {
+    for cut in [
+        LinkFault::ResponsesLost,
+        LinkFault::Blackhole,
+        LinkFault::Closed,
+    ] {
         let settings = ClusterSettings {
             forward_targets: true,
             ..one_service()
@@ -171,15 +175,15 @@
         let mut client = cluster.client(0).await?;
         let node = &cluster.services[0];
         let forwarder = node.sidecar.forwarder.as_ref().expect("a forwarder");
-        node.service.set_held(true);
+        node.service.set_paused(true);
         let id = reserve(&mut client).await?;
         let lost = spawn_call(client.clone(), &id, SHORT);
-        node.service.wait_total(1).await;
-        forwarder.set(cut);
-        node.service.set_held(false);
+        node.service.wait_for_runs(1).await;
+        forwarder.set_fault(cut);
+        node.service.set_paused(false);
         let failure = lost.await?.expect_err("cut off");
         assert_eq!(failure.outcome, Outcome::MayHaveRun, "{cut:?}");
-        forwarder.set(Cut::None);
+        forwarder.set_fault(LinkFault::None);
         let mut other = cluster.client(1).await?;
         let answer = call_once(&mut other, SERVICE, BODY, &id, LONG).await;
         assert_eq!(answer.expect("answered"), BODY, "{cut:?}");
@@ -206,10 +210,10 @@
     let cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
     let service = &cluster.services[0].service;
-    service.set_held(true);
+    service.set_paused(true);
     let id = reserve(&mut client).await?;
     let running = spawn_call(client.clone(), &id, LONG);
-    service.wait_total(1).await;
+    service.wait_for_runs(1).await;
     assert_eq!(cancel(&mut client, &id).await?, OutcomeCode::MayHaveRun);
     let failure = running.await?.expect_err("stopped");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
@@ -241,7 +245,7 @@
     let cluster = Cluster::start(one_service()).await?;
     let mut first = cluster.client(0).await?;
     let ids = reserve_for_service(&mut first, SERVICE, RACES).await?;
-    let mut ledger = OnceLedger::default();
+    let mut ledger = AtMostOnceLedger::default();
     let mut races = Vec::new();
     for (number, id) in ids.into_iter().enumerate() {
         let body = format!("race {number}");
@@ -259,7 +263,7 @@
             ledger.on_outcome(&body, Outcome::NotRun);
         }
         match called {
-            Ok(answer) => ledger.on_answer(&body, &answer),
+            Ok(answer) => ledger.on_response(&body, &answer),
             Err(failure) => ledger.on_outcome(&body, failure.outcome),
         }
     }
@@ -316,7 +320,7 @@
     assert_eq!(failure.outcome, Outcome::NotRun);
     assert_eq!(failure.status.code(), Code::InvalidArgument);
     assert!(failure.status.message().contains("not_repeatable"));
-    assert_eq!(cluster.services[0].service.total(), 0);
+    assert_eq!(cluster.services[0].service.total_runs(), 0);
     Ok(())
 }
 
@@ -400,38 +404,38 @@
         }));
     }
     let service = &cluster.services[0];
-    service.service.wait_total(20).await;
+    service.service.wait_for_runs(20).await;
     service.sidecar.process.pause()?;
     cluster.entries[0].process.kill()?;
     sleep(Duration::from_millis(1_800)).await;
     cluster.services[0].sidecar.process.resume()?;
     cluster.entries[0].respawn()?;
-    cluster.services[0].service.wait_total(60).await;
+    cluster.services[0].service.wait_for_runs(60).await;
     cluster.entries[1].process.kill()?;
-    let mut ledger = OnceLedger::default();
+    let mut ledger = AtMostOnceLedger::default();
     for caller in callers {
         let (body, words) = caller.await?;
         for word in words {
             match word {
-                Ok(answer) => ledger.on_answer(&body, &answer),
+                Ok(answer) => ledger.on_response(&body, &answer),
                 Err(failure) => ledger.on_outcome(&body, failure.outcome),
             }
         }
     }
     let service = &cluster.services[0].service;
     assert_eq!(ledger.violations(|body| service.runs(body.as_bytes())), []);
-    assert!(ledger.answered() > 0);
+    assert!(ledger.response_count() > 0);
     Ok(())
 }
 
 #[test]
 fn the_ledger_catches_one_planted_fault_of_each_kind() {
-    let mut ledger = OnceLedger::default();
-    ledger.on_answer("doubled", b"doubled");
+    let mut ledger = AtMostOnceLedger::default();
+    ledger.on_response("doubled", b"doubled");
     ledger.on_outcome("said not run", Outcome::NotRun);
-    ledger.on_answer("never ran", b"never ran");
-    ledger.on_answer("mixed up", b"another");
-    ledger.on_answer("good", b"good");
+    ledger.on_response("never ran", b"never ran");
+    ledger.on_response("mixed up", b"another");
+    ledger.on_response("good", b"good");
     let runs = HashMap::from([
         ("doubled", 2),
         ("said not run", 1),
@@ -441,17 +445,17 @@
     let found = ledger.violations(|body| runs.get(body).copied().unwrap_or(0));
     let text = |body: &str| body.to_string();
     let expected = [
-        Violation::Doubled {
+        Violation::RanTwice {
             body: text("doubled"),
             runs: 2,
         },
-        Violation::Wrong {
+        Violation::WrongResponse {
             body: text("mixed up"),
         },
-        Violation::AnsweredWithoutRun {
+        Violation::ResponseWithoutRun {
             body: text("never ran"),
         },
-        Violation::FalseNotRun {
+        Violation::RanDespiteNotRun {
             body: text("said not run"),
         },
     ];
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -14,8 +14,8 @@
     },
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
-        forwarder::Cut,
-        load::{check_answer, generate, Verdict},
+        forwarder::LinkFault,
+        load::{check_completion, generate, CompletionCheck},
         waiting::{until, until_async},
     },
     tonic::Code,
@@ -87,7 +87,10 @@
         let mut client = cluster.client(entry).await?;
         let req = prompt_on_new_version(format!("the new version by {entry}"));
         let answer = generate(&mut client, req.clone()).await;
-        assert_eq!(check_answer(&req, &answer.expect("served")), Verdict::Good);
+        assert_eq!(
+            check_completion(&req, &answer.expect("served")),
+            CompletionCheck::Correct
+        );
     }
     Ok(())
 }
@@ -233,10 +236,14 @@
     let cluster = Cluster::start(settings).await?;
     let set = |cut| {
         for entry in &cluster.entries {
-            entry.forwarder.as_ref().expect("a forwarder").set(cut);
+            entry
+                .forwarder
+                .as_ref()
+                .expect("a forwarder")
+                .set_fault(cut);
         }
     };
-    set(Cut::Closed);
+    set(LinkFault::Closed);
     let next = cluster.platform.documents().changed(&new_version())?;
     cluster.platform.publish(next);
     for entry in 0..5 {
@@ -244,8 +251,11 @@
         let mut client = cluster.client(entry).await?;
         let req = prompt_on_new_version(format!("cut off {entry}"));
         let answer = generate(&mut client, req.clone()).await;
-        assert_eq!(check_answer(&req, &answer.expect("served")), Verdict::Good);
+        assert_eq!(
+            check_completion(&req, &answer.expect("served")),
+            CompletionCheck::Correct
+        );
     }
-    set(Cut::None);
+    set(LinkFault::None);
     cluster.wait_in_force(0, 2).await
 }
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -265,7 +265,7 @@
     let mut fleet = start_with(settings, accounts()).await?;
     for round in 0..2 {
         let forwarder = fleet.store_forwarder.as_ref().expect("a forwarder");
-        forwarder.silence_open();
+        forwarder.blackhole_open_connections();
         let key = format!("key-of-round-{round}");
         configure(&mut fleet, json!([{"Name": "acme", "ApiKeys": [KEY, key]}]));
         until_async("the new key is known", || async {
--- a/testkit/tests/interface_contracts.rs
+++ b/testkit/tests/interface_contracts.rs
@@ -206,7 +206,7 @@
         .call(&"one".to_string(), body.clone(), LIMIT)
         .await?;
     assert_eq!((answer, stand_in.runs(&body)), (body.clone(), 1));
-    stand_in.set_held(true);
+    stand_in.set_paused(true);
     let short = Duration::from_millis(50);
     let late = service.call(&"two".to_string(), body.clone(), short).await;
     assert!(matches!(late, Err(ServiceError::Client(e)) if !e.proves_not_sent()));
--- a/testkit/tests/operator_commands.rs
+++ b/testkit/tests/operator_commands.rs
@@ -4,12 +4,12 @@
     anyhow::Result,
     chalkcart_testkit::{
         cluster::{Binaries, Cluster, ClusterSettings},
-        commands::{run_program, Ran},
+        commands::{run_program, ProgramOutput},
         engine::expected_token,
     },
 };
 
-fn command(cluster: &Cluster, word: &str, rest: &[&str]) -> Result<Ran> {
+fn command(cluster: &Cluster, word: &str, rest: &[&str]) -> Result<ProgramOutput> {
     let addr = cluster.entries[0].listen.to_string();
     let mut args = vec![word];
     let options = rest.iter().take_while(|arg| arg.starts_with("--"));
--- a/testkit/tests/planned_stops.rs
+++ b/testkit/tests/planned_stops.rs
@@ -7,7 +7,10 @@
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
         engine::EngineSettings,
-        load::{call_once, check_answer, generate, reserve_for_service, Answer, Failure, Verdict},
+        load::{
+            call_once, check_completion, generate, reserve_for_service, Completion,
+            CompletionCheck, Failure,
+        },
         waiting::{until, until_async},
     },
     std::time::Duration,
@@ -19,7 +22,7 @@
 /// longer than any test
 const LONG_LAG: Duration = Duration::from_secs(600);
 
-type Generated = Result<Answer, Box<Failure>>;
+type Generated = Result<Completion, Box<Failure>>;
 
 fn slow_engines() -> ClusterSettings {
     let engine = EngineSettings {
@@ -68,8 +71,8 @@
             .await?
             .unwrap_or_else(|e| panic!("{number}: {}", e.status));
         assert_eq!(
-            check_answer(&prompt(number), &answer),
-            Verdict::Good,
+            check_completion(&prompt(number), &answer),
+            CompletionCheck::Correct,
             "{number}"
         );
         let text = prompt(number).prompt;
@@ -122,7 +125,7 @@
     let mut cluster = Cluster::start(slow_engines()).await?;
     let mut client = cluster.client(0).await?;
     let ids = reserve_for_service(&mut client, "fee-table", 4).await?;
-    cluster.services[0].service.set_held(true);
+    cluster.services[0].service.set_paused(true);
     let mut running = Vec::new();
     for (number, id) in ids.iter().take(3).cloned().enumerate() {
         let mut client = client.clone();
@@ -131,19 +134,19 @@
             call_once(&mut client, "fee-table", body.as_bytes(), &id, 0).await
         }));
     }
-    cluster.services[0].service.wait_total(3).await;
+    cluster.services[0].service.wait_for_runs(3).await;
     cluster.services[0].sidecar.process.terminate()?;
     let sidecar = &cluster.services[0].sidecar;
     until_async("it leaves", || async { !sidecar.is_ready().await }).await;
     let late = call_once(&mut client, "fee-table", b"late", &ids[3], 0).await;
     assert_eq!(late.expect_err("leaving").reason, "LEAVING");
-    cluster.services[0].service.set_held(false);
+    cluster.services[0].service.set_paused(false);
     for call in running {
         assert!(call.await?.is_ok());
     }
     let status = cluster.services[0].sidecar.process.wait(EXIT_LIMIT).await?;
     assert!(status.success(), "{status}");
-    assert_eq!(cluster.services[0].service.total(), 3);
+    assert_eq!(cluster.services[0].service.total_runs(), 3);
     Ok(())
 }
 
--- a/testkit/tests/rpc_contract.rs
+++ b/testkit/tests/rpc_contract.rs
@@ -16,7 +16,7 @@
     chalkcart_state::ids::WeightsDigest,
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
-        load::{check_answer, generate, Verdict},
+        load::{check_completion, generate, CompletionCheck},
     },
     http::StatusCode,
     tonic::{transport::Channel, Code, Status},
@@ -143,7 +143,7 @@
     // a guessed id of the right target
     let guessed = client.call(good_call()).await.expect_err("guessed");
     assert_eq!(outcome_of(&guessed), Outcome::MayHaveRun);
-    assert_eq!(cluster.services[0].service.total(), 0);
+    assert_eq!(cluster.services[0].service.total_runs(), 0);
     Ok(())
 }
 
@@ -210,7 +210,10 @@
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let mut client = cluster.client(0).await?;
     let answer = generate(&mut client, good_prompt()).await.expect("served");
-    assert_eq!(check_answer(&good_prompt(), &answer), Verdict::Good);
+    assert_eq!(
+        check_completion(&good_prompt(), &answer),
+        CompletionCheck::Correct
+    );
     let mut admin: Admin = AdminClient::new(cluster.channel(0).await?);
     let plan = PlanRequest {
         adapter: "loan-1".to_string(),
--- a/testkit/tests/whole_answers.rs
+++ b/testkit/tests/whole_answers.rs
@@ -10,8 +10,8 @@
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
         engine::{EngineFaults, EngineSettings},
-        forwarder::Cut,
-        load::{check_answer, generate, Answer, Failure, Verdict},
+        forwarder::LinkFault,
+        load::{check_completion, generate, Completion, CompletionCheck, Failure},
         waiting::until,
     },
     std::time::Duration,
@@ -50,7 +50,7 @@
     }
 }
 
-type Generated = Result<Answer, Box<Failure>>;
+type Generated = Result<Completion, Box<Failure>>;
 
 async fn spawn_all(cluster: &Cluster, count: usize) -> Result<Vec<JoinHandle<Generated>>> {
     let mut running = Vec::new();
@@ -69,8 +69,8 @@
         let answer = answer.await?;
         let answer = answer.unwrap_or_else(|e| panic!("{case}: {number}: {}", e.status));
         assert_eq!(
-            check_answer(&prompt(number), &answer),
-            Verdict::Good,
+            check_completion(&prompt(number), &answer),
+            CompletionCheck::Correct,
             "{case}: {number}"
         );
     }
@@ -90,7 +90,7 @@
         (
             "repeated",
             EngineFaults {
-                repeat_events: true,
+                duplicate_events: true,
                 ..EngineFaults::default()
             },
         ),
@@ -111,7 +111,7 @@
         (
             "all at once",
             EngineFaults {
-                repeat_events: true,
+                duplicate_events: true,
                 swap_events: true,
                 cut_after: Some(9),
                 wrong_version: false,
@@ -152,7 +152,11 @@
 
 #[tokio::test]
 async fn a_stream_cut_between_entry_and_sidecar_is_resumed() -> Result<()> {
-    for cut in [Cut::Closed, Cut::AnswersLost, Cut::Silent] {
+    for cut in [
+        LinkFault::Closed,
+        LinkFault::ResponsesLost,
+        LinkFault::Blackhole,
+    ] {
         let settings = ClusterSettings {
             forward_targets: true,
             ..engines_only()
@@ -166,12 +170,12 @@
                     .forwarder
                     .as_ref()
                     .expect("a forwarder")
-                    .set(cut);
+                    .set_fault(cut);
             }
         };
         set(cut);
         sleep(Duration::from_millis(150)).await;
-        set(Cut::None);
+        set(LinkFault::None);
         expect_all_whole(running, &format!("{cut:?}")).await?;
         for number in 0..6 {
             let text = prompt(number).prompt;
@@ -259,7 +263,7 @@
     let mut events = slow.generate(req.clone()).await?.into_inner();
     let running = spawn_all(&cluster, 6).await?;
     expect_all_whole(running, "beside a slow caller").await?;
-    let mut answer = Answer::default();
+    let mut answer = Completion::default();
     while let Some(event) = events.message().await? {
         match event.event {
             Some(Event::Token(token)) => answer.tokens.push(token.text),
@@ -267,7 +271,7 @@
             None => {}
         }
     }
-    assert_eq!(check_answer(&req, &answer), Verdict::Good);
+    assert_eq!(check_completion(&req, &answer), CompletionCheck::Correct);
     Ok(())
 }
 
@@ -317,25 +321,34 @@
         ..prompt(2)
     };
     let token = |version, index| expected_token(&req.adapter, version, &req.prompt, index);
-    let whole = |version: u32| Answer {
+    let whole = |version: u32| Completion {
         tokens: (0..3).map(|i| token(version, i)).collect(),
         finished: Some(Finished {
             token_count: 3,
             adapter: req.adapter.clone(),
             version: req.version,
         }),
-        ..Answer::default()
+        ..Completion::default()
     };
     let good = whole(req.version);
-    assert_eq!(check_answer(&req, &good), Verdict::Good);
-    assert_eq!(check_answer(&req, &whole(9)), Verdict::Wrong);
+    assert_eq!(check_completion(&req, &good), CompletionCheck::Correct);
+    assert_eq!(
+        check_completion(&req, &whole(9)),
+        CompletionCheck::Mismatched
+    );
     let mut cut = good.clone();
     cut.tokens.pop();
-    assert_eq!(check_answer(&req, &cut), Verdict::CutOff);
+    assert_eq!(check_completion(&req, &cut), CompletionCheck::Incomplete);
     let mut doubled = good.clone();
     doubled.tokens.insert(1, token(req.version, 0));
-    assert_eq!(check_answer(&req, &doubled), Verdict::CutOff);
+    assert_eq!(
+        check_completion(&req, &doubled),
+        CompletionCheck::Incomplete
+    );
     let mut unfinished = good;
     unfinished.finished = None;
-    assert_eq!(check_answer(&req, &unfinished), Verdict::CutOff);
+    assert_eq!(
+        check_completion(&req, &unfinished),
+        CompletionCheck::Incomplete
+    );
 }
