--- a/testkit/src/cluster/addresses.rs
+++ b/testkit/src/cluster/addresses.rs
@@ -7,14 +7,14 @@
     },
 };
 
-/// below the range from which the system takes ports for connections
+/// Below the ephemeral port range, so that outgoing connections don't take these ports.
 const FIRST_PORT: u16 = 7_000;
 const PORT_COUNT: u32 = 2_000;
 
 static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
-/// an address of loopback that nobody listens on; the host part differs
-/// between test processes, so that they don't meet
+/// Returns a loopback address on which nobody listens. The host part differs between test
+/// processes, so that their addresses don't collide.
 pub fn next_addr() -> SocketAddr {
     let pid = std::process::id();
     let host = [127, 1 + (pid >> 8) as u8 % 250, pid as u8, 1];
@@ -27,8 +27,8 @@
     }
 }
 
-/// bind without listening: a copy of this socket, which a process that is being
-/// started holds for a moment, keeps nobody from the address
+/// Binds without listening: a child process that inherits this socket until it calls `exec`
+/// must not keep others from listening on the address.
 fn try_bind(addr: SocketAddr) -> io::Result<()> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/testkit/src/cluster/binaries.rs
+++ b/testkit/src/cluster/binaries.rs
@@ -11,18 +11,18 @@
 static BUILT: OnceLock<Binaries> = OnceLock::new();
 static BUILDING: Mutex<()> = Mutex::new(());
 
-/// the two programs, built like the running test or example
+/// Paths of the two programs, built with the profile of the running test or example.
 #[derive(Debug, Clone)]
 pub struct Binaries {
     pub entry: PathBuf,
     pub sidecar: PathBuf,
 }
 
-/// the folder with the programs of an older build, for tests of two builds side by side
+/// Variable with the folder of an older build's programs, for tests of mixed versions.
 pub const OTHER_BUILD: &str = "CHALKCART_OTHER_BUILD";
 
 impl Binaries {
-    /// those of the older build that the environment names, if it does
+    /// Returns the programs of the older build that the environment names, if any.
     pub fn from_other_build() -> Option<Self> {
         let folder = PathBuf::from(env::var_os(OTHER_BUILD)?);
         Some(Self {
@@ -30,7 +30,7 @@
             sidecar: folder.join("chalkcart-sidecar"),
         })
     }
-    /// build the programs once, and say where they are
+    /// Builds the programs once and returns their paths.
     pub fn get() -> Result<Self> {
         let _one_at_a_time = BUILDING.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(built) = BUILT.get() {
--- a/testkit/src/cluster/fleet.rs
+++ b/testkit/src/cluster/fleet.rs
@@ -38,14 +38,14 @@
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// an engine and the sidecar in its slot
+/// Engine and the sidecar in its slot.
 #[derive(Debug)]
 pub struct EngineNode {
     pub engine: EngineStandIn,
     pub sidecar: Node,
 }
 
-/// a plain service and the sidecar in its slot
+/// Plain service and the sidecar in its slot.
 #[derive(Debug)]
 pub struct ServiceNode {
     pub service: ServiceStandIn,
@@ -53,7 +53,7 @@
     pub settings: ServiceSettings,
 }
 
-/// entries and sidecars as separate processes, the rest as stand-ins
+/// Entries and sidecars as separate processes, with stand-ins for the rest.
 #[derive(Debug)]
 pub struct Cluster {
     pub platform: PlatformStandIn,
@@ -66,7 +66,7 @@
 }
 
 impl Cluster {
-    /// start everything and wait until it is ready
+    /// Starts all processes and waits until they are ready.
     pub async fn start(settings: ClusterSettings) -> Result<Self> {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder = env::temp_dir().join(format!("chalkcart-{}-{number}", process::id()));
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// wait until an entry knows as many targets as the platform lists
+    /// Waits until an entry knows as many targets as the platform lists.
     pub async fn wait_for_targets(&self, entry: usize) -> Result<()> {
         let listed = self.platform.list().targets().count();
         let mut admin = AdminClient::new(self.channel(entry).await?);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// wait until every box has a generation in force
+    /// Waits until a generation is in force on every box.
     pub async fn wait_in_force(&self, entry: usize, generation: Generation) -> Result<()> {
         let mut admin = AdminClient::new(self.channel(entry).await?);
         let req = WaitInForceRequest {
@@ -139,14 +139,14 @@
         Ok(())
     }
 
-    /// all processes
+    /// Iterates over all processes.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         let engines = self.engines.iter().map(|e| &e.sidecar);
         let services = self.services.iter().map(|s| &s.sidecar);
         self.entries.iter().chain(engines).chain(services)
     }
 
-    /// start one more entry; give its index
+    /// Starts another entry and returns its index.
     pub async fn add_entry(&mut self) -> Result<usize> {
         let index = self.entries.len();
         let name = format!("entry-{index}");
@@ -175,7 +175,7 @@
         Ok(index)
     }
 
-    /// start one more engine with its sidecar
+    /// Starts another engine with its sidecar and returns its index.
     pub async fn add_engine(&mut self, settings: EngineSettings) -> Result<usize> {
         let index = self.engines.len();
         let name = format!("engine-{index}");
@@ -189,7 +189,7 @@
         Ok(index)
     }
 
-    /// start one more service with its sidecar
+    /// Starts another service with its sidecar and returns its index.
     pub async fn add_service(&mut self, settings: ServiceSettings) -> Result<usize> {
         let index = self.services.len();
         let name = format!("service-{index}");
@@ -207,8 +207,8 @@
         Ok(index)
     }
 
-    /// put a new process into an engine's slot, at a new address, and give
-    /// the old one, which may still live
+    /// Starts a new sidecar process in an engine's slot, at a new address, and returns the
+    /// previous one, which may still run.
     pub async fn replace_engine_sidecar(&mut self, index: usize) -> Result<Node> {
         let name = self.engines[index].sidecar.name.clone();
         let role = self.engines[index].sidecar.role.clone();
@@ -218,7 +218,7 @@
         Ok(std::mem::replace(&mut self.engines[index].sidecar, sidecar))
     }
 
-    /// the same for a service's slot
+    /// Starts a new sidecar process in a service's slot and returns the previous one.
     pub async fn replace_service_sidecar(&mut self, index: usize) -> Result<Node> {
         let node = &self.services[index];
         let name = node.sidecar.name.clone();
@@ -231,7 +231,7 @@
         ))
     }
 
-    /// a caller's connection to an entry
+    /// Returns a client connected to an entry.
     pub async fn client(&self, entry: usize) -> Result<InferenceClient<Channel>> {
         let channel = self.channel(entry).await?;
         Ok(InferenceClient::new(channel))
--- a/testkit/src/cluster/mod.rs
+++ b/testkit/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! a fleet of real processes on loopback, with stand-ins around it
+//! A fleet of real processes on loopback, with stand-ins for what surrounds it.
 
 mod addresses;
 mod binaries;
--- a/testkit/src/cluster/node.rs
+++ b/testkit/src/cluster/node.rs
@@ -19,15 +19,15 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const HTTP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// one box of the fleet with its process
+/// Box of the fleet with its process.
 #[derive(Debug)]
 pub struct Node {
     pub name: String,
     pub zone: String,
     pub role: Role,
-    /// where the process listens
+    /// Address on which the process listens.
     pub listen: SocketAddr,
-    /// where the platform's list says that it listens
+    /// Address in the platform's list: the forwarder's if there is one.
     pub listed_addr: SocketAddr,
     pub forwarder: Option<TcpForwarder>,
     pub process: Process,
@@ -36,14 +36,14 @@
     log_file: PathBuf,
 }
 
-/// what a node is started with
+/// Options for starting a node.
 #[derive(Debug)]
 pub struct NodeOptions<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     pub role: Role,
     pub listen: SocketAddr,
-    /// set if others reach it through a forwarder
+    /// Forwarder through which other processes reach the node, if any.
     pub forwarder: Option<TcpForwarder>,
     pub settings: Map<String, Value>,
     pub folder: &'a Path,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// its row of the platform's list
+    /// Returns the node's entry in the platform's list.
     pub fn list_entry(&self) -> FleetBox {
         FleetBox {
             name: self.name.clone(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// start the process again, with the same settings
+    /// Starts the process again with the same settings.
     pub fn respawn(&mut self) -> Result<()> {
         self.process = spawn(
             &self.program,
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// wait until `/readyz` says so
+    /// Waits until `/readyz` responds with 200.
     pub async fn wait_ready(&self) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
@@ -122,7 +122,7 @@
         status == StatusCode::OK
     }
 
-    /// get a page of the process
+    /// Requests a page from the process.
     pub async fn get(&self, path: &str) -> Result<(StatusCode, String)> {
         let (status, body) = HttpClient::new()
             .exchange(
@@ -137,7 +137,7 @@
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// whether a line of the log says this, written as `part: message`
+    /// Returns whether a log line contains a text, matched against `part: message`.
     pub fn has_logged(&self, text: &str) -> bool {
         let log = self.log();
         let mut lines = log
--- a/testkit/src/cluster/process.rs
+++ b/testkit/src/cluster/process.rs
@@ -15,18 +15,18 @@
 };
 
 const STOP_POLL_INTERVAL: Duration = Duration::from_micros(200);
-/// of the system's masks of signals
+/// Bit of SIGHUP in the signal masks of `/proc/PID/status`.
 const SIGHUP_BIT: u64 = 1 << (Signal::SIGHUP as u64 - 1);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// a process of the system under test; it is killed when this is dropped
+/// Process of the system under test; it is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// start a program; its log is added to a file
+    /// Starts a program and appends its output to a log file.
     pub fn spawn(program: &Path, args: &[&str], log: &Path) -> Result<Self> {
         let log: File = OpenOptions::new().create(true).append(true).open(log)?;
         let child = Command::new(program)
@@ -41,14 +41,14 @@
     pub fn id(&self) -> u32 {
         self.child.id()
     }
-    /// SIGKILL
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill().context("kill")?;
         self.child.wait().context("wait after a kill")?;
         Ok(())
     }
-    /// SIGSTOP, and wait until no thread runs any more: the signal returns up to
-    /// 23 ms earlier on a busy machine
+    /// Sends SIGSTOP and waits until all threads are stopped, which may be some time after the
+    /// system call returns.
     pub fn pause(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)?;
         while !self.is_stopped()? {
@@ -56,12 +56,12 @@
         }
         Ok(())
     }
-    /// whether each thread is stopped
+    /// Returns whether all threads are stopped.
     pub fn is_stopped(&self) -> Result<bool> {
         let tasks = fs::read_dir(format!("/proc/{}/task", self.id())).context("list threads")?;
         for task in tasks {
             let path = task.context("list threads")?.path().join("stat");
-            // a thread may have ended meanwhile
+            // the thread may have ended since the folder was read
             let Ok(stat) = fs::read_to_string(path) else {
                 continue;
             };
@@ -72,16 +72,16 @@
         }
         Ok(true)
     }
-    /// SIGCONT
+    /// Sends SIGCONT.
     pub fn resume(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
-    /// SIGTERM: a planned stop
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::SIGTERM)
     }
-    /// Whether SIGHUP does not end it: it is held back or followed, by the system's own
-    /// word. Before its program begins nothing can do that.
+    /// Returns whether the process blocks or handles SIGHUP, by its signal masks. Before the
+    /// program runs, SIGHUP would end it.
     pub fn survives_sighup(&self) -> bool {
         let status = fs::read_to_string(format!("/proc/{}/status", self.id()));
         let status = status.unwrap_or_default();
@@ -92,11 +92,11 @@
         let masks = ["SigBlk:", "SigCgt:"].map(|name| mask(name).unwrap_or(0));
         masks.iter().any(|mask| mask & SIGHUP_BIT != 0)
     }
-    /// whether it has ended
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
-    /// wait for the end, up to a limit
+    /// Waits for the exit, up to a time limit.
     pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
@@ -114,7 +114,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // it may have ended
+        // the process may have exited already
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/testkit/src/cluster/settings.rs
+++ b/testkit/src/cluster/settings.rs
@@ -4,32 +4,30 @@
     std::time::Duration,
 };
 
-/// one plain service of a fleet
 #[derive(Debug, Clone)]
 pub struct ServiceSettings {
     pub name: String,
-    /// time of one call
+    /// Time that one call takes.
     pub delay: Duration,
     pub max_running: u32,
 }
 
-/// a fleet to start
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
     pub documents: Documents,
-    /// boxes are spread over them in turn
+    /// Zones over which boxes are distributed round-robin.
     pub zones: Vec<String>,
     pub entries: usize,
     pub engines: Vec<EngineSettings>,
     pub services: Vec<ServiceSettings>,
     pub store: StoreSettings,
-    /// reach sidecars through forwarders, so that tests can cut them off
+    /// Whether sidecars are reached through forwarders that can inject faults.
     pub forward_targets: bool,
-    /// the same for what peers ask of entries; callers reach them directly
+    /// Whether peers reach entries through forwarders; clients connect directly.
     pub forward_entries: bool,
-    /// keys added to the entries' settings
+    /// Keys added to the entries' settings.
     pub entry_settings: Map<String, Value>,
-    /// keys added to the sidecars' settings
+    /// Keys added to the sidecars' settings.
     pub sidecar_settings: Map<String, Value>,
 }
 
--- a/testkit/src/commands.rs
+++ b/testkit/src/commands.rs
@@ -1,4 +1,4 @@
-//! running a program for its output, for tests of the command line
+//! Runs programs and captures their output, for tests of the command line.
 
 use std::{
     env, fs,
@@ -9,7 +9,7 @@
 
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// how a program ended and what it printed
+/// Exit code and output of a program.
 #[derive(Debug)]
 pub struct ProgramOutput {
     pub code: Option<i32>,
@@ -17,7 +17,7 @@
     pub stderr: String,
 }
 
-/// run a program to its end
+/// Runs a program until it exits.
 pub fn run_program(program: &Path, args: &[&str]) -> anyhow::Result<ProgramOutput> {
     let Output {
         status,
@@ -31,7 +31,7 @@
     })
 }
 
-/// write a settings file for a program
+/// Writes a settings file for a program.
 pub fn settings_file(text: &str) -> anyhow::Result<PathBuf> {
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let name = format!("chalkcart-settings-{}-{number}.json", process::id());
--- a/testkit/src/configs/documents.rs
+++ b/testkit/src/configs/documents.rs
@@ -9,7 +9,7 @@
     std::sync::Arc,
 };
 
-/// the published documents of one generation
+/// Published documents of one generation.
 #[derive(Debug, Clone)]
 pub struct Documents {
     pub root: Root,
@@ -17,7 +17,7 @@
 }
 
 impl Documents {
-    /// generation 1, without adapters
+    /// Returns generation 1 without adapters.
     pub fn new(shard_count: usize) -> Self {
         let empty = Shard::default();
         Self {
@@ -61,7 +61,7 @@
         self.root.policy = policy;
         self
     }
-    /// adapters `PREFIX-0` and so on, each with versions 1 and 2
+    /// Adds adapters named `PREFIX-0`, `PREFIX-1` and so on, each with versions 1 and 2.
     pub fn with_adapters(
         mut self,
         prefix: &str,
@@ -87,12 +87,12 @@
         self
     }
 
-    /// the shards as a process reads them
+    /// Returns copies of the shards without reference counting.
     pub fn plain_shards(&self) -> Vec<Shard> {
         self.shards.iter().map(|s| s.as_ref().clone()).collect()
     }
 
-    /// the documents after a change, as an operator would publish them
+    /// Applies a change as an operator would, and returns the documents to publish.
     pub fn changed(&self, change: &Change) -> anyhow::Result<Self> {
         let root = Arc::new(self.root.clone());
         let configuration = Configuration::new(root, self.plain_shards())?;
@@ -115,7 +115,7 @@
         name: name.to_string(),
         priority,
         timeout_ms,
-        // patient work becomes urgent within two thirds of its time
+        // a request of priority 2 reaches priority 0 within two thirds of its timeout
         age_after_ms: timeout_ms / 3,
         stall_cost,
     }
--- a/testkit/src/configs/mod.rs
+++ b/testkit/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! configurations to test with
+//! Configurations for tests.
 
 mod documents;
 mod users;
--- a/testkit/src/configs/users.rs
+++ b/testkit/src/configs/users.rs
@@ -1,17 +1,17 @@
 use {super::Documents, chalkcart_state::config::Policy};
 
-/// one user's fleet as it is today
+/// Size and configuration of one user's fleet.
 #[derive(Debug, Clone)]
 pub struct UserSize {
     pub name: &'static str,
     pub zones: Vec<&'static str>,
     pub documents: Documents,
-    /// engines by base model
+    /// Number of engines by base model.
     pub engines: Vec<(&'static str, usize)>,
     pub service: &'static str,
     pub services: usize,
     pub adapters: usize,
-    /// adapter names are PREFIX-N
+    /// Adapters are named `PREFIX-N`.
     pub prefix: &'static str,
     pub group: &'static str,
     pub class: &'static str,
@@ -21,7 +21,7 @@
 const ADAPTERS: usize = 5_000;
 const SHARDS: usize = 16;
 
-/// the calculator head office: 12 loan-assistant engines, 3 till services
+/// Returns the fleet of the calculator head office: 12 loan-assistant engines, 3 till services.
 pub fn head_office() -> UserSize {
     let documents = Documents::new(SHARDS)
         .with_group("branches", 1)
@@ -50,7 +50,7 @@
     }
 }
 
-/// the invoice financier: 12 invoice-reading engines, 4 advance desks
+/// Returns the fleet of the invoice financier: 12 invoice-reading engines, 4 advance desks.
 pub fn trentside() -> UserSize {
     let documents = Documents::new(SHARDS)
         .with_group("clients", 1)
--- a/testkit/src/engine/batch.rs
+++ b/testkit/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! the loop that gives each request of the batch one token a step
+//! Continuous batching: each step generates one token for every request in the batch.
 
 use {
     super::{
@@ -12,7 +12,7 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// pause of an engine without requests
+/// Poll interval of an engine without requests.
 const IDLE_INTERVAL: Duration = Duration::from_millis(2);
 
 pub async fn run(engine: SharedEngine) {
@@ -21,7 +21,8 @@
         let step_time = lock(&engine).step();
         match step_time {
             Some(step_time) => {
-                // steps are laid end to end, so that a late timer costs nothing
+                // the next step starts when the previous one should have ended, so timer delays
+                // don't add up
                 next = (next + step_time).max(Instant::now() - step_time);
                 sleep_until(next.into()).await;
             }
@@ -34,7 +35,7 @@
 }
 
 impl EngineState {
-    /// do one step; give the time that it takes, or none if nothing runs
+    /// Executes one step and returns its duration, or `None` if no request is running.
     fn step(&mut self) -> Option<Duration> {
         let batch: Vec<RequestId> = self
             .queue
--- a/testkit/src/engine/engine_stand_in.rs
+++ b/testkit/src/engine/engine_stand_in.rs
@@ -17,7 +17,7 @@
     tokio::task::JoinHandle,
 };
 
-/// an engine that batches continuously, on loopback
+/// Stand-in for an engine with continuous batching, listening on loopback.
 #[derive(Debug)]
 pub struct EngineStandIn {
     pub state: SharedEngine,
@@ -39,14 +39,13 @@
     pub fn addr(&self) -> SocketAddr {
         self.serving.addr
     }
-    /// lose everything, as a restarted engine does
     pub fn restart(&self) {
         lock(&self.state).restart();
     }
     pub fn set_faults(&self, faults: EngineFaults) {
         lock(&self.state).faults = faults;
     }
-    /// how often a request with this prompt was started
+    /// Returns how often a request with this prompt was started.
     pub fn runs(&self, prompt: &str) -> u32 {
         lock(&self.state).runs.get(prompt).copied().unwrap_or(0)
     }
@@ -59,13 +58,13 @@
     pub fn running(&self) -> usize {
         lock(&self.state).queue.len()
     }
-    /// mean part of the batch that was used, over the steps done
+    /// Returns the mean fraction of the maximum batch size in use, over all steps.
     pub fn batch_fill(&self) -> f64 {
         let state = lock(&self.state);
         let capacity = state.steps * u64::from(state.settings.max_batch);
         state.step_requests as f64 / capacity.max(1) as f64
     }
-    /// steps done, and requests in them
+    /// Returns the number of steps and the sum of their batch sizes.
     pub fn steps(&self) -> (u64, u64) {
         let state = lock(&self.state);
         (state.steps, state.step_requests)
--- a/testkit/src/engine/engine_state.rs
+++ b/testkit/src/engine/engine_state.rs
@@ -9,15 +9,15 @@
     tokio::sync::watch,
 };
 
-/// a request at the engine
+/// Request held by the engine.
 #[derive(Debug)]
 pub struct EngineRequest {
     pub body: GenerateBody,
-    /// steps of reading the prompt that are left
+    /// Remaining prefill steps.
     pub prefill_left: usize,
     pub events: Vec<EngineEvent>,
     pub is_ended: bool,
-    /// events so far, for those that stream them
+    /// Number of events so far, watched by event streams.
     pub count: watch::Sender<usize>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// what an engine holds in one incarnation, and what it counted over all
+/// State of one incarnation and counters over all incarnations.
 #[derive(Debug)]
 pub struct EngineState {
     pub settings: EngineSettings,
@@ -39,19 +39,19 @@
     pub loaded: Vec<AdapterBody>,
     pub loading: usize,
     pub requests: HashMap<RequestId, EngineRequest>,
-    /// running requests, then waiting ones, in the order of their priority
+    /// Running requests, followed by waiting ones in order of priority.
     pub queue: Vec<RequestId>,
     pub cache: PrefixCache,
     pub faults: EngineFaults,
-    /// load figures as they were at times past
+    /// Changes of the batch size with their times.
     pub batch_size_history: Vec<(Instant, usize)>,
-    /// started runs by the prompt, which tests make unique
+    /// Number of started runs by prompt; tests use unique prompts.
     pub runs: HashMap<String, u32>,
-    /// unloads of an adapter in use
+    /// Number of requests whose adapter was unloaded while they were queued or running.
     pub unloaded_in_use: u32,
-    /// runs of an adapter that was not loaded, had they been let in
+    /// Number of orders rejected because of their incarnation or fence.
     pub rejected_orders: u32,
-    /// steps, and requests in them
+    /// Number of steps, and the sum of their batch sizes.
     pub steps: u64,
     pub step_requests: u64,
 }
@@ -77,14 +77,14 @@
         }
     }
 
-    /// come back empty
+    /// Restarts the engine as another incarnation without any state.
     pub fn restart(&mut self) {
         self.incarnation += 1;
         self.fence = 0;
         self.loaded.clear();
         self.loading = 0;
         self.queue.clear();
-        // dropping the senders ends the streams
+        // dropping the senders ends the event streams
         self.requests.clear();
         self.cache = PrefixCache::new(self.settings.cached_prefixes, self.settings.lag);
     }
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// a load counts only if the fence is still the one that ordered it
+    /// Completes a load, unless the fence has changed since it was ordered.
     pub fn end_load(
         &mut self,
         order: FenceBody,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// end a request; its events stay for those that resume
+    /// Ends a request; its events are kept for streams that resume.
     pub fn end(&mut self, request: &str, body: EventBody) {
         self.queue.retain(|r| r != request);
         if let Some(entry) = self.requests.get_mut(request) {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// requests in the batch, as they were a while ago
+    /// Returns the batch size as of `lag` ago.
     pub fn reported_batch_size(&mut self, now: Instant) -> usize {
         let lag = self.settings.lag;
         let is_visible = |at: &Instant| now.saturating_duration_since(*at) >= lag;
@@ -241,7 +241,8 @@
         }
     }
 
-    /// behind the running ones, and behind those as urgent
+    /// Returns the queue position after the running requests and those of the same or a higher
+    /// priority.
     fn queue_position(&self, priority: u8) -> usize {
         let running = self.queue.len().min(self.settings.max_batch as usize);
         let waiting = &self.queue[running..];
@@ -252,5 +253,5 @@
     }
 }
 
-/// what a stream of events follows
+/// Engine state shared by the routes and the batch loop.
 pub type SharedEngine = Arc<std::sync::Mutex<EngineState>>;
--- a/testkit/src/engine/mod.rs
+++ b/testkit/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! a stand-in for a model engine
+//! Stand-in for an inference engine.
 
 mod batch;
 mod engine_stand_in;
--- a/testkit/src/engine/order_error.rs
+++ b/testkit/src/engine/order_error.rs
@@ -6,7 +6,7 @@
     http::StatusCode,
 };
 
-/// why an engine does not obey
+/// Reason why an engine rejects an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderError {
     OtherIncarnation,
--- a/testkit/src/engine/prefix_cache.rs
+++ b/testkit/src/engine/prefix_cache.rs
@@ -6,14 +6,14 @@
     },
 };
 
-/// words of a prompt that count as its prefix
+/// Number of words of a prompt that form its prefix.
 const PREFIX_WORDS: usize = 16;
-/// events remembered for readers
+/// Maximum number of events kept for readers.
 const MAX_EVENTS: usize = 1_024;
-/// each event with such a number is lost
+/// Every event whose number is a multiple of this is lost.
 const LOST_EVERY: u64 = 7;
 
-/// a change of the cache, as the engine tells it: late and with gaps
+/// Change of the cache as reported to readers: delayed and with gaps.
 #[derive(Debug, Clone, Serialize)]
 pub struct CacheEvent {
     pub number: u64,
@@ -23,7 +23,7 @@
     visible_from: Option<Instant>,
 }
 
-/// prompt prefixes in limited memory
+/// LRU cache of prompt prefixes.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -43,7 +43,7 @@
             next_event: 0,
         }
     }
-    /// whether the prompt's prefix was cached; it is now
+    /// Returns whether the prompt's prefix was cached, and caches it.
     pub fn lookup_or_insert(&mut self, prompt: &str) -> bool {
         let words: Vec<&str> = prompt.split_whitespace().take(PREFIX_WORDS).collect();
         let prefix = words.join(" ");
@@ -61,7 +61,7 @@
         self.record_event(prefix, true);
         false
     }
-    /// events after a number that can be seen by now
+    /// Returns the events after a number that are visible at a time.
     pub fn events_after(&self, after: u64, now: Instant) -> Vec<CacheEvent> {
         let events = self.events.iter();
         events
--- a/testkit/src/engine/routes.rs
+++ b/testkit/src/engine/routes.rs
@@ -108,7 +108,7 @@
     if let Err(e) = begun {
         return e.reply();
     }
-    // a load goes on when its caller is gone
+    // a load continues after its caller disconnects
     let load_task = tokio::spawn(async move {
         let fetched = store.load().await;
         lock(&engine).end_load(order.order, order.adapter, fetched)
@@ -166,7 +166,7 @@
     Ok((state, reply))
 }
 
-/// follows one request's events, with the engine's faults
+/// Streams the events of one request and applies the engine's faults.
 struct EventStream {
     engine: SharedEngine,
     request: RequestId,
@@ -178,7 +178,7 @@
 }
 
 impl EventStream {
-    /// the next lines; none at the end, an error where the stream breaks
+    /// Returns the next event lines: `None` at the end, an error where the stream is cut.
     async fn next_lines(&mut self) -> Option<io::Result<Bytes>> {
         if self.has_ended {
             return None;
--- a/testkit/src/engine/settings.rs
+++ b/testkit/src/engine/settings.rs
@@ -1,22 +1,19 @@
 use std::time::Duration;
 
-/// size and speed of an engine
+/// Capacity and speed of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
     pub base_model: String,
-    /// adapters that fit at once
     pub slots: usize,
-    /// requests that one batch takes
     pub max_batch: u32,
-    /// time of one step without requests
+    /// Duration of a step with an empty batch.
     pub step: Duration,
-    /// added to a step by each request in it
+    /// Added to a step for each request in the batch.
     pub step_per_request: Duration,
-    /// prompt words read in one step
+    /// Prompt words processed per prefill step.
     pub prefill_words: usize,
-    /// prompt prefixes remembered
     pub cached_prefixes: usize,
-    /// how late load figures and cache events are
+    /// Delay of the reported batch size and of cache events.
     pub lag: Duration,
 }
 
@@ -35,15 +32,15 @@
     }
 }
 
-/// what goes wrong with an engine's streams and answers
+/// Faults of an engine's event streams and responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineFaults {
-    /// each event is sent twice
+    /// Sends each event twice.
     pub duplicate_events: bool,
-    /// neighbouring events change places
+    /// Swaps neighboring events.
     pub swap_events: bool,
-    /// a stream breaks after so many events
+    /// Cuts a stream after this number of events.
     pub cut_after: Option<u32>,
-    /// answers name this version, whatever ran
+    /// Reports a version that is one higher than the one used.
     pub wrong_version: bool,
 }
--- a/testkit/src/forwarder/mod.rs
+++ b/testkit/src/forwarder/mod.rs
@@ -1,4 +1,4 @@
-//! connections that can be cut
+//! TCP forwarder that injects network faults.
 
 mod tcp_forwarder;
 
--- a/testkit/src/forwarder/tcp_forwarder.rs
+++ b/testkit/src/forwarder/tcp_forwarder.rs
@@ -14,30 +14,30 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// what a forwarder does with its connections
+/// Fault of a forwarder's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LinkFault {
     #[default]
     None,
-    /// connections break, and no new one comes about
+    /// Closes all connections and accepts no new ones.
     Closed,
-    /// bytes are swallowed both ways; connections stay open
+    /// Drops the bytes of both directions; connections stay open.
     Blackhole,
-    /// bytes towards the peer arrive; its answers are swallowed
+    /// Forwards bytes to the peer but drops those from it.
     ResponsesLost,
 }
 
-/// passes TCP connections on to a peer, until they are cut
+/// Forwards TCP connections to a peer and injects faults into them.
 #[derive(Debug)]
 pub struct TcpForwarder {
     pub addr: SocketAddr,
     fault: watch::Sender<LinkFault>,
-    /// connections of an earlier epoch are silent
+    /// Connections opened in an earlier epoch drop all bytes.
     epoch: watch::Sender<u64>,
 }
 
 impl TcpForwarder {
-    /// forward a free port of loopback to a peer, each way delayed
+    /// Forwards a free loopback port to a peer, with a delay in each direction.
     pub async fn start(peer: SocketAddr, delay: Duration) -> Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let addr = listener.local_addr()?;
@@ -49,13 +49,13 @@
     pub fn set_fault(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
-    /// connections that are open fall silent for good, without a reset; new ones work
+    /// Drops all further bytes on open connections without closing them; new ones work.
     pub fn blackhole_open_connections(&self) {
         self.epoch.send_modify(|epoch| *epoch += 1);
     }
 }
 
-/// what a connection must know of its forwarder
+/// Receivers of the forwarder's fault and epoch.
 type FaultState = (watch::Receiver<LinkFault>, watch::Receiver<u64>);
 
 async fn accept(
@@ -77,7 +77,7 @@
     }
 }
 
-/// one connection's own view of the forwarder
+/// Fault state as seen by one connection.
 #[derive(Clone)]
 struct Connection {
     fault: watch::Receiver<LinkFault>,
@@ -87,7 +87,7 @@
 }
 
 impl Connection {
-    /// whether bytes that go this way are swallowed now
+    /// Returns whether bytes in this direction are currently dropped.
     fn drops_bytes(&self, direction: Direction) -> bool {
         if *self.epoch.borrow() != self.opened_in_epoch {
             return true;
@@ -143,7 +143,7 @@
         if is_dropped {
             continue;
         }
-        // a stream with a hole can't go on
+        // a stream with missing bytes can't continue
         if has_gap || write.write_all(&buf[..count]).await.is_err() {
             break;
         }
--- a/testkit/src/ledger/at_most_once_ledger.rs
+++ b/testkit/src/ledger/at_most_once_ledger.rs
@@ -1,15 +1,14 @@
 use {chalkcart_protocol::peer::Outcome, std::collections::BTreeMap};
 
-/// a promise that was broken
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// ran more than once
+    /// The request ran more than once.
     RanTwice { body: String, runs: u32 },
-    /// said not to have run, and ran
+    /// The request was reported as not run, but ran.
     RanDespiteNotRun { body: String },
-    /// answered, and did not run
+    /// A response was received, but the request did not run.
     ResponseWithoutRun { body: String },
-    /// answered with another request's answer
+    /// The response belongs to another request.
     WrongResponse { body: String },
 }
 
@@ -20,7 +19,7 @@
     is_not_run: bool,
 }
 
-/// collects every caller's answers, by the request's unique body
+/// Collects the responses and outcomes of requests by their unique body.
 #[derive(Debug, Default)]
 pub struct AtMostOnceLedger {
     rows: BTreeMap<String, RequestRow>,
@@ -42,7 +41,7 @@
     pub fn not_run_count(&self) -> usize {
         self.rows.values().filter(|r| r.is_not_run).count()
     }
-    /// compare with the runs that the target counted
+    /// Compares the outcomes with the number of runs that the target counted.
     pub fn violations(&self, runs: impl Fn(&str) -> u32) -> Vec<Violation> {
         let mut found = Vec::new();
         for (body, row) in &self.rows {
--- a/testkit/src/ledger/mod.rs
+++ b/testkit/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! what was said of requests that run at most once, against what ran
+//! Checks the reported outcomes of at-most-once requests against the actual runs.
 
 mod at_most_once_ledger;
 
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,6 +1,5 @@
-//! what the project tests and measures itself with: stand-ins for engines,
-//! plain services and the platform, a fleet of real processes on loopback,
-//! faults, and an open-loop load tool
+//! Test and measurement tools: stand-ins for engines, plain services and the platform, a fleet
+//! of real processes on loopback, fault injection, and an open-loop load generator.
 
 pub mod cluster;
 pub mod commands;
--- a/testkit/src/load/calls.rs
+++ b/testkit/src/load/calls.rs
@@ -12,7 +12,7 @@
     tonic::{transport::Channel, Status},
 };
 
-/// a failed request, as its caller sees it
+/// Failed request as seen by its caller.
 #[derive(Debug, Clone)]
 pub struct Failure {
     pub outcome: Outcome,
@@ -20,7 +20,7 @@
     pub retry_after: Option<Duration>,
     pub duration: Duration,
     pub status: Status,
-    /// tokens that came before
+    /// Number of tokens received before the failure.
     pub tokens: usize,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// run a prompt to its end
+/// Runs a prompt and collects its completion.
 pub async fn generate(
     client: &mut InferenceClient<Channel>,
     req: GenerateRequest,
@@ -67,7 +67,7 @@
     Ok(answer)
 }
 
-/// call a service; an empty id makes it repeatable
+/// Calls a service; without a reserved id the call is repeatable.
 pub async fn call_once(
     client: &mut InferenceClient<Channel>,
     service: &str,
@@ -90,7 +90,6 @@
     Ok(answer.into_inner().body)
 }
 
-/// ids for calls of a service
 pub async fn reserve_for_service(
     client: &mut InferenceClient<Channel>,
     service: &str,
@@ -99,7 +98,6 @@
     reserve(client, Work::Service(service.to_string()), count).await
 }
 
-/// ids for prompts on an adapter
 pub async fn reserve_for_adapter(
     client: &mut InferenceClient<Channel>,
     adapter: &str,
--- a/testkit/src/load/mod.rs
+++ b/testkit/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! an open-loop load and a check of every answer
+//! Open-loop load generator that checks every completion.
 
 mod calls;
 mod completion;
--- a/testkit/src/load/open_loop.rs
+++ b/testkit/src/load/open_loop.rs
@@ -13,32 +13,32 @@
     tonic::transport::Channel,
 };
 
-/// requests of one group and class
+/// Requests of one group and class.
 #[derive(Debug, Clone)]
 pub struct RequestStream {
     pub group: String,
     pub class: String,
-    /// adapter names are PREFIX-N
+    /// Adapters are named `PREFIX-N`.
     pub prefix: String,
     pub adapters: usize,
-    /// how fast popularity falls with the rank; 0 makes all alike
+    /// Zipf exponent of the adapters' popularity; 0 makes it uniform.
     pub exponent: f64,
-    /// requests a second
+    /// Requests per second.
     pub rate: f64,
     pub max_tokens: u32,
     pub timeout_ms: u32,
-    /// an answer counts as in time if its first token came by then
+    /// Maximum time to first token of a request that counts as within its target.
     pub first_token_target: Duration,
 }
 
-/// an open-loop load: requests leave on schedule, whatever the answers do
+/// Open-loop load: requests are sent on schedule, independent of responses.
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
     pub streams: Vec<RequestStream>,
     pub span: Duration,
-    /// when popularity shifts
+    /// Time at which the popularity shifts.
     pub shift: Option<Duration>,
-    /// requests sent before are checked but not counted
+    /// Requests sent before are checked but not measured.
     pub warm_up: Duration,
     pub seed: u64,
 }
@@ -49,15 +49,15 @@
     Failed(Box<Failure>),
 }
 
-/// what happened to a request of a stream
+/// Event of a request in a stream.
 struct StreamEvent {
     stream: usize,
-    /// it was sent after the warm-up
+    /// Whether the request was sent after the warm-up.
     is_measured: bool,
     event: Event,
 }
 
-/// run a load over the entries in turn, and check every answer
+/// Sends a load to the entries round-robin and checks every completion.
 pub async fn run_load(clients: &[InferenceClient<Channel>], settings: &LoadSettings) -> LoadReport {
     let (tx, rx) = mpsc::unbounded_channel();
     let started = Instant::now();
@@ -90,7 +90,7 @@
     let mut at = Duration::ZERO;
     let mut has_shifted = false;
     for number in 0u64.. {
-        // exponential gaps make arrivals a Poisson process
+        // exponentially distributed gaps make the arrivals a Poisson process
         let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
         at += Duration::from_secs_f64(-uniform.ln() / stream.rate);
         if at >= settings.span {
@@ -117,7 +117,7 @@
             is_measured: at >= settings.warm_up,
             event,
         };
-        // the collector lives until all senders are gone
+        // the receiver is dropped only after all senders
         let _ = events.send(stream_event(Event::Sent));
         tokio::spawn(send_one(client, req, events.clone(), stream_event));
     }
@@ -173,7 +173,7 @@
     }
 }
 
-/// bad outcomes are counted over the whole run, the warm-up included
+/// Counts wrong and unfinished completions over the whole run, including the warm-up.
 fn count_outcome(report: &mut LoadReport, event: &Event) {
     match event {
         Event::Sent => report.unfinished += 1,
@@ -201,7 +201,7 @@
     class.completed += 1;
     class.tokens += answer.tokens.len() as u64;
     class.within_target += u64::from(answer.time_to_first_token <= stream.first_token_target);
-    // the histograms grow with their values
+    // auto-resizing histograms accept all values
     let _ = class
         .first_token
         .record(answer.time_to_first_token.as_micros() as u64);
--- a/testkit/src/load/popularity.rs
+++ b/testkit/src/load/popularity.rs
@@ -1,11 +1,11 @@
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 
-/// skewed popularity of numbered adapters, which can shift
+/// Zipf-like popularity of numbered adapters, which can shift.
 #[derive(Debug)]
 pub struct Popularity {
-    /// summed weights by rank
+    /// Cumulative weights by rank.
     sums: Vec<f64>,
-    /// adapter of rank 0; a shift moves it
+    /// Number of the adapter at rank 0; a shift changes it.
     offset: usize,
     rng: SmallRng,
 }
@@ -23,14 +23,13 @@
             rng: SmallRng::seed_from_u64(seed),
         }
     }
-    /// draw an adapter's number
     pub fn draw(&mut self) -> usize {
         let total = self.sums.last().copied().unwrap_or(0.0);
         let point = self.rng.random::<f64>() * total;
         let rank = self.sums.partition_point(|sum| *sum < point);
         (rank + self.offset) % self.sums.len()
     }
-    /// other adapters become hot: cold ones within the same order
+    /// Shifts the ranks by half of the adapters, so that unpopular adapters become popular.
     pub fn shift(&mut self) {
         self.offset += self.sums.len() / 2;
     }
--- a/testkit/src/load/report.rs
+++ b/testkit/src/load/report.rs
@@ -1,26 +1,26 @@
 use {hdrhistogram::Histogram, std::collections::BTreeMap, std::time::Duration};
 
-/// precision of the histograms
+/// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// what the requests of one group and class saw
+/// Results of the requests of one group and class.
 #[derive(Debug)]
 pub struct ClassReport {
     pub sent: u64,
     pub completed: u64,
-    /// completed within the stream's own limit
+    /// Completed with the first token within the stream's target.
     pub within_target: u64,
     pub not_run: u64,
     pub may_have_run: u64,
     pub tokens: u64,
-    /// tokens of answers that ended between the warm-up and the load's end,
-    /// whenever they were asked for
+    /// Tokens of completions that ended between the warm-up and the end of the load, including
+    /// those of requests sent before.
     pub window_tokens: u64,
-    /// in µs
+    /// Time to first token in µs.
     pub first_token: Histogram<u64>,
-    /// of whole requests, in µs
+    /// Time to the end of the completion in µs.
     pub total: Histogram<u64>,
-    /// of refusals, in µs
+    /// Time to a failure in µs.
     pub rejection_time: Histogram<u64>,
     pub rejected_with_retry_after: u64,
     pub reasons: BTreeMap<String, u64>,
@@ -58,16 +58,15 @@
     }
 }
 
-/// what a whole load saw
 #[derive(Debug, Default)]
 pub struct LoadReport {
-    /// by stream
+    /// Results by `GROUP/CLASS`.
     pub classes: BTreeMap<String, ClassReport>,
-    /// answers of another adapter, version or prompt
+    /// Completions by another adapter or version, or for another prompt.
     pub mismatched: u64,
-    /// answers that were not whole
+    /// Completions with missing or misplaced tokens.
     pub incomplete: u64,
-    /// requests without any word at the end
+    /// Requests that neither completed nor failed.
     pub unfinished: u64,
     pub span: Duration,
 }
@@ -82,7 +81,7 @@
     pub fn sent(&self) -> u64 {
         self.classes.values().map(|c| c.sent).sum()
     }
-    /// a table for people
+    /// Formats the results as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<22} {:>6} {:>6} {:>7} {:>8} {:>8} {:>9} {:>9} {:>9}\n",
--- a/testkit/src/load/scrape.rs
+++ b/testkit/src/load/scrape.rs
@@ -1,22 +1,22 @@
 use {crate::cluster::Cluster, anyhow::Result, std::collections::BTreeMap};
 
-/// a histogram summed over processes and labels
+/// Histogram summed over processes and labels.
 #[derive(Debug, Default, Clone)]
 pub struct HistogramTotals {
     pub count: f64,
     pub sum: f64,
-    /// observations up to each bound, by the bound's text
+    /// Cumulative counts by the bit pattern of the bucket's upper bound.
     buckets: BTreeMap<u64, f64>,
 }
 
 impl HistogramTotals {
-    /// upper bound of the bucket in which a quantile lies, in seconds
+    /// Returns the upper bound in seconds of the bucket that contains a quantile.
     pub fn quantile(&self, quantile: f64) -> f64 {
         let wanted = self.count * quantile;
         let found = self.buckets.iter().find(|(_, n)| **n >= wanted);
         found.map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
-    /// what came after an earlier reading
+    /// Subtracts an earlier scrape.
     pub fn since(mut self, earlier: &Self) -> Self {
         self.count -= earlier.count;
         self.sum -= earlier.sum;
@@ -31,13 +31,13 @@
         } else if rest.starts_with("_sum") {
             self.sum += value;
         } else if let Some(bound) = bucket_bound(rest) {
-            // positive floats sort like their bits
+            // non-negative floats sort like their bit patterns
             *self.buckets.entry(bound.to_bits()).or_insert(0.0) += value;
         }
     }
 }
 
-/// sum one histogram over all sidecars of engines
+/// Sums one histogram over the sidecars of all engines.
 pub async fn scrape_engines(cluster: &Cluster, name: &str) -> Result<HistogramTotals> {
     let mut scraped = HistogramTotals::default();
     for node in &cluster.engines {
--- a/testkit/src/platform/calls.rs
+++ b/testkit/src/platform/calls.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// calls that the platform has served; a waiting watch counts as one
+/// Number of calls received; a long poll counts as one.
 #[derive(Debug, Default)]
 pub struct PlatformCalls {
     config: AtomicU64,
--- a/testkit/src/platform/mod.rs
+++ b/testkit/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! a stand-in for the platform: configuration and the list of boxes
+//! Stand-in for the platform: configuration and fleet list.
 
 mod calls;
 mod platform_stand_in;
--- a/testkit/src/platform/platform_stand_in.rs
+++ b/testkit/src/platform/platform_stand_in.rs
@@ -17,24 +17,23 @@
     tokio::sync::watch,
 };
 
-/// the platform's services, with their faults
+/// Stand-in for the platform's configuration and fleet list.
 #[derive(Debug)]
 pub struct PlatformStandIn {
     pub state: Arc<PlatformState>,
     serving: Serving,
 }
 
-/// what the stand-in serves
 #[derive(Debug)]
 pub struct PlatformState {
     pub calls: PlatformCalls,
     documents: Mutex<Documents>,
-    /// served instead of `documents` while set
+    /// Served instead of `documents` if set.
     stale: Mutex<Option<Documents>>,
     generation: watch::Sender<Generation>,
     is_down: Mutex<bool>,
     list: Mutex<FleetList>,
-    /// lists with the time from which each is seen
+    /// Fleet lists with the time from which each one is visible.
     visible_lists: Mutex<Vec<(Instant, FleetList)>>,
     list_lag: Mutex<Duration>,
 }
@@ -61,21 +60,21 @@
     pub fn documents(&self) -> Documents {
         lock(&self.state.documents).clone()
     }
-    /// what an operator does with new documents
+    /// Publishes new documents.
     pub fn publish(&self, documents: Documents) {
         let generation = documents.root.generation;
         *lock(&self.state.documents) = documents;
         self.state.generation.send_replace(generation);
     }
-    /// answer nothing but errors
+    /// Makes all routes respond with 503.
     pub fn set_down(&self, is_down: bool) {
         *lock(&self.state.is_down) = is_down;
     }
-    /// serve an earlier state of the configuration
+    /// Serves these documents instead of the published ones.
     pub fn set_stale(&self, stale: Option<Documents>) {
         *lock(&self.state.stale) = stale;
     }
-    /// show changes of the list only after this time
+    /// Delays the visibility of later changes to the fleet list.
     pub fn set_list_lag(&self, list_lag: Duration) {
         *lock(&self.state.list_lag) = list_lag;
     }
@@ -110,7 +109,7 @@
         let stale = lock(&self.stale).clone();
         stale.unwrap_or_else(|| lock(&self.documents).clone())
     }
-    /// wait until the served root is newer
+    /// Waits until a generation newer than the known one is published.
     pub async fn wait_for_newer(&self, known: Generation, wait: Duration) {
         let mut generation = self.generation.subscribe();
         let newer = async {
--- a/testkit/src/service/mod.rs
+++ b/testkit/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! a stand-in for a plain service
+//! Stand-in for a plain service.
 
 mod service_stand_in;
 
--- a/testkit/src/service/service_stand_in.rs
+++ b/testkit/src/service/service_stand_in.rs
@@ -20,22 +20,20 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// a service that answers a body with the same body, and counts its runs
+/// Service that echoes the body of a call and counts its runs.
 #[derive(Debug)]
 pub struct ServiceStandIn {
     pub state: Arc<ServiceState>,
     serving: Serving,
 }
 
-/// what the stand-in counts
 #[derive(Debug)]
 pub struct ServiceState {
-    /// runs by the body of the call, which tests make unique
+    /// Number of runs by body; tests use unique bodies.
     runs: Mutex<HashMap<Vec<u8>, u32>>,
     delay: Mutex<Duration>,
-    /// calls wait while it is true
+    /// Calls wait while this is true.
     paused: watch::Sender<bool>,
-    /// grows with each run
     total_runs: watch::Sender<u64>,
 }
 
@@ -53,25 +51,25 @@
     pub fn addr(&self) -> SocketAddr {
         self.serving.addr
     }
-    /// how often a call with this body ran
+    /// Returns how often a call with this body ran.
     pub fn runs(&self, body: &[u8]) -> u32 {
         lock(&self.state.runs).get(body).copied().unwrap_or(0)
     }
-    /// bodies that ran more than once
+    /// Returns the number of bodies that ran more than once.
     pub fn duplicate_runs(&self) -> usize {
         lock(&self.state.runs).values().filter(|n| **n > 1).count()
     }
     pub fn total_runs(&self) -> u64 {
         *self.state.total_runs.borrow()
     }
-    /// hold each call after it was counted
+    /// Pauses or resumes calls; a paused call already counts as run.
     pub fn set_paused(&self, paused: bool) {
         self.state.paused.send_replace(paused);
     }
-    /// wait until so many calls ran
+    /// Waits until this number of calls have run.
     pub async fn wait_for_runs(&self, total_runs: u64) {
         let mut seen = self.state.total_runs.subscribe();
-        // the sender lives as long as this
+        // the sender lives as long as this stand-in
         let _ = seen.wait_for(|t| *t >= total_runs).await;
     }
 }
--- a/testkit/src/serving.rs
+++ b/testkit/src/serving.rs
@@ -1,4 +1,4 @@
-//! serving a stand-in on loopback
+//! Serves a stand-in's routes on loopback.
 
 use {
     anyhow::Result,
@@ -10,14 +10,14 @@
 
 const GRACE: Duration = Duration::from_millis(100);
 
-/// a stand-in's server; it stops when this is dropped
+/// Server of a stand-in; it stops on drop.
 #[derive(Debug)]
 pub struct Serving {
     pub addr: SocketAddr,
     _stop: watch::Sender<bool>,
 }
 
-/// serve routes on a free port of loopback
+/// Serves routes on a free loopback port.
 pub async fn serve_router(router: Router) -> Result<Serving> {
     let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
     let addr = listener.local_addr()?;
@@ -26,7 +26,7 @@
     Ok(Serving { addr, _stop: stop })
 }
 
-/// lock what no holder leaves broken
+/// Locks a mutex, ignoring poisoning: no holder leaves its data inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/testkit/src/soak/checks.rs
+++ b/testkit/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! the promises, held against what was seen
+//! Checks a soak's record against the guarantees of the service.
 
 use {
     super::{BackendRecord, Outcome, RequestKind, RequestRecord, SoakRecord},
@@ -10,18 +10,18 @@
     },
 };
 
-/// runs that a safe request may have: the attempts of its route
+/// Maximum number of runs of a safe request: the attempts of its route.
 const MAX_SAFE_RUNS: usize = 2;
-/// statuses that promise that the request has not run and never will
+/// Statuses that guarantee that the request has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// engines that end until a request is known to do that, and tries that may still reach some
+/// Crashes until a request is blocked, and crashes by attempts that are already in flight then.
 const CRASHES_UNTIL_BLOCKED: u32 = 3;
 const MAX_LATE_CRASHES: u32 = 3;
-/// requests that may come while a back end rests
+/// Maximum number of requests that a back end may receive during a requested back-off.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 const PLAIN_RESPONSE_BODY: &[u8] = b"the whole answer";
 
-/// a promise that was not kept
+/// A guarantee that was not kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
     TooManyRuns { id: String, runs: usize },
@@ -49,7 +49,7 @@
     }
 }
 
-/// each promise that was not kept
+/// Returns all violations in a record.
 pub fn violations(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     found.extend(check_runs(record));
@@ -94,7 +94,7 @@
     found
 }
 
-/// an answer is that of the request, and whole where it seems so
+/// Checks that a response belongs to its request, and that a complete one has the expected body.
 fn check_response(request: &RequestRecord) -> Option<Violation> {
     let Outcome::Responded {
         status,
@@ -122,7 +122,7 @@
     is_corrupt.then_some(Violation::CorruptResponse { id: request_id })
 }
 
-/// its events are numbered from 0 on without a gap
+/// Returns whether a stream's events are numbered from 0 without a gap.
 fn is_complete_stream(body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
     let numbers = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -159,7 +159,7 @@
     found
 }
 
-/// what a back end said of itself is heeded
+/// Checks that callers honored the signals that a back end sent.
 fn check_signal_compliance(backend: &BackendRecord) -> Vec<Violation> {
     let engine = || backend.name.clone();
     let mut found = Vec::new();
@@ -195,7 +195,8 @@
     found.collect()
 }
 
-/// a request that ends engines reaches few of them, and as many again where it is forgotten
+/// Checks that a request that crashes engines reaches few of them; each loss of the crash
+/// registry allows as many again as it takes to block the request.
 fn check_crashes(record: &SoakRecord) -> Option<Violation> {
     let allowed = CRASHES_UNTIL_BLOCKED
         + MAX_LATE_CRASHES
@@ -204,8 +205,8 @@
     (ended > allowed).then_some(Violation::TooManyCrashes { ended, allowed })
 }
 
-/// arrivals beyond the first of each request, of engines or of the plain service, in any
-/// window that begins with one
+/// Checks the retry budget of engines or of plain back ends: all arrivals after the first of
+/// a request are retries, and each window that ends with an arrival is checked.
 fn check_retry_budget(record: &SoakRecord, of_engines: bool) -> Option<Violation> {
     let backends = record.backends.iter().filter(|b| b.is_engine == of_engines);
     let mut arrivals: Vec<&(Instant, String)> = backends.flat_map(|b| &b.arrivals).collect();
--- a/testkit/src/soak/fault_schedule.rs
+++ b/testkit/src/soak/fault_schedule.rs
@@ -4,30 +4,30 @@
     std::time::Duration,
 };
 
-/// one thing that is done to the fleet from outside
+/// Fault injected into the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGKILL, and a start after the fault's time
+    /// Sends SIGKILL; the ingress is started again when the fault ends.
     KillIngress,
-    /// SIGTERM, and a start once it has ended
+    /// Sends SIGTERM; the ingress is started again once it has exited.
     TerminateIngress,
     PauseIngress,
-    /// the settings file is read again
+    /// Sends SIGHUP, which reloads the settings file.
     ReloadIngress,
     KillSidecar(u8),
     PauseSidecar(u8),
-    /// an engine starts again under its name, holding nothing
+    /// The engine restarts under the same id and holds nothing.
     EngineRestarts(u8),
-    /// the same, with a clock that stepped back
+    /// The engine restarts with a clock that went back.
     EngineRestartsWithEarlierClock(u8),
-    /// an engine says that it is full
+    /// The engine rejects requests as overloaded.
     EngineOverloaded(u8),
-    /// an engine says in its answers that it leaves, while its record says that it is
-    /// ready, and comes back as another life
+    /// The engine announces in its responses that it leaves while its record says that it is
+    /// ready; then another incarnation replaces it.
     EngineLeaves(u8),
-    /// an engine turns requests away and asks for rest
+    /// The engine rejects requests and asks for a back-off.
     EngineRequestsBackoff(u8),
-    /// an engine names in its answers how many requests it takes
+    /// The engine announces a rate limit in its responses.
     EngineLimited(u8),
     PlainLimited(u8),
     EngineTruncatesStreams(u8),
@@ -35,21 +35,21 @@
     PlainUnresponsive(u8),
     PlainClosesWithoutResponse(u8),
     PlainOverloaded(u8),
-    /// a plain back end is listed as draining for the fault's time
+    /// The plain back end is listed as draining.
     PlainDrains(u8),
-    /// a record that can't be read stands in the place of a plain back end's
+    /// The record of the plain back end is replaced by an unreadable one.
     PlainRecordUnreadable(u8),
     StoreUnresponsive,
     StoreReturnsErrors,
     StoreResetsConnections,
     StoreCompacts,
-    /// connections to the store fall silent for good
+    /// The store never responds again on its open connections.
     StoreConnectionsUnresponsive,
     Configuration,
     AdapterVersion(u8),
 }
 
-/// a fault, when it begins and how long it lasts
+/// Fault with its start time and duration.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduledFault {
     pub at: Duration,
@@ -57,10 +57,10 @@
     pub fault: Fault,
 }
 
-/// a limit binds seconds after it was named
+/// Limited faults last longer, since a limit is enforced only seconds after its announcement.
 const LIMIT_DURATION_FACTOR: u32 = 8;
 
-/// draw a series of faults that overlap
+/// Generates a random schedule of overlapping faults from the seed.
 pub fn schedule_faults(settings: &SoakSettings) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(settings.seed);
     let mut at = Duration::ZERO;
@@ -122,7 +122,7 @@
     }
     if settings.rate_limits {
         all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
-        // often enough to be bound by it in a short soak
+        // twice as likely, so that a limit is enforced even in a short soak
         all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
     }
     all[rng.random_range(0..all.len())]
--- a/testkit/src/soak/keep_alive_client.rs
+++ b/testkit/src/soak/keep_alive_client.rs
@@ -13,13 +13,13 @@
     tokio::{net::TcpStream, time::sleep},
 };
 
-/// adapters that clients ask for
+/// Number of adapters that clients send prompts to.
 const ADAPTER_COUNT: u32 = 4;
-/// the most that a client rests between two requests, in ms
+/// Maximum pause of a client between two requests, in ms.
 const MAX_THINK_TIME_MS: u64 = 120;
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// a client that asks on one connection for as long as it is open
+/// Client that sends its requests on one connection while it stays open.
 pub struct KeepAliveClient {
     addr: SocketAddr,
     number: u32,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// ask until told to stop; gives what became of each request
+    /// Sends requests until `stop` is set, and returns their records.
     pub async fn run(mut self, stop: Arc<AtomicBool>) -> Vec<RequestRecord> {
         while !stop.load(Ordering::Relaxed) {
             let think_time_ms = self.rng.random_range(0..MAX_THINK_TIME_MS);
@@ -86,7 +86,7 @@
     }
 }
 
-/// gives the connection back if it may be used again
+/// Sends a request; returns the connection if it can be reused.
 async fn send(socket: TcpStream, request: &ClientRequest) -> (Outcome, Option<TcpStream>) {
     let Ok(stream) = send_on(socket, request).await else {
         return (Outcome::ConnectionLost, None);
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak: a fleet of processes among stand-ins, clients on kept connections, and faults in
-//! series that overlap. What callers and back ends saw is checked against the promises.
+//! Soak tests: a fleet of real processes between stand-ins, clients on keep-alive connections,
+//! and overlapping faults. The responses and runs are checked against the service's guarantees.
 
 mod checks;
 mod fault_schedule;
--- a/testkit/src/soak/record.rs
+++ b/testkit/src/soak/record.rs
@@ -6,33 +6,32 @@
     },
 };
 
-/// what a client asks for
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// may run more than once
+    /// May run more than once.
     Safe,
     Unsafe,
     Stream,
 }
 
-/// how a request ended, as its client saw it
+/// Result of a request as seen by its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// an answer; its body ended as its framing says
+    /// The client received a response; `is_complete` tells whether its body ended as framed.
     Responded {
         status: u16,
         is_complete: bool,
-        /// the id that it bears
+        /// Request id in the response.
         id: String,
-        /// a back end's signature
+        /// Whether the response carries a back end's stamp.
         has_stamp: bool,
         body: Vec<u8>,
     },
-    /// the connection ended with no answer, or broke off in one
+    /// The connection ended before or during the response.
     ConnectionLost,
 }
 
-/// one request of a client
+/// Record of one client request.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     pub id: String,
@@ -40,45 +39,46 @@
     pub outcome: Outcome,
 }
 
-/// what one back end saw
+/// Record of what one back end received and ran.
 #[derive(Debug, Clone, Default)]
 pub struct BackendRecord {
     pub name: String,
     pub is_engine: bool,
-    /// ids of the requests that it ran, one for each run
+    /// Request ids, one for each run.
     pub runs: Vec<String>,
     pub arrivals: Vec<(Instant, String)>,
     pub orders: Vec<TakenOrder>,
-    /// most adapters held and on their way at any time
+    /// Maximum number of adapters held and loading at the same time.
     pub most_adapters: usize,
-    /// requests that came long after an answer had said that it leaves
+    /// Requests received after the drain period that follows the leaving signal.
     pub requests_while_leaving: usize,
-    /// most requests that came in one of its rests
+    /// Maximum number of requests received during one requested back-off.
     pub max_requests_in_backoff: usize,
-    /// requests that came beyond the limit that it named, in the worst window
+    /// Maximum number of requests beyond the advertised limit in one window.
     pub requests_over_limit: usize,
 }
 
-/// configurations that came into force at an entry, in the order of its log
+/// Configurations that came into force at an entry, in the order of its log.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationHistory {
-    /// one list for each life of the process
+    /// One list of versions per incarnation of the process.
     pub incarnations: Vec<Vec<u64>>,
 }
 
-/// all that was seen in a soak
+/// Everything observed during a soak.
 #[derive(Debug, Clone, Default)]
 pub struct SoakRecord {
     pub requests: Vec<RequestRecord>,
     pub backends: Vec<BackendRecord>,
     pub configurations: ConfigurationHistory,
-    /// engines that have ended under a request
+    /// Number of engine crashes caused by a request.
     pub crashes: u32,
-    /// times that an entry and sidecars were struck and may have forgotten it together
+    /// Number of faults by which the entry and the sidecars may both have lost the crash
+    /// registry.
     pub crash_registry_losses: u32,
-    /// processes that ended and were not ended by the soak
+    /// Processes that exited without being stopped by the soak.
     pub exited_processes: Vec<String>,
-    /// what did not come about once all faults were over
+    /// Routes and state that did not recover after the last fault.
     pub not_recovered: Vec<String>,
     pub retry_ratio: f64,
     pub retry_extra: f64,
@@ -86,7 +86,7 @@
 }
 
 impl SoakRecord {
-    /// runs of each request, over all back ends
+    /// Counts the runs of each request over all back ends.
     pub fn runs(&self) -> HashMap<&str, usize> {
         let mut runs = HashMap::new();
         for id in self.backends.iter().flat_map(|b| &b.runs) {
--- a/testkit/src/soak/runner.rs
+++ b/testkit/src/soak/runner.rs
@@ -32,36 +32,35 @@
     },
 };
 
-/// time for the fleet to serve again after the last fault, far beyond what it needs
+/// Time limit for the fleet to serve all routes again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// time between SIGTERM and SIGKILL, and for a process to end after it
+/// Time between SIGTERM and SIGKILL, in seconds, and the time limit for an exit after it.
 const GRACE_S: f64 = 2.0;
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// rest that engines ask for
+/// Back-off that engines request.
 const BACKOFF: Duration = Duration::from_secs(1);
-/// requests a second that limited back ends take
+/// Rate limit that back ends announce, in requests per second.
 const RATE_LIMIT_PER_S: f64 = 2.0;
-/// requests that a fault of a back end strikes at the most
+/// Maximum number of requests that one fault of a back end affects.
 const MAX_FAULTY_REQUESTS: u32 = 40;
 const CRASHING_BODY: &[u8] = b"ends each engine that runs it";
 const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
-/// what became of a soak
 #[derive(Debug)]
 pub struct SoakReport {
     pub seed: u64,
     pub faults: Vec<ScheduledFault>,
     pub requests: usize,
     pub served: usize,
-    /// by status; 0 for connections that were cut
+    /// Number of requests by status; 0 for lost connections.
     pub outcomes: BTreeMap<u16, usize>,
     pub violations: Vec<Violation>,
-    /// where the processes' logs lie
+    /// Folder of the processes' logs.
     pub log_folder: String,
 }
 
-/// one thing to do, and whether it begins or ends a fault
+/// Start or end of a fault.
 #[derive(Debug, Clone, Copy)]
 struct FaultStep {
     at: Duration,
@@ -69,7 +68,7 @@
     begins: bool,
 }
 
-/// play one seed
+/// Runs a soak with one seed.
 pub async fn run_soak(settings: &SoakSettings) -> Result<SoakReport> {
     let fleet = Fleet::start(FleetSettings {
         engines: settings.engines,
@@ -112,7 +111,7 @@
     Ok(soak.report(settings.seed, faults, requests, not_recovered))
 }
 
-/// send a request that ends engines, under another id each time
+/// Sends requests that crash engines, each under another id.
 fn send_crashing_requests(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
     for engine in &fleet.engines {
         engine.state().crash_body = Some(CRASHING_BODY.to_vec());
@@ -126,29 +125,29 @@
                 body: CRASHING_BODY.to_vec(),
                 ..prompt("a0", &format!("{CRASHING_ID}{number}"))
             };
-            // whatever becomes of it: the engines count their ends
+            // the result doesn't matter: the engines count their crashes
             let _ = request(entry, &crashing_request).await;
             sleep(CRASHING_REQUEST_INTERVAL).await;
         }
     })
 }
 
-/// a fleet under faults
+/// Fleet under faults.
 struct SoakRun {
     fleet: Fleet,
-    /// the ingress was ended and is not started yet
+    /// Whether the ingress was stopped and has not been started again.
     is_stopped: bool,
-    /// processes that ended by themselves
+    /// Processes that exited without being stopped.
     exited: Vec<String>,
     incarnations: u64,
     adapter_versions: u64,
-    /// programs of an older build, which processes are started with in turn
+    /// Programs of an older build; process starts alternate between it and this build.
     other_build: Option<Binaries>,
     starts: u64,
 }
 
 impl SoakRun {
-    /// each start of a process is of another build than the one before
+    /// Alternates between the two builds for each process start.
     fn select_build(&mut self) {
         self.starts += 1;
         let other = self.other_build.clone().filter(|_| self.starts % 2 == 1);
@@ -191,7 +190,7 @@
                 self.is_stopped = true;
             }
             Fault::TerminateIngress if !self.is_stopped => {
-                // one that is frozen can't end by itself
+                // a paused process can't handle SIGTERM
                 fleet.ingress.resume()?;
                 fleet.ingress.terminate()?;
                 self.is_stopped = true;
@@ -307,14 +306,14 @@
         Ok(())
     }
 
-    /// an entry that was away is not bound by what it was told before
+    /// Resets the signals of all back ends: an entry that was down or paused has not seen them.
     fn reset_signals(&self) {
         for backend in self.fleet.engines.iter().chain(&self.fleet.plain) {
             backend.state().reset_signals();
         }
     }
 
-    /// the engine that left ends, and another one comes at its address
+    /// Removes an engine that left and starts another one at its address.
     fn replace_engine(&mut self, number: u8) {
         self.incarnations += 1;
         let key = format!("servers/{}", engine(&self.fleet, number).id());
@@ -326,7 +325,7 @@
 
     async fn start_ingress(&mut self) -> Result<()> {
         if self.is_stopped {
-            // one that was stopped ends within its grace
+            // a terminated process exits within its grace period
             self.fleet.ingress.wait(STOP_TIMEOUT).await?;
             self.select_build();
             self.fleet.restart_ingress()?;
@@ -338,7 +337,7 @@
         Ok(())
     }
 
-    /// processes that have ended though nobody ended them
+    /// Records processes that exited without being stopped.
     fn record_exits(&mut self) {
         if !self.is_stopped && self.fleet.ingress.has_ended() {
             self.exited.push("ingress".to_string());
@@ -350,11 +349,11 @@
         }
     }
 
-    /// wait until each route is served and the newest configuration is in force; gives
-    /// what did not come about
+    /// Waits until each route is served and the newest configuration is in force; returns what
+    /// is missing at the time limit.
     async fn recover(&mut self) -> Vec<String> {
         self.fleet.configure(|_| {});
-        // by its gauge: a line of the log may be left out
+        // checked by the gauge, since log lines may be dropped
         let gauge_line = format!("chalkcart_ingress_configuration {}\n", self.fleet.version());
         let until = Instant::now() + RECOVERY_TIMEOUT;
         let mut missing: Vec<&str> = vec!["/safe/", "/unsafe/", "/stream/"];
@@ -436,13 +435,13 @@
     }
 }
 
-/// ids of the requests that look whether the fleet serves again
+/// Prefix of the ids of requests that check the recovery.
 const RECOVERY_ID: &str = "recovery-";
-/// and of those that end engines
+/// Prefix of the ids of requests that crash engines.
 const CRASHING_ID: &str = "crashing-";
 
-/// Each start of the only entry empties it, and sidecars that were struck, too, may have
-/// nothing to tell it.
+/// Counts the faults that may lose the crash registry: a start or pause of the only entry
+/// loses its copy, and the sidecars may have lost theirs if any of them was affected.
 fn crash_registry_losses(faults: &[ScheduledFault]) -> u32 {
     let is_entry = |f: &&ScheduledFault| {
         matches!(
@@ -483,10 +482,10 @@
     }
 }
 
-/// time for a back end's word to reach the entry
+/// Time for a back end's signal to reach the entry.
 const SIGNAL_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
-/// the configurations that an ingress put in force, life by life
+/// Extracts the configurations that an ingress put in force from its log, by incarnation.
 fn applied_configurations(log: &str) -> ConfigurationHistory {
     let mut incarnations: Vec<Vec<u64>> = vec![Vec::new()];
     for line in log.lines() {
--- a/testkit/src/soak/settings.rs
+++ b/testkit/src/soak/settings.rs
@@ -1,25 +1,24 @@
 use {crate::cluster::Binaries, std::time::Duration};
 
-/// what a soak is made of
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// of the faults and of what clients ask for; two runs of one seed differ in timing
+    /// Seeds the faults and the clients' requests; the timing differs between runs of a seed.
     pub seed: u64,
     pub engines: u8,
     pub plain: u8,
     pub clients: u32,
-    /// one more client sends a request that ends each engine which runs it, again and again
+    /// Whether another client keeps sending a request that crashes each engine that runs it.
     pub crashing_requests: bool,
-    /// engines also say of themselves that they leave or want rest; seeds draw other faults
-    /// with it
+    /// Whether engines also announce that they leave or need a back-off; changes the faults
+    /// that a seed generates.
     pub backend_signals: bool,
-    /// back ends also name how many requests they take; seeds draw other faults with it
+    /// Whether back ends also announce rate limits; changes the faults that a seed generates.
     pub rate_limits: bool,
-    /// programs of an older build, which processes are started with in turn
+    /// Programs of an older build; process starts alternate between it and this build.
     pub other_build: Option<Binaries>,
-    /// how long faults strike
+    /// Period during which faults start.
     pub fault_period: Duration,
-    /// mean time between two faults; each lasts longer, so that they overlap
+    /// Mean time between the starts of two faults; they last longer on average and overlap.
     pub mean_fault_interval: Duration,
 }
 
--- a/testkit/src/store/mod.rs
+++ b/testkit/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! a stand-in for the rate-limited weight store
+//! Stand-in for the rate-limited weight store.
 
 mod weight_store;
 
--- a/testkit/src/store/weight_store.rs
+++ b/testkit/src/store/weight_store.rs
@@ -10,17 +10,16 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// how often a load looks at its share of the speed
+/// Interval at which a load accounts for its share of the bandwidth.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(10);
 
-/// limits of the store
 #[derive(Debug, Clone)]
 pub struct StoreSettings {
-    /// loads that it starts in a second
+    /// Maximum number of loads started per second.
     pub loads_per_second: f64,
-    /// loads at full speed at once; more share that speed
+    /// Number of concurrent loads at full speed; more share that bandwidth.
     pub at_once: u32,
-    /// time of one load at full speed
+    /// Duration of a load at full speed.
     pub load_time: Duration,
 }
 
@@ -34,15 +33,15 @@
     }
 }
 
-/// serves adapter weights to all engines
+/// Store from which all engines load adapter weights.
 #[derive(Debug)]
 pub struct WeightStore {
     settings: StoreSettings,
-    /// when the next load may start
+    /// Earliest start of the next load.
     next_start: Mutex<Instant>,
     running: AtomicU32,
     started: AtomicU64,
-    /// so many of the next loads fail
+    /// Number of next loads that fail.
     loads_to_fail: AtomicU32,
 }
 
@@ -56,7 +55,6 @@
             loads_to_fail: AtomicU32::new(0),
         }
     }
-    /// make the next loads fail
     pub fn fail_next(&self, count: u32) {
         self.loads_to_fail.store(count, Ordering::Relaxed);
     }
@@ -64,7 +62,7 @@
         self.started.load(Ordering::Relaxed)
     }
 
-    /// fetch one adapter's weights; false if the load failed
+    /// Loads one adapter's weights; returns false if the load failed.
     pub async fn load(&self) -> bool {
         sleep_until(self.reserve_start_time().into()).await;
         self.started.fetch_add(1, Ordering::Relaxed);
@@ -92,7 +90,7 @@
     }
 }
 
-/// counts a running load until it is dropped
+/// Counts a running load until it is dropped.
 struct RunningLoad<'a>(&'a AtomicU32);
 
 impl Drop for RunningLoad<'_> {
--- a/testkit/src/users_platform/backend_responses.rs
+++ b/testkit/src/users_platform/backend_responses.rs
@@ -18,13 +18,13 @@
 
 const BODY: &[u8] = b"the whole answer";
 const INVALID_BYTES: &[u8] = b"\x16\x03\x01 no answer in the protocol\r\n\r\n";
-/// when a late second answer comes
+/// Delay of a late second response.
 const EXTRA_RESPONSE_DELAY: Duration = Duration::from_millis(150);
-/// how long a request runs under which the back end ends
+/// Time from the head of the response until the back end crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 const FOREVER: Duration = Duration::from_secs(30);
 
-/// run one request, or refuse it, as the fault of the moment says
+/// Runs or rejects a request as the current fault requires.
 pub async fn respond(
     socket: &mut TcpStream,
     state: &Arc<Mutex<BackendState>>,
@@ -70,7 +70,7 @@
     }
 }
 
-/// frees a place when the run is over
+/// Counts a running request until it is dropped.
 struct RunningRequest(Arc<Mutex<BackendState>>);
 
 impl Drop for RunningRequest {
@@ -88,7 +88,7 @@
     state.fault
 }
 
-/// the status of a refusal, if the request is not run
+/// Returns the status with which a request is rejected, or `None` if it is run.
 fn rejection_status(state: &Mutex<BackendState>, head: &Head, fault: BackendFault) -> Option<u16> {
     let mut state = lock(state);
     if fault == BackendFault::Overloaded || state.running >= state.slots {
@@ -190,7 +190,7 @@
     }
 }
 
-/// a stream of numbered events in chunks, from one event on
+/// Streams numbered events in chunks, starting at one of them.
 async fn stream(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
@@ -223,7 +223,7 @@
     Ok(())
 }
 
-/// wait, and note if the caller closes meanwhile
+/// Waits and records whether the caller closes the connection meanwhile.
 async fn wait_or_disconnect(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
--- a/testkit/src/users_platform/backend_stand_in.rs
+++ b/testkit/src/users_platform/backend_stand_in.rs
@@ -20,57 +20,56 @@
     },
 };
 
-/// Unix ms at which back ends were started first
+/// Start time of the first incarnation of each back end, in Unix milliseconds.
 pub const FIRST_START_TIME_MS: u64 = 1_700_000_000_000;
-/// of the settings of the fleet: a back end that leaves gets nothing after it
+/// Same as `drain_ms` of the ingress settings: a leaving back end receives no request after it.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
-/// a limit binds this long after it was first named
+/// Time from the first announcement of a limit until it is enforced.
 pub const LIMIT_GRACE: Duration = Duration::from_secs(3);
-/// a caller is bound by a limit this long after an answer named it
+/// Time from the first announcement until requests count against the limit.
 const LIMIT_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
-/// time over which requests are counted against a limit
+/// Window over which requests are counted against a limit.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 pub const HEALTH_PATH: &str = "/health";
 
-/// what a back end is
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendKind {
     Engine,
     Plain,
 }
 
-/// how a back end misbehaves
+/// Fault that a back end injects into its responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BackendFault {
     #[default]
     None,
-    /// runs the request and closes with no answer
+    /// Runs the request and closes the connection without a response.
     CloseBeforeResponse,
-    /// breaks off within the body
+    /// Closes the connection in the middle of the body.
     TruncateBody,
-    /// no length: the end of the connection ends the body
+    /// Sends no `Content-Length`; the end of the connection ends the body.
     DelimitBodyByClose,
-    /// a second answer behind the first
+    /// Sends a second response right after the first one.
     ExtraResponse,
-    /// the answer to another request
+    /// Sends a response with the id of another request.
     WrongRequestId,
-    /// a success without its signature
+    /// Sends a successful response without the response stamp.
     WithoutStamp,
-    /// a body that something on the way has encoded
+    /// Declares a content encoding, as if an intermediary had encoded the body.
     EncodeBody,
-    /// runs it, and answers with this status
+    /// Runs the request and responds with this status.
     Status(u16),
-    /// says that it is full, and runs nothing
+    /// Responds with 503 and does not run the request.
     Overloaded,
-    /// answers, and answers once more a while later
+    /// Sends a second response some time after the first one.
     LateExtraResponse,
-    /// runs it and says nothing
+    /// Runs the request and sends nothing.
     Unresponsive,
-    /// runs it and sends bytes that are no answer
+    /// Runs the request and sends bytes that are not HTTP.
     InvalidBytes,
 }
 
-/// one request that a back end ran
+/// A request that a back end ran.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub request: String,
@@ -78,69 +77,70 @@
     pub target: String,
     pub body: Vec<u8>,
     pub headers: std::collections::HashMap<String, String>,
-    /// its caller closed the connection before the end
+    /// Whether the caller closed the connection before the end.
     pub client_disconnected: bool,
 }
 
-/// what a stand-in's tests look at and change
+/// State of a back end that tests inspect and change.
 #[derive(Debug)]
 pub struct BackendState {
     pub id: String,
-    /// Unix ms of its start
+    /// Start time of this incarnation, in Unix milliseconds.
     pub start_time_ms: u64,
     pub kind: BackendKind,
     pub fault: BackendFault,
-    /// requests that the fault still strikes
+    /// Number of further requests that the fault affects.
     pub fault_requests_left: u32,
     pub runs: Vec<Run>,
-    /// requests that arrived, also those that were refused
+    /// Time and id of all requests received, including rejected ones.
     pub arrivals: Vec<(Instant, String)>,
-    /// orders taken in all lives
+    /// Orders accepted by all incarnations.
     pub all_orders: Vec<TakenOrder>,
     pub orders: EngineOrders,
-    /// requests that run at once; more are refused as not run
+    /// Maximum number of concurrent requests; further ones are rejected as not run.
     pub slots: u32,
     pub running: u32,
-    /// time that a plain request runs
+    /// Time that a request to a plain back end takes.
     pub delay: Duration,
-    /// parts of a stream, and the time between two
+    /// Number of events in a stream and the time between two of them.
     pub event_count: u32,
     pub event_interval: Duration,
-    /// added to that time for each request that runs in the batch
+    /// Added to `event_interval` for each running request.
     pub event_interval_per_run: Duration,
-    /// a run of a request with this body ends the back end
+    /// A request with this body crashes the back end.
     pub crash_body: Option<Vec<u8>>,
-    /// it says in all its answers that it leaves
+    /// Whether all responses carry the `Server-Leaving` header.
     pub announces_leaving: bool,
-    /// the requests a second that it says, in all its answers, that it takes
+    /// Limit in requests per second that all responses carry, if any.
     pub advertised_limit: Option<f64>,
-    /// when a request was first answered with a limit
+    /// Time of the first request that was answered with the limit.
     limit_announced_at: Option<Instant>,
-    /// requests that came beyond its limit in the worst window
+    /// Maximum number of requests beyond the limit in one window.
     pub requests_over_limit: usize,
-    /// headers of all its answers that no page names
+    /// Headers added to all responses that are not part of the protocol.
     pub extra_headers: Vec<(&'static str, String)>,
-    /// the rest that it asks for when it says that it is full
+    /// Back-off requested by responses that reject a request as overloaded.
     pub requested_backoff: Option<Duration>,
-    /// when a request was first answered with the word that it leaves
+    /// Time of the first request that was answered with the leaving signal.
     pub leaving_announced_at: Option<Instant>,
-    /// requests that came later than its drain after that
+    /// Number of requests received more than `DRAIN` after that.
     pub requests_while_leaving: usize,
-    /// it turns orders away, too, while it asks for rest
+    /// Whether orders are rejected too.
     pub rejects_orders: bool,
-    /// calls of its sidecar: orders, reports and questions for its identity
+    /// Times of the sidecar's calls: orders, reports and instance id queries; recorded while
+    /// orders are rejected.
     pub calls: Vec<Instant>,
-    /// when it asked for rest
+    /// Start and duration of each requested back-off.
     pub backoffs: Vec<(Instant, Duration)>,
-    /// time after its end until it is back, as another incarnation
+    /// Time from a crash until the next incarnation starts.
     pub restart_delay: Duration,
-    /// times that it has ended under a run
+    /// Number of crashes caused by a request.
     pub crashes: u32,
     has_crashed: Arc<Notify>,
 }
 
 impl BackendState {
-    /// headers of all its answers
+    /// Returns the headers with which every response reports the state of the back end.
     pub fn signal_headers(&self) -> Vec<(&'static str, String)> {
         let leaving = self
             .announces_leaving
@@ -151,7 +151,7 @@
         let odd = self.extra_headers.iter().cloned();
         leaving.into_iter().chain(limit).chain(odd).collect()
     }
-    /// headers of an answer that turns a request away
+    /// Returns the headers of a response that rejects a request.
     pub fn rejection_headers(&mut self, now: Instant) -> Vec<(&'static str, String)> {
         let mut signals = self.signal_headers();
         if let Some(rest) = self.requested_backoff {
@@ -160,7 +160,7 @@
         }
         signals
     }
-    /// a request has come
+    /// Records a received request.
     pub fn on_arrival(&mut self, request: &str, now: Instant) {
         self.arrivals.push((now, request.to_string()));
         self.check_limit(now);
@@ -169,7 +169,7 @@
             self.requests_while_leaving += usize::from(now - announced_at > DRAIN);
         }
     }
-    /// it takes so many requests a second from now on, or what comes
+    /// Sets the advertised limit in requests per second; `None` removes it.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
         self.advertised_limit = per_s;
         self.limit_announced_at = None;
@@ -188,13 +188,14 @@
         let over = bound.count().saturating_sub(max_requests_in_window(per_s));
         self.requests_over_limit = self.requests_over_limit.max(over);
     }
-    /// nobody is bound any more by what it has said
+    /// Forgets which signals were sent, so that callers are no longer expected to honor them.
     pub fn reset_signals(&mut self) {
         self.limit_announced_at = None;
         self.leaving_announced_at = None;
         self.backoffs.clear();
     }
-    /// the most requests that came in one of its rests, once the callers could know of it
+    /// Returns the maximum number of requests and calls received during one back-off, not
+    /// counting the first `known_after` of it.
     pub fn max_requests_in_backoff(&self, known_after: Duration) -> usize {
         let within = |(asked, rest): &(Instant, Duration)| {
             let arrivals = self.arrivals.iter().map(|(at, _)| *at);
@@ -204,7 +205,8 @@
         };
         self.backoffs.iter().map(within).max().unwrap_or(0)
     }
-    /// the most requests that came within some time, of those that came after a moment
+    /// Returns the maximum number of requests received after a moment within any interval of a
+    /// length.
     pub fn max_arrivals_within(&self, time: Duration, after: Instant) -> usize {
         let came = self.arrivals.iter().map(|(at, _)| *at);
         let mut came: Vec<Instant> = came.filter(|at| *at > after).collect();
@@ -217,7 +219,7 @@
     pub fn crashes_on(&self, body: &[u8]) -> bool {
         self.crash_body.as_deref() == Some(body)
     }
-    /// it ends with all that it runs and holds, and comes back under another name
+    /// Ends the current incarnation; the next one has another id and holds no adapters.
     pub fn crash(&mut self) {
         self.crashes += 1;
         self.start_time_ms += 1;
@@ -228,16 +230,16 @@
     }
 }
 
-/// the most requests that may come within a window, where a limit is named
+/// Returns the maximum number of requests that a caller may send within a window.
 pub fn max_requests_in_window(per_s: f64) -> usize {
     (1.5 * per_s * LIMIT_WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// an engine or a copy of a plain service
+/// Stand-in for an engine or for a replica of a plain service.
 pub struct BackendStandIn {
     pub addr: SocketAddr,
     state: Arc<Mutex<BackendState>>,
-    /// changes with each life; connections end with theirs
+    /// Changes with each incarnation, which closes the connections of the previous one.
     incarnations: watch::Sender<u64>,
     server: JoinHandle<()>,
 }
@@ -326,14 +328,14 @@
     pub fn orders(&self) -> Vec<TakenOrder> {
         self.state().orders.taken.clone()
     }
-    /// strike the next requests with a fault
+    /// Injects a fault into the next requests.
     pub fn set_fault(&self, fault: BackendFault, requests: u32) {
         let mut state = self.state();
         state.fault = fault;
         state.fault_requests_left = requests;
     }
-    /// start again under the same name: it holds nothing, counts anew, and all its
-    /// connections are closed
+    /// Restarts under the same id: the engine holds nothing, its sequence numbers start again and
+    /// all connections are closed.
     pub fn restart(&self, start_time_ms: u64) {
         let mut state = self.state();
         state.start_time_ms = start_time_ms;
@@ -344,7 +346,7 @@
         drop(state);
         self.incarnations.send_replace(start_time_ms);
     }
-    /// come back as another incarnation that holds nothing
+    /// Continues as another incarnation that holds nothing.
     pub fn restart_with_id(&self, id: &str) {
         let mut state = self.state();
         state.id = id.to_string();
@@ -354,7 +356,7 @@
     }
 }
 
-/// serve a connection until it ends, or the life of the back end
+/// Serves a connection until it or the incarnation of the back end ends.
 fn spawn_connection(
     socket: TcpStream,
     state: &Arc<Mutex<BackendState>>,
--- a/testkit/src/users_platform/client.rs
+++ b/testkit/src/users_platform/client.rs
@@ -9,10 +9,9 @@
     },
 };
 
-/// far beyond what any machine needs; it only keeps a failure from hanging
+/// Keeps a failing test from hanging; far longer than any response takes.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// a client's request
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub method: &'static str,
@@ -20,7 +19,7 @@
     pub host: String,
     pub id: String,
     pub deadline_ms: u64,
-    /// `MODEL/ADAPTER`
+    /// Model and adapter as `MODEL/ADAPTER`.
     pub adapter: Option<String>,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -41,17 +40,17 @@
     }
 }
 
-/// an answer as a client saw it
+/// Response as received by a client.
 #[derive(Debug, Clone)]
 pub struct ClientResponse {
     pub status: u16,
     pub head: Head,
     pub body: Vec<u8>,
-    /// the body ended as its framing says
+    /// Whether the body ended as its framing requires.
     pub is_complete: bool,
 }
 
-/// a stream that its client still reads
+/// Response whose body is still being received.
 pub struct OpenStream {
     pub head: Head,
     socket: TcpStream,
@@ -85,19 +84,19 @@
     }
 }
 
-/// send a request on a new connection and read the whole answer
+/// Sends a request on a new connection and reads the complete response.
 pub async fn request(addr: SocketAddr, request: &ClientRequest) -> Result<ClientResponse> {
     let stream = open_stream(addr, request).await?;
     stream.finish().await
 }
 
-/// send a request on a new connection and read the head of the answer
+/// Sends a request on a new connection and reads the head of the response.
 pub async fn open_stream(addr: SocketAddr, request: &ClientRequest) -> Result<OpenStream> {
     let socket = TcpStream::connect(addr).await.context("connect")?;
     send_on(socket, request).await
 }
 
-/// send a request on a connection that is open, and read the head of the answer
+/// Sends a request on an open connection and reads the head of the response.
 pub async fn send_on(mut socket: TcpStream, request: &ClientRequest) -> Result<OpenStream> {
     socket.write_all(&request.text()).await.context("send")?;
     let head = timeout(RESPONSE_TIMEOUT, read_head(&mut socket)).await??;
@@ -107,11 +106,11 @@
 }
 
 impl OpenStream {
-    /// read on to the end
+    /// Reads the rest of the response.
     pub async fn finish(self) -> Result<ClientResponse> {
         Ok(self.finish_and_keep_connection().await?.0)
     }
-    /// the same, and keep the connection
+    /// Reads the rest of the response and returns it with the connection.
     pub async fn finish_and_keep_connection(mut self) -> Result<(ClientResponse, TcpStream)> {
         let status = self.head.line.get(1).and_then(|s| s.parse().ok());
         let status = status.context("a status")?;
@@ -142,7 +141,7 @@
             None => self.seen.ends_with(b"0\r\n\r\n"),
         }
     }
-    /// bytes that came after the whole answer, for a short time
+    /// Returns the number of bytes that arrive after the complete response within a short time.
     pub async fn extra_bytes(&mut self) -> Result<usize> {
         let before = self.seen.len();
         let read = self.socket.read_buf(&mut self.seen);
--- a/testkit/src/users_platform/engine_orders.rs
+++ b/testkit/src/users_platform/engine_orders.rs
@@ -10,7 +10,6 @@
 pub const ADAPTER_SLOTS: usize = 2;
 const LOAD_TIME: Duration = Duration::from_millis(60);
 
-/// one order as it was taken
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TakenOrder {
     pub operation: String,
@@ -19,7 +18,7 @@
     pub fence: u64,
 }
 
-/// what an engine holds, and the orders that changed it
+/// Adapters that an engine holds, and the orders that changed them.
 #[derive(Debug, Default)]
 pub struct EngineOrders {
     pub held: HashMap<String, u64>,
@@ -27,15 +26,15 @@
     pub versions: HashMap<String, u64>,
     pub taken: Vec<TakenOrder>,
     pub highest_fence: u64,
-    /// its base model was not loaded since its start
+    /// Whether the base model has not been loaded since the engine's start.
     pub is_base_model_missing: bool,
-    /// most adapters held and on their way at any time
+    /// Maximum number of adapters held and loading at the same time.
     pub max_adapters: usize,
 }
 
 impl EngineOrders {
-    /// those of a new life, which holds nothing; the weight store has the newest versions
-    /// still, and a load brings them
+    /// Returns the state after a restart, which holds nothing but still loads the newest
+    /// versions from the weight store.
     pub fn next_incarnation(&self) -> Self {
         Self {
             versions: self.versions.clone(),
@@ -43,7 +42,7 @@
         }
     }
 
-    /// carry out an order; gives the status of the answer
+    /// Executes an order and returns the status of the response.
     pub fn order(&mut self, body: &[u8], now: Instant) -> u16 {
         self.complete_loads(now);
         let Ok(order) = serde_json::from_slice::<Value>(body) else {
--- a/testkit/src/users_platform/fleet.rs
+++ b/testkit/src/users_platform/fleet.rs
@@ -27,30 +27,29 @@
 const ENGINE_SERVICE: &str = "engines";
 const PLAIN_SERVICE: &str = "plain";
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// last byte of the first engine's address
+/// Last octet of the first engine's address.
 const FIRST_ENGINE_HOST: u8 = 10;
 
-/// what a fleet is made of
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
-    /// availability zones and their regions: the first is the ingress's, back ends of each
-    /// kind are in one after the other
+    /// Zones with their regions: the ingress is in the first one, the back ends of each kind are
+    /// distributed round-robin.
     pub zones: Vec<(&'static str, &'static str)>,
     pub engines: u8,
     pub plain: u8,
-    /// publish a configuration before the start
+    /// Whether a configuration is published before the start.
     pub publish_config: bool,
     pub timeout_ms: u64,
     pub grace_s: f64,
-    /// engines from which on the ingress uses a relay
+    /// Number of engines from which on the ingress uses a relay.
     pub relays_from_engines: usize,
-    /// a key that was taken away is not used after this time, in ms
+    /// Maximum time for which a revoked key is accepted, in ms.
     pub revoke_ms: Option<u64>,
-    /// the ingress reaches the store by a forwarder that can be silenced
+    /// Whether the ingress reaches the store through a forwarder that can inject faults.
     pub has_store_forwarder: bool,
-    /// sidecars know an address of the store that answers; else a dead one
+    /// Whether the sidecars get the address of the store; otherwise nothing listens at theirs.
     pub can_sidecars_reach_store: bool,
-    /// programs that are not those of this build
+    /// Programs to start instead of those of this build.
     pub entry_program: Option<PathBuf>,
     pub sidecar_program: Option<PathBuf>,
 }
@@ -74,7 +73,7 @@
     }
 }
 
-/// one ingress, and the sidecars of its engines, among stand-ins
+/// An ingress, the sidecars of its engines, and stand-ins for the rest.
 pub struct Fleet {
     pub store: StoreStandIn,
     pub store_forwarder: Option<TcpForwarder>,
@@ -92,7 +91,7 @@
     version: u64,
 }
 
-/// one more ingress of a fleet
+/// Additional ingress of a fleet.
 pub struct OtherIngress {
     pub process: Process,
     pub clients: SocketAddr,
@@ -101,7 +100,7 @@
 }
 
 impl Fleet {
-    /// start everything and wait until the sidecars listen and the ingress is ready
+    /// Starts all processes and waits until the sidecars listen and the ingress is ready.
     pub async fn start(settings: FleetSettings) -> Result<Self> {
         let folder = std::env::temp_dir().join(format!(
             "chalkcart-{}-{}",
@@ -145,7 +144,7 @@
             "drain_ms": 2000, "store_reads_per_s": 2000,
             "relays_from_engines": settings.relays_from_engines,
         });
-        // builds before fc8906b do not know it
+        // older builds reject this key as unknown
         if settings.entry_program.is_none() {
             document["first_start"] = json!(true);
         }
@@ -198,12 +197,12 @@
         }
     }
 
-    /// start one more ingress among the same stand-ins
+    /// Starts an additional ingress in the first zone.
     pub async fn start_other_ingress(&self, name: &str) -> Result<OtherIngress> {
         let zone = self.settings.zones[0].0;
         self.start_other_ingress_in_zone(name, zone).await
     }
-    /// the same, in an availability zone
+    /// Starts an additional ingress in a zone.
     pub async fn start_other_ingress_in_zone(
         &self,
         name: &str,
@@ -230,7 +229,7 @@
         })
     }
 
-    /// start the ingress again, as the platform does after its end
+    /// Restarts the ingress with `first_start` off, as the platform does after an exit.
     pub fn restart_ingress(&mut self) -> Result<()> {
         let mut document: Value = serde_json::from_slice(&fs::read(&self.settings_file)?)?;
         if let Some(document) = document.as_object_mut() {
@@ -242,23 +241,22 @@
         fs::write(&self.settings_file, document.to_string())?;
         self.start_ingress()
     }
-    /// start it with the settings file as it is
+    /// Starts the ingress with the current settings file.
     pub fn start_ingress(&mut self) -> Result<()> {
         let file = self.settings_file.display().to_string();
         let program = entry_program(&self.settings)?;
         self.ingress = Process::spawn(&program, &["ingress", &file], &self.log_file)?;
         Ok(())
     }
-    /// programs of the processes that are started from now on; none for those of this build
+    /// Sets the programs of processes started from now on; `None` selects those of this build.
     pub fn set_programs(&mut self, entry: Option<PathBuf>, sidecar: Option<PathBuf>) {
         self.settings.entry_program = entry;
         self.settings.sidecar_program = sidecar;
     }
-    /// where the sidecar of an engine listens
+    /// Returns the address on which the sidecar of an engine listens.
     pub fn sidecar_addr(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.engines[number].addr.ip(), self.sidecar_port)
     }
-    /// start the sidecar of an engine
     pub fn start_sidecar(&self, number: u8) -> Result<Process> {
         let engine = self.engines[usize::from(number)].addr;
         let listen = self.sidecar_addr(usize::from(number));
@@ -283,7 +281,7 @@
         Process::spawn(&program, &["--place", &file], &log)
     }
 
-    /// write the row of an engine or a plain service into the list
+    /// Writes the record of an engine or a plain back end to the store.
     pub fn publish_backend(&self, service: &str, number: usize, state: &str) {
         let backend = match service {
             ENGINE_SERVICE => &self.engines[number],
@@ -306,7 +304,7 @@
         self.publish_backend(PLAIN_SERVICE, number, state);
     }
 
-    /// publish the next configuration, changed in this way
+    /// Publishes the next configuration with a change applied to the default one.
     pub fn configure(&mut self, change: impl FnOnce(&mut Value)) {
         self.version += 1;
         let route = |name: &str, prefix: &str, kind: &str, service: &str, attempts: u32| {
@@ -339,26 +337,24 @@
         self.store.put("op/config", document);
     }
 
-    /// of the newest configuration
+    /// Returns the version of the newest configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
     pub async fn is_ready(&self) -> bool {
         is_ready(self.readiness).await
     }
-    /// the page of metrics, empty if it is not served now
+    /// Returns the metrics page of the ingress, or an empty string if it is not served.
     pub async fn metrics_text(&self) -> String {
         metrics_text(self.metrics).await
     }
     pub async fn wait_ready(&self) {
         until_async("the ingress is ready", || self.is_ready()).await;
     }
-    /// the lines that the sidecar of an engine has logged
     pub fn sidecar_log(&self, number: usize) -> String {
         let file = format!("side-{number}.log");
         fs::read_to_string(self.settings_file.with_file_name(file)).unwrap_or_default()
     }
-    /// the lines that the ingress has logged
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log_file).unwrap_or_default()
     }
@@ -371,7 +367,7 @@
     }
 }
 
-/// whether the process with this readiness page takes clients
+/// Returns whether the process with this readiness address accepts clients.
 async fn is_ready(readiness: SocketAddr) -> bool {
     let path = "/chalkcart/ready";
     let asked = HttpClient::new()
@@ -387,7 +383,7 @@
     asked.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
-/// an ingress's page of metrics, empty if it is not served now
+/// Returns an ingress's metrics page, or an empty string if it is not served.
 pub async fn metrics_text(metrics: SocketAddr) -> String {
     let http = HttpClient::new();
     let asked = http.exchange(
--- a/testkit/src/users_platform/mod.rs
+++ b/testkit/src/users_platform/mod.rs
@@ -1,6 +1,6 @@
-//! stand-ins for the users' platform, met over the wire: its store, its
-//! engines and plain services with their faults, clients, and a fleet of our
-//! real processes between them
+//! Stand-ins for the users' platform as seen over the network: its store, engines and plain
+//! services with injected faults, its clients, and a fleet of real ingress and sidecar
+//! processes between them.
 
 mod backend_responses;
 mod backend_stand_in;
--- a/testkit/src/users_platform/prompts.rs
+++ b/testkit/src/users_platform/prompts.rs
@@ -3,7 +3,7 @@
     anyhow::Result,
 };
 
-/// a prompt on an adapter
+/// Returns a request for a prompt on an adapter.
 pub fn prompt(adapter: &str, id: &str) -> ClientRequest {
     ClientRequest {
         target: "/stream/".to_string(),
@@ -13,7 +13,8 @@
     }
 }
 
-/// ask until it is served; refusals say that nothing ran
+/// Sends a prompt until it is served; a 503 response means that it did not run, so it may be sent
+/// again.
 pub async fn serve_prompt(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
     loop {
         let answer = request(fleet.clients, &prompt(adapter, id)).await?;
@@ -23,7 +24,7 @@
     }
 }
 
-/// how often engines ran a request
+/// Returns how many times the engines ran a request.
 pub fn engine_runs(fleet: &Fleet, id: &str) -> usize {
     let all = fleet.engines.iter().flat_map(|e| e.runs());
     all.filter(|run| run.request == id).count()
--- a/testkit/src/users_platform/retrying_clients.rs
+++ b/testkit/src/users_platform/retrying_clients.rs
@@ -9,28 +9,28 @@
     tokio::time::sleep,
 };
 
-/// how clients press on an ingress
+/// Clients that each send a request and retry it when it is rejected.
 #[derive(Debug, Clone)]
 pub struct RetryingClients {
-    /// requests, begun one after the other
+    /// Number of requests, started one after the other.
     pub requests: u32,
     pub gap: Duration,
-    /// tries of one request beyond its first
+    /// Maximum number of retries per request.
     pub retries: u32,
-    /// come back when told to; otherwise at once
+    /// Whether retries wait for `Retry-After`; otherwise they are sent at once.
     pub honors_retry_after: bool,
 }
 
-/// all tries of one request
+/// All attempts of one request.
 #[derive(Debug)]
 pub struct AttemptHistory {
-    /// ids of the tries, in order
+    /// Request ids of the attempts, in order.
     pub request_ids: Vec<String>,
     pub responses: Vec<ClientResponse>,
     pub took: Duration,
 }
 
-/// press with copies of a request; each try has an id of its own
+/// Sends copies of a request and retries those that are rejected; each attempt has its own id.
 pub async fn send_with_retries(
     addr: SocketAddr,
     sent: &ClientRequest,
--- a/testkit/src/users_platform/store_stand_in.rs
+++ b/testkit/src/users_platform/store_stand_in.rs
@@ -20,45 +20,44 @@
 };
 
 const ITEMS_PER_PAGE: usize = 3;
-/// one item by its key; our processes read ranges only
+/// Path for reading one item; the processes under test read ranges only.
 const KEY_PATH: &str = "/chalkcart/kv-key";
 
-/// how the store misbehaves
+/// Fault that the store injects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StoreFault {
     #[default]
     None,
-    /// answers nothing
+    /// Never responds.
     Unresponsive,
-    /// answers each call with this status
+    /// Responds to each call with this status.
     Status(u16),
-    /// closes each connection
+    /// Closes each connection.
     Reset,
 }
 
-/// values as they are written, in base64 or not, by key, with the revision of their
-/// last change
+/// Values by key, as they were written, with the revision of their last change.
 type Items = BTreeMap<String, (String, u64)>;
 
 #[derive(Debug, Default)]
 struct State {
     items: Items,
-    /// changes: revision, key, value or none
+    /// Changes: revision, key and value, or `None` for a deletion.
     history: Vec<(u64, String, Option<String>)>,
-    /// changes up to this revision are forgotten
+    /// Changes up to this revision have been removed from the history.
     forgotten: u64,
     revision: u64,
     fault: StoreFault,
-    /// target of each call
+    /// Target of each call.
     calls: Vec<String>,
-    /// connections so far, and how many of them say nothing more
+    /// Connections accepted so far; those up to `silent_connections` get no more responses.
     connections: u64,
     silent_connections: u64,
-    /// what stale reads see, if not the present
+    /// Items and revision that stale reads return instead of the current ones.
     stale: Option<(Items, u64)>,
 }
 
-/// the platform's store
+/// Stand-in for the platform's store.
 pub struct StoreStandIn {
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -95,11 +94,11 @@
     pub fn put(&self, key: &str, value: Value) {
         self.put_bytes(key, value.to_string().as_bytes());
     }
-    /// another writer's value
+    /// Writes a value, encoded in base64.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.put_text(key, &STANDARD.encode(value));
     }
-    /// another writer's value, not as values are written
+    /// Writes a value without encoding it.
     pub fn put_text(&self, key: &str, text: &str) {
         self.change(key, Some(text.to_string()));
     }
@@ -109,23 +108,23 @@
     pub fn set_fault(&self, fault: StoreFault) {
         lock(&self.state).fault = fault;
     }
-    /// forget all changes; watches from before get 410
+    /// Removes all changes from the history; watches from earlier revisions get 410.
     pub fn compact_history(&self) {
         let mut state = lock(&self.state);
         state.history.clear();
         state.forgotten = state.revision;
     }
-    /// from now on stale reads see the present state, whatever changes
+    /// Makes stale reads return the current state from now on.
     pub fn freeze_stale_reads(&self) {
         let mut state = lock(&self.state);
         state.stale = Some((state.items.clone(), state.revision));
     }
-    /// the connections that are open say nothing more; new ones are served
+    /// Stops responding on open connections; new ones are served.
     pub fn silence_connections(&self) {
         let mut state = lock(&self.state);
         state.silent_connections = state.connections;
     }
-    /// targets of all calls, in their order
+    /// Returns the targets of all calls in order.
     pub fn calls(&self) -> Vec<String> {
         lock(&self.state).calls.clone()
     }
--- a/testkit/src/users_platform/wire.rs
+++ b/testkit/src/users_platform/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 by hand, since stand-ins must be able to break it
+//! A minimal HTTP/1.1 implementation that lets stand-ins violate the protocol.
 
 use {
     anyhow::{bail, Context, Result},
@@ -11,18 +11,18 @@
 
 const MAX_HEAD: usize = 64 * 1024;
 
-/// the head of a message, its first line split at spaces
+/// Head of a message, with the first line split at spaces.
 #[derive(Debug, Clone, Default)]
 pub struct Head {
     pub line: Vec<String>,
-    /// names in lower case
+    /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
-    /// bytes that came behind the head
+    /// Bytes received after the head.
     pub rest: Vec<u8>,
 }
 
 impl Head {
-    /// of a request: its path and query
+    /// Returns the path and query of a request.
     pub fn target(&self) -> String {
         self.line.get(1).cloned().unwrap_or_default()
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// read a head; none if the peer closed before one
+/// Reads a head; `None` if the peer closed the connection before one was complete.
 pub async fn read_head(socket: &mut TcpStream) -> Result<Option<Head>> {
     let mut buf = Vec::new();
     let end = loop {
@@ -62,7 +62,7 @@
     }))
 }
 
-/// read the body that a head announces by its length
+/// Reads a body of the length that the head declares.
 pub async fn read_body(socket: &mut TcpStream, head: &Head) -> Result<Vec<u8>> {
     let length = head.number("content-length").unwrap_or(0) as usize;
     let mut body = head.rest.clone();
@@ -74,7 +74,7 @@
     Ok(body)
 }
 
-/// write an answer with a length
+/// Writes a response with a `Content-Length`.
 pub async fn write_response(
     socket: &mut TcpStream,
     status: u16,
--- a/testkit/src/waiting.rs
+++ b/testkit/src/waiting.rs
@@ -1,4 +1,4 @@
-//! waiting for what a test expects to come about
+//! Waits for conditions in tests.
 
 use {
     std::{
@@ -9,15 +9,15 @@
 };
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// far beyond what any machine needs; it only keeps a failure from hanging
+/// Keeps a failing test from hanging; far longer than any condition takes.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// wait until a condition holds
+/// Waits until a condition holds.
 pub async fn until(what: &str, condition: impl Fn() -> bool) {
     until_async(what, || async { condition() }).await;
 }
 
-/// the same for a condition that has to be asked for
+/// Waits until an asynchronous condition holds.
 pub async fn until_async<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
