--- a/testkit/src/cluster/binaries.rs
+++ b/testkit/src/cluster/binaries.rs
@@ -32,7 +32,7 @@
     }
     /// Builds the programs once and returns their paths.
     pub fn get() -> Result<Self> {
-        let _one_at_a_time = BUILDING.lock().unwrap_or_else(|e| e.into_inner());
+        let _build_lock = BUILDING.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(built) = BUILT.get() {
             return Ok(built.clone());
         }
@@ -58,7 +58,7 @@
     }
     let status = command.status().context("run cargo")?;
     if !status.success() {
-        bail!("cargo build of the programs: {status}");
+        bail!("cargo build of the programs failed: {status}");
     }
     Ok(Binaries {
         entry: folder.join("chalkcart"),
--- a/testkit/src/cluster/fleet.rs
+++ b/testkit/src/cluster/fleet.rs
@@ -130,11 +130,11 @@
             generation,
             timeout_ms: IN_FORCE_TIMEOUT_MS,
         };
-        let answer = admin.wait_in_force(req).await?.into_inner();
+        let response = admin.wait_in_force(req).await?.into_inner();
         ensure!(
-            answer.in_force,
+            response.in_force,
             "generation {generation} is missing on {:?}",
-            answer.missing
+            response.missing
         );
         Ok(())
     }
@@ -287,8 +287,8 @@
     }
 }
 
-async fn forwarder(wanted: bool, listen: SocketAddr) -> Result<Option<TcpForwarder>> {
-    match wanted {
+async fn forwarder(is_enabled: bool, listen: SocketAddr) -> Result<Option<TcpForwarder>> {
+    match is_enabled {
         true => Ok(Some(TcpForwarder::start(listen, Duration::ZERO).await?)),
         false => Ok(None),
     }
--- a/testkit/src/cluster/node.rs
+++ b/testkit/src/cluster/node.rs
@@ -50,26 +50,32 @@
 }
 
 impl Node {
-    pub fn start(start: NodeOptions) -> Result<Self> {
+    pub fn start(options: NodeOptions) -> Result<Self> {
         let binaries = Binaries::get()?;
-        let program = match start.role {
+        let program = match options.role {
             Role::Entry => binaries.entry,
             Role::Engine { .. } | Role::Service { .. } => binaries.sidecar,
         };
         let file = |ending: &str| {
-            let name = format!("{}-{}.{ending}", start.name, start.listen.port());
-            start.folder.join(name)
+            let name = format!("{}-{}.{ending}", options.name, options.listen.port());
+            options.folder.join(name)
         };
         let (settings_file, log_file) = (file("json"), file("log"));
-        fs::write(&settings_file, serde_json::to_vec_pretty(&start.settings)?)?;
-        let process = spawn(&program, &start.role, &settings_file, &log_file)?;
+        fs::write(
+            &settings_file,
+            serde_json::to_vec_pretty(&options.settings)?,
+        )?;
+        let process = spawn(&program, &options.role, &settings_file, &log_file)?;
         Ok(Self {
-            name: start.name.to_string(),
-            zone: start.zone.to_string(),
-            role: start.role,
-            listen: start.listen,
-            listed_addr: start.forwarder.as_ref().map_or(start.listen, |f| f.addr),
-            forwarder: start.forwarder,
+            name: options.name.to_string(),
+            zone: options.zone.to_string(),
+            role: options.role,
+            listen: options.listen,
+            listed_addr: options
+                .forwarder
+                .as_ref()
+                .map_or(options.listen, |f| f.addr),
+            forwarder: options.forwarder,
             process,
             program,
             settings_file,
@@ -101,10 +107,10 @@
 
     /// Waits until `/readyz` responds with 200.
     pub async fn wait_ready(&self) -> Result<()> {
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
             ensure!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "{} is not ready; its log:\n{}",
                 self.name,
                 self.log()
@@ -116,7 +122,7 @@
 
     pub async fn is_ready(&self) -> bool {
         let (status, _) = match self.get("/readyz").await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => return false,
         };
         status == StatusCode::OK
--- a/testkit/src/cluster/process.rs
+++ b/testkit/src/cluster/process.rs
@@ -43,8 +43,10 @@
     }
     /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) -> Result<()> {
-        self.child.kill().context("kill")?;
-        self.child.wait().context("wait after a kill")?;
+        self.child.kill().context("send SIGKILL")?;
+        self.child
+            .wait()
+            .context("wait for the exit after SIGKILL")?;
         Ok(())
     }
     /// Sends SIGSTOP and waits until all threads are stopped, which may be some time after the
@@ -97,13 +99,16 @@
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
     /// Waits for the exit, up to a time limit.
-    pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus> {
-        let until = Instant::now() + limit;
+    pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            anyhow::ensure!(Instant::now() < until, "still runs after {limit:?}");
+            anyhow::ensure!(
+                Instant::now() < deadline,
+                "process still runs after {timeout:?}"
+            );
             sleep(EXIT_POLL_INTERVAL).await;
         }
     }
--- a/testkit/src/load/calls.rs
+++ b/testkit/src/load/calls.rs
@@ -43,28 +43,28 @@
     req: GenerateRequest,
 ) -> Result<Completion, Box<Failure>> {
     let started = Instant::now();
-    let mut answer = Completion::default();
+    let mut completion = Completion::default();
     let failed = |status, tokens| Box::new(Failure::new(status, started.elapsed(), tokens));
     let response = client.generate(req).await.map_err(|e| failed(e, 0))?;
     let mut events = response.into_inner();
     loop {
         let event = events.message().await;
-        match event.map_err(|e| failed(e, answer.tokens.len()))? {
+        match event.map_err(|e| failed(e, completion.tokens.len()))? {
             None => break,
             Some(event) => match event.event {
                 Some(Event::Token(token)) => {
-                    if answer.tokens.is_empty() {
-                        answer.time_to_first_token = started.elapsed();
+                    if completion.tokens.is_empty() {
+                        completion.time_to_first_token = started.elapsed();
                     }
-                    answer.tokens.push(token.text);
+                    completion.tokens.push(token.text);
                 }
-                Some(Event::Finished(finished)) => answer.finished = Some(finished),
+                Some(Event::Finished(finished)) => completion.finished = Some(finished),
                 None => {}
             },
         }
     }
-    answer.duration = started.elapsed();
-    Ok(answer)
+    completion.duration = started.elapsed();
+    Ok(completion)
 }
 
 /// Calls a service; without a reserved id the call is repeatable.
@@ -85,9 +85,9 @@
         not_repeatable: !reserved_id.is_empty(),
         reserved_id: reserved_id.to_string(),
     };
-    let answer = client.call(req).await;
-    let answer = answer.map_err(|e| Box::new(Failure::new(e, started.elapsed(), 0)))?;
-    Ok(answer.into_inner().body)
+    let response = client.call(req).await;
+    let response = response.map_err(|e| Box::new(Failure::new(e, started.elapsed(), 0)))?;
+    Ok(response.into_inner().body)
 }
 
 pub async fn reserve_for_service(
--- a/testkit/src/load/completion.rs
+++ b/testkit/src/load/completion.rs
@@ -24,9 +24,9 @@
 }
 
 /// Checks a completion against its request.
-pub fn check_completion(req: &GenerateRequest, answer: &Completion) -> CompletionCheck {
+pub fn check_completion(req: &GenerateRequest, completion: &Completion) -> CompletionCheck {
     let expected = |index| expected_token(&req.adapter, req.version, &req.prompt, index);
-    let pairs = answer.tokens.iter().enumerate();
+    let pairs = completion.tokens.iter().enumerate();
     for (index, token) in pairs {
         if *token == expected(index) {
             continue;
@@ -37,13 +37,13 @@
             false => CompletionCheck::Mismatched,
         };
     }
-    let Some(finished) = &answer.finished else {
+    let Some(finished) = &completion.finished else {
         return CompletionCheck::Incomplete;
     };
     if finished.adapter != req.adapter || finished.version != req.version {
         return CompletionCheck::Mismatched;
     }
-    match answer.tokens.len() == req.max_tokens as usize {
+    match completion.tokens.len() == req.max_tokens as usize {
         true => CompletionCheck::Correct,
         false => CompletionCheck::Incomplete,
     }
--- a/testkit/src/load/open_loop.rs
+++ b/testkit/src/load/open_loop.rs
@@ -112,14 +112,14 @@
             ..GenerateRequest::default()
         };
         let client = clients[number as usize % clients.len()].clone();
-        let stream_event = move |event| StreamEvent {
+        let to_stream_event = move |event| StreamEvent {
             stream: index,
             is_measured: at >= settings.warm_up,
             event,
         };
         // the receiver is dropped only after all senders
-        let _ = events.send(stream_event(Event::Sent));
-        tokio::spawn(send_one(client, req, events.clone(), stream_event));
+        let _ = events.send(to_stream_event(Event::Sent));
+        tokio::spawn(send_one(client, req, events.clone(), to_stream_event));
     }
 }
 
@@ -127,13 +127,13 @@
     mut client: InferenceClient<Channel>,
     req: GenerateRequest,
     events: mpsc::UnboundedSender<StreamEvent>,
-    stream_event: impl Fn(Event) -> StreamEvent,
+    to_stream_event: impl Fn(Event) -> StreamEvent,
 ) {
     let event = match generate(&mut client, req.clone()).await {
-        Ok(answer) => Event::Completed(Box::new(req), answer),
+        Ok(completion) => Event::Completed(Box::new(req), completion),
         Err(failure) => Event::Failed(failure),
     };
-    let _ = events.send(stream_event(event));
+    let _ = events.send(to_stream_event(event));
 }
 
 async fn collect(
@@ -157,9 +157,9 @@
         match stream_event.event {
             Event::Sent => class.sent += 1,
             Event::Failed(failure) => count_failure(class, &failure),
-            Event::Completed(req, answer) => {
-                let is_good = check_completion(&req, &answer) == CompletionCheck::Correct;
-                count_completion(class, stream, &answer, is_good);
+            Event::Completed(req, completion) => {
+                let is_good = check_completion(&req, &completion) == CompletionCheck::Correct;
+                count_completion(class, stream, &completion, is_good);
             }
         }
     }
@@ -168,7 +168,7 @@
 
 fn token_count(event: &Event) -> u64 {
     match event {
-        Event::Completed(_, answer) => answer.tokens.len() as u64,
+        Event::Completed(_, completion) => completion.tokens.len() as u64,
         Event::Sent | Event::Failed(_) => 0,
     }
 }
@@ -178,9 +178,9 @@
     match event {
         Event::Sent => report.unfinished += 1,
         Event::Failed(_) => report.unfinished -= 1,
-        Event::Completed(req, answer) => {
+        Event::Completed(req, completion) => {
             report.unfinished -= 1;
-            match check_completion(req, answer) {
+            match check_completion(req, completion) {
                 CompletionCheck::Correct => {}
                 CompletionCheck::Mismatched => report.mismatched += 1,
                 CompletionCheck::Incomplete => report.incomplete += 1,
@@ -192,20 +192,20 @@
 fn count_completion(
     class: &mut ClassReport,
     stream: &RequestStream,
-    answer: &Completion,
+    completion: &Completion,
     is_good: bool,
 ) {
     if !is_good {
         return;
     }
     class.completed += 1;
-    class.tokens += answer.tokens.len() as u64;
-    class.within_target += u64::from(answer.time_to_first_token <= stream.first_token_target);
+    class.tokens += completion.tokens.len() as u64;
+    class.within_target += u64::from(completion.time_to_first_token <= stream.first_token_target);
     // auto-resizing histograms accept all values
     let _ = class
         .first_token
-        .record(answer.time_to_first_token.as_micros() as u64);
-    let _ = class.total.record(answer.duration.as_micros() as u64);
+        .record(completion.time_to_first_token.as_micros() as u64);
+    let _ = class.total.record(completion.duration.as_micros() as u64);
 }
 
 fn count_failure(class: &mut ClassReport, failure: &Failure) {
--- a/testkit/src/soak/checks.rs
+++ b/testkit/src/soak/checks.rs
@@ -32,13 +32,13 @@
     UnknownRequestRun { id: String },
     MultipleHolders { engine: String },
     FenceDecreased { engine: String },
-    TooManyAdapters { engine: String, most: usize },
+    TooManyAdapters { engine: String, max_held: usize },
     SentToLeaving { engine: String, requests: usize },
     BackoffNotHonored { engine: String, requests: usize },
-    LimitNotHonored { engine: String, over: usize },
+    LimitNotHonored { engine: String, excess: usize },
     ConfigurationRegressed { from: u64, to: u64 },
-    RetryBudgetExceeded { repeats: usize, allowed: usize },
-    TooManyCrashes { ended: u32, allowed: u32 },
+    RetryBudgetExceeded { retries: usize, allowed: usize },
+    TooManyCrashes { crashes: u32, allowed: u32 },
     UnexpectedExit { process: String },
     NotRecovered { what: String },
 }
@@ -150,10 +150,10 @@
     if backend.orders.windows(2).any(|w| w[1].fence < w[0].fence) {
         found.push(Violation::FenceDecreased { engine: engine() });
     }
-    if backend.most_adapters > ADAPTER_SLOTS {
+    if backend.max_adapters > ADAPTER_SLOTS {
         found.push(Violation::TooManyAdapters {
             engine: engine(),
-            most: backend.most_adapters,
+            max_held: backend.max_adapters,
         });
     }
     found
@@ -178,7 +178,7 @@
     if backend.requests_over_limit > 0 {
         found.push(Violation::LimitNotHonored {
             engine: engine(),
-            over: backend.requests_over_limit,
+            excess: backend.requests_over_limit,
         });
     }
     found
@@ -201,8 +201,8 @@
     let allowed = CRASHES_UNTIL_BLOCKED
         + MAX_LATE_CRASHES
         + CRASHES_UNTIL_BLOCKED * record.crash_registry_losses;
-    let ended = record.crashes;
-    (ended > allowed).then_some(Violation::TooManyCrashes { ended, allowed })
+    let crashes = record.crashes;
+    (crashes > allowed).then_some(Violation::TooManyCrashes { crashes, allowed })
 }
 
 /// Checks the retry budget of engines or of plain back ends: all arrivals after the first of
@@ -217,22 +217,22 @@
         .map(|(at, id)| (*at, !seen.insert(id)))
         .collect();
     let mut worst = None;
-    let (mut from, mut repeats, mut requests) = (0, 0, 0);
-    for (at, is_repeat) in &window_events {
-        match is_repeat {
-            true => repeats += 1,
+    let (mut from, mut retries, mut requests) = (0, 0, 0);
+    for (at, is_retry) in &window_events {
+        match is_retry {
+            true => retries += 1,
             false => requests += 1,
         }
         while *at - window_events[from].0 > record.retry_window {
             match window_events[from].1 {
-                true => repeats -= 1,
+                true => retries -= 1,
                 false => requests -= 1,
             }
             from += 1;
         }
         let allowed = (record.retry_ratio * requests as f64 + record.retry_extra) as usize;
-        if repeats > allowed {
-            worst = Some(Violation::RetryBudgetExceeded { repeats, allowed });
+        if retries > allowed {
+            worst = Some(Violation::RetryBudgetExceeded { retries, allowed });
         }
     }
     worst
--- a/testkit/src/soak/record.rs
+++ b/testkit/src/soak/record.rs
@@ -1,5 +1,5 @@
 use {
-    crate::users_platform::TakenOrder,
+    crate::users_platform::AcceptedOrder,
     std::{
         collections::HashMap,
         time::{Duration, Instant},
@@ -47,9 +47,9 @@
     /// Request ids, one for each run.
     pub runs: Vec<String>,
     pub arrivals: Vec<(Instant, String)>,
-    pub orders: Vec<TakenOrder>,
+    pub orders: Vec<AcceptedOrder>,
     /// Maximum number of adapters held and loading at the same time.
-    pub most_adapters: usize,
+    pub max_adapters: usize,
     /// Requests received after the drain period that follows the leaving signal.
     pub requests_while_leaving: usize,
     /// Maximum number of requests received during one requested back-off.
--- a/testkit/src/soak/runner.rs
+++ b/testkit/src/soak/runner.rs
@@ -330,7 +330,7 @@
             self.select_build();
             self.fleet.restart_ingress()?;
             let ingress = &self.fleet.ingress;
-            until("the ingress has begun", || ingress.survives_sighup()).await;
+            until("the ingress handles SIGHUP", || ingress.survives_sighup()).await;
             self.is_stopped = false;
             self.reset_signals();
         }
@@ -355,10 +355,10 @@
         self.fleet.configure(|_| {});
         // checked by the gauge, since log lines may be dropped
         let gauge_line = format!("chalkcart_ingress_configuration {}\n", self.fleet.version());
-        let until = Instant::now() + RECOVERY_TIMEOUT;
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
         let mut missing: Vec<&str> = vec!["/safe/", "/unsafe/", "/stream/"];
         let mut tries = 0;
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let mut left = Vec::new();
             for target in missing {
                 tries += 1;
@@ -385,8 +385,8 @@
             adapter: (target == "/stream/").then(|| format!("{MODEL}/a0")),
             ..ClientRequest::default()
         };
-        let answer = request(self.fleet.clients, &probe).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = request(self.fleet.clients, &probe).await;
+        response.is_ok_and(|response| response.status == 200)
     }
 
     fn report(
@@ -475,7 +475,7 @@
         runs: runs.filter(|id| is_client_request(id)).collect(),
         arrivals: state.arrivals.clone(),
         orders: state.all_orders.clone(),
-        most_adapters: state.orders.max_adapters,
+        max_adapters: state.orders.max_adapters,
         requests_while_leaving: state.requests_while_leaving,
         max_requests_in_backoff: state.max_requests_in_backoff(SIGNAL_PROPAGATION_DELAY),
         requests_over_limit: state.requests_over_limit,
--- a/testkit/src/users_platform/backend_responses.rs
+++ b/testkit/src/users_platform/backend_responses.rs
@@ -22,7 +22,7 @@
 const EXTRA_RESPONSE_DELAY: Duration = Duration::from_millis(150);
 /// Time from the head of the response until the back end crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
-const FOREVER: Duration = Duration::from_secs(30);
+const UNRESPONSIVE_DURATION: Duration = Duration::from_secs(30);
 
 /// Runs or rejects a request as the current fault requires.
 pub async fn respond(
@@ -37,35 +37,37 @@
         let headers = rejection_response_headers(&mut lock(state), status, request);
         return write_response(socket, status, &headers, b"").await;
     }
-    let crashes = lock(state).crashes_on(&body);
-    let number = record_run(state, head, body);
+    let is_crashing = lock(state).crashes_on(&body);
+    let run_index = record_run(state, head, body);
     let _running = RunningRequest(state.clone());
     let kind = lock(state).kind;
     let mut headers = response_headers(request, fault);
     headers.extend(lock(state).signal_headers());
-    if crashes {
+    if is_crashing {
         let head = response_head(&headers, "Transfer-Encoding: chunked");
         socket.write_all(&head).await?;
         sleep(CRASH_DELAY).await;
         lock(state).crash();
-        bail!("crashed")
+        bail!("back end crashed")
     }
     match (fault, kind) {
-        (BackendFault::CloseBeforeResponse, _) => bail!("cut"),
+        (BackendFault::CloseBeforeResponse, _) => bail!("connection closed before the response"),
         (BackendFault::InvalidBytes, _) => {
             socket.write_all(INVALID_BYTES).await?;
-            bail!("no answer")
+            bail!("connection closed after invalid bytes")
+        }
+        (BackendFault::Unresponsive, _) => {
+            wait_or_disconnect(socket, state, run_index, UNRESPONSIVE_DURATION).await
         }
-        (BackendFault::Unresponsive, _) => wait_or_disconnect(socket, state, number, FOREVER).await,
         (BackendFault::Status(status), _) => write_response(socket, status, &headers, b"").await,
         (_, BackendKind::Engine) => {
             let from = head.number("last-event-id").map_or(0, |id| id as u32 + 1);
-            stream(socket, state, number, &headers, (fault, from)).await
+            stream_events(socket, state, run_index, &headers, (fault, from)).await
         }
         (_, BackendKind::Plain) => {
             let delay = lock(state).delay;
             sleep(delay).await;
-            plain(socket, &headers, fault).await
+            respond_plain(socket, &headers, fault).await
         }
     }
 }
@@ -96,9 +98,9 @@
     }
     state.orders.complete_loads(Instant::now());
     let (_, adapter) = head.get("chalkcart-model")?.split_once('/')?;
-    let held = state.orders.held.get(adapter).copied();
+    let held_version = state.orders.held.get(adapter).copied();
     let expected = head.number("chalkcart-expect-version");
-    match held {
+    match held_version {
         Some(version) if expected.is_none_or(|e| e == version) => None,
         _ => Some(421),
     }
@@ -122,14 +124,14 @@
 }
 
 fn record_run(state: &Mutex<BackendState>, head: &Head, body: Vec<u8>) -> usize {
-    let part = |n: usize| head.line.get(n).cloned().unwrap_or_default();
+    let line_part = |n: usize| head.line.get(n).cloned().unwrap_or_default();
     let run = Run {
         request: head
             .get("chalkcart-request-id")
             .unwrap_or_default()
             .to_string(),
-        method: part(0),
-        target: part(1),
+        method: line_part(0),
+        target: line_part(1),
         body,
         headers: head.headers.clone(),
         client_disconnected: false,
@@ -155,7 +157,7 @@
     headers
 }
 
-async fn plain(
+async fn respond_plain(
     socket: &mut TcpStream,
     headers: &[(&'static str, String)],
     fault: BackendFault,
@@ -166,14 +168,14 @@
                 .write_all(&response_head(headers, "Content-Length: 16"))
                 .await?;
             socket.write_all(&BODY[..5]).await?;
-            bail!("cut")
+            bail!("connection closed in the body")
         }
         BackendFault::DelimitBodyByClose => {
             socket
                 .write_all(&response_head(headers, "Connection: close"))
                 .await?;
             socket.write_all(BODY).await?;
-            bail!("ends by closing")
+            bail!("connection closed to end the body")
         }
         BackendFault::ExtraResponse => {
             write_response(socket, 200, headers, BODY).await?;
@@ -191,10 +193,10 @@
 }
 
 /// Streams numbered events in chunks, starting at one of them.
-async fn stream(
+async fn stream_events(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
-    number: usize,
+    run_index: usize,
     headers: &[(&'static str, String)],
     (fault, from): (BackendFault, u32),
 ) -> Result<()> {
@@ -209,15 +211,15 @@
     socket.write_all(&head).await?;
     for part in from..event_count {
         if fault == BackendFault::TruncateBody && part == event_count / 2 {
-            bail!("cut");
+            bail!("connection closed in the body");
         }
         let event = format!("id: {part}\ndata: x\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         if socket.write_all(chunk.as_bytes()).await.is_err() {
-            lock(state).runs[number].client_disconnected = true;
-            bail!("left");
+            lock(state).runs[run_index].client_disconnected = true;
+            bail!("caller disconnected");
         }
-        wait_or_disconnect(socket, state, number, event_interval).await?;
+        wait_or_disconnect(socket, state, run_index, event_interval).await?;
     }
     socket.write_all(b"0\r\n\r\n").await?;
     Ok(())
@@ -227,15 +229,15 @@
 async fn wait_or_disconnect(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
-    number: usize,
+    run_index: usize,
     wait: Duration,
 ) -> Result<()> {
     let mut buf = [0u8; 1];
     match timeout(wait, socket.read(&mut buf)).await {
         Err(_) => Ok(()),
         Ok(_) => {
-            lock(state).runs[number].client_disconnected = true;
-            bail!("the caller left")
+            lock(state).runs[run_index].client_disconnected = true;
+            bail!("caller disconnected")
         }
     }
 }
--- a/testkit/src/users_platform/backend_stand_in.rs
+++ b/testkit/src/users_platform/backend_stand_in.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         backend_responses::respond,
-        engine_orders::{EngineOrders, TakenOrder},
+        engine_orders::{AcceptedOrder, EngineOrders},
         wire::{read_body, read_head, write_response, Head},
     },
     crate::serving::lock,
@@ -95,7 +95,7 @@
     /// Time and id of all requests received, including rejected ones.
     pub arrivals: Vec<(Instant, String)>,
     /// Orders accepted by all incarnations.
-    pub all_orders: Vec<TakenOrder>,
+    pub all_orders: Vec<AcceptedOrder>,
     pub orders: EngineOrders,
     /// Maximum number of concurrent requests; further ones are rejected as not run.
     pub slots: u32,
@@ -129,7 +129,7 @@
     pub rejects_orders: bool,
     /// Times of the sidecar's calls: orders, reports and instance id queries; recorded while
     /// orders are rejected.
-    pub calls: Vec<Instant>,
+    pub sidecar_calls: Vec<Instant>,
     /// Start and duration of each requested back-off.
     pub backoffs: Vec<(Instant, Duration)>,
     /// Time from a crash until the next incarnation starts.
@@ -148,17 +148,17 @@
         let limit = self
             .advertised_limit
             .map(|per_s| ("Server-Limit", per_s.to_string()));
-        let odd = self.extra_headers.iter().cloned();
-        leaving.into_iter().chain(limit).chain(odd).collect()
+        let extra = self.extra_headers.iter().cloned();
+        leaving.into_iter().chain(limit).chain(extra).collect()
     }
     /// Returns the headers of a response that rejects a request.
     pub fn rejection_headers(&mut self, now: Instant) -> Vec<(&'static str, String)> {
-        let mut signals = self.signal_headers();
-        if let Some(rest) = self.requested_backoff {
-            self.backoffs.push((now, rest));
-            signals.push(("Retry-After", rest.as_secs_f64().to_string()));
+        let mut headers = self.signal_headers();
+        if let Some(backoff) = self.requested_backoff {
+            self.backoffs.push((now, backoff));
+            headers.push(("Retry-After", backoff.as_secs_f64().to_string()));
         }
-        signals
+        headers
     }
     /// Records a received request.
     pub fn on_arrival(&mut self, request: &str, now: Instant) {
@@ -182,11 +182,13 @@
         if now < announced_at + LIMIT_GRACE {
             return;
         }
-        let came = self.arrivals.iter().map(|(at, _)| *at);
-        let bound = came
+        let arrival_times = self.arrivals.iter().map(|(at, _)| *at);
+        let counted = arrival_times
             .filter(|at| *at >= announced_at + LIMIT_PROPAGATION_DELAY && now - *at < LIMIT_WINDOW);
-        let over = bound.count().saturating_sub(max_requests_in_window(per_s));
-        self.requests_over_limit = self.requests_over_limit.max(over);
+        let excess = counted
+            .count()
+            .saturating_sub(max_requests_in_window(per_s));
+        self.requests_over_limit = self.requests_over_limit.max(excess);
     }
     /// Forgets which signals were sent, so that callers are no longer expected to honor them.
     pub fn reset_signals(&mut self) {
@@ -197,24 +199,33 @@
     /// Returns the maximum number of requests and calls received during one back-off, not
     /// counting the first `known_after` of it.
     pub fn max_requests_in_backoff(&self, known_after: Duration) -> usize {
-        let within = |(asked, rest): &(Instant, Duration)| {
+        let requests_in_backoff = |(requested_at, backoff): &(Instant, Duration)| {
             let arrivals = self.arrivals.iter().map(|(at, _)| *at);
-            let all = arrivals.chain(self.calls.iter().copied());
-            all.filter(|at| *at > *asked + known_after && *at < *asked + *rest)
+            let all = arrivals.chain(self.sidecar_calls.iter().copied());
+            all.filter(|at| *at > *requested_at + known_after && *at < *requested_at + *backoff)
                 .count()
         };
-        self.backoffs.iter().map(within).max().unwrap_or(0)
+        self.backoffs
+            .iter()
+            .map(requests_in_backoff)
+            .max()
+            .unwrap_or(0)
     }
     /// Returns the maximum number of requests received after a moment within any interval of a
     /// length.
     pub fn max_arrivals_within(&self, time: Duration, after: Instant) -> usize {
-        let came = self.arrivals.iter().map(|(at, _)| *at);
-        let mut came: Vec<Instant> = came.filter(|at| *at > after).collect();
-        came.sort();
-        let until = |(from, first): (usize, &Instant)| {
-            came[from..].partition_point(|at| *at - *first < time)
+        let arrival_times = self.arrivals.iter().map(|(at, _)| *at);
+        let mut arrival_times: Vec<Instant> = arrival_times.filter(|at| *at > after).collect();
+        arrival_times.sort();
+        let requests_from = |(from, first): (usize, &Instant)| {
+            arrival_times[from..].partition_point(|at| *at - *first < time)
         };
-        came.iter().enumerate().map(until).max().unwrap_or(0)
+        arrival_times
+            .iter()
+            .enumerate()
+            .map(requests_from)
+            .max()
+            .unwrap_or(0)
     }
     pub fn crashes_on(&self, body: &[u8]) -> bool {
         self.crash_body.as_deref() == Some(body)
@@ -280,25 +291,28 @@
             leaving_announced_at: None,
             requests_while_leaving: 0,
             rejects_orders: false,
-            calls: Vec::new(),
+            sidecar_calls: Vec::new(),
             backoffs: Vec::new(),
             restart_delay: Duration::from_millis(300),
             crashes: 0,
             has_crashed: has_crashed.clone(),
         }));
         let incarnations = watch::Sender::new(FIRST_START_TIME_MS);
-        let (shared, ended) = (state.clone(), incarnations.clone());
+        let (server_state, incarnation_changes) = (state.clone(), incarnations.clone());
         let server = tokio::spawn(async move {
             loop {
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
-                        Ok((socket, _)) => spawn_connection(socket, &shared, ended.subscribe()),
+                        Ok((socket, _)) => {
+                            let incarnation = incarnation_changes.subscribe();
+                            spawn_connection(socket, &server_state, incarnation);
+                        }
                         Err(_) => return,
                     },
                     () = has_crashed.notified() => {
                         drop(listener);
-                        ended.send_modify(|incarnation| *incarnation += 1);
-                        let restart_delay = lock(&shared).restart_delay;
+                        incarnation_changes.send_modify(|incarnation| *incarnation += 1);
+                        let restart_delay = lock(&server_state).restart_delay;
                         sleep(restart_delay).await;
                         listener = match TcpListener::bind(addr).await {
                             Ok(listener) => listener,
@@ -325,8 +339,8 @@
     pub fn runs(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
-    pub fn orders(&self) -> Vec<TakenOrder> {
-        self.state().orders.taken.clone()
+    pub fn orders(&self) -> Vec<AcceptedOrder> {
+        self.state().orders.accepted.clone()
     }
     /// Injects a fault into the next requests.
     pub fn set_fault(&self, fault: BackendFault, requests: u32) {
@@ -362,10 +376,10 @@
     state: &Arc<Mutex<BackendState>>,
     mut incarnation: watch::Receiver<u64>,
 ) {
-    let served = serve(socket, state.clone());
+    let connection = serve(socket, state.clone());
     tokio::spawn(async move {
         tokio::select! {
-            () = served => {}
+            () = connection => {}
             _ = incarnation.changed() => {}
         }
     });
@@ -390,15 +404,16 @@
 ) -> Result<()> {
     let target = head.line.get(1).cloned().unwrap_or_default();
     let id = lock(state).id.clone();
-    let signals = lock(state).signal_headers();
-    let mut own_id = signals.clone();
-    own_id.push(("Chalkcart-Instance-Id", id.clone()));
-    let is_call = [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
-    if is_call && lock(state).rejects_orders {
-        lock(state).calls.push(Instant::now());
+    let headers = lock(state).signal_headers();
+    let mut headers_with_id = headers.clone();
+    headers_with_id.push(("Chalkcart-Instance-Id", id.clone()));
+    let is_sidecar_call =
+        [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
+    if is_sidecar_call && lock(state).rejects_orders {
+        lock(state).sidecar_calls.push(Instant::now());
     }
     if target == HEALTH_PATH {
-        return write_response(socket, 200, &own_id, b"").await;
+        return write_response(socket, 200, &headers_with_id, b"").await;
     }
     if target == names::REPORT_PATH {
         let report = {
@@ -407,7 +422,7 @@
             report["born"] = state.start_time_ms.into();
             report.to_string()
         };
-        return write_response(socket, 200, &signals, report.as_bytes()).await;
+        return write_response(socket, 200, &headers, report.as_bytes()).await;
     }
     if target != names::ORDER_PATH {
         let request = head.get("chalkcart-request-id").unwrap_or_default();
@@ -415,23 +430,23 @@
     }
     let expected = head.get("chalkcart-expect-instance");
     if expected.is_some_and(|expected| expected != id) {
-        return write_response(socket, 421, &own_id, b"").await;
+        return write_response(socket, 421, &headers_with_id, b"").await;
     }
     if target == names::ORDER_PATH && lock(state).rejects_orders {
-        let signals = lock(state).rejection_headers(Instant::now());
-        return write_response(socket, 503, &signals, b"").await;
+        let headers = lock(state).rejection_headers(Instant::now());
+        return write_response(socket, 503, &headers, b"").await;
     }
     if target == names::ORDER_PATH {
         let status = {
             let mut state = lock(state);
             let status = state.orders.order(&body, Instant::now());
             if matches!(status, 200 | 202) {
-                let order = state.orders.taken.last().cloned();
+                let order = state.orders.accepted.last().cloned();
                 state.all_orders.extend(order);
             }
             status
         };
-        return write_response(socket, status, &signals, b"").await;
+        return write_response(socket, status, &headers, b"").await;
     }
     respond(socket, state, head, body).await
 }
--- a/testkit/src/users_platform/client.rs
+++ b/testkit/src/users_platform/client.rs
@@ -54,7 +54,7 @@
 pub struct OpenStream {
     pub head: Head,
     socket: TcpStream,
-    seen: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl ClientRequest {
@@ -98,11 +98,18 @@
 
 /// Sends a request on an open connection and reads the head of the response.
 pub async fn send_on(mut socket: TcpStream, request: &ClientRequest) -> Result<OpenStream> {
-    socket.write_all(&request.text()).await.context("send")?;
+    socket
+        .write_all(&request.text())
+        .await
+        .context("send the request")?;
     let head = timeout(RESPONSE_TIMEOUT, read_head(&mut socket)).await??;
-    let head = head.context("closed with no answer")?;
-    let seen = head.rest.clone();
-    Ok(OpenStream { head, socket, seen })
+    let head = head.context("connection closed without a response")?;
+    let received = head.rest.clone();
+    Ok(OpenStream {
+        head,
+        socket,
+        received,
+    })
 }
 
 impl OpenStream {
@@ -113,15 +120,15 @@
     /// Reads the rest of the response and returns it with the connection.
     pub async fn finish_and_keep_connection(mut self) -> Result<(ClientResponse, TcpStream)> {
         let status = self.head.line.get(1).and_then(|s| s.parse().ok());
-        let status = status.context("a status")?;
+        let status = status.context("read the status of the response")?;
         let is_complete = timeout(RESPONSE_TIMEOUT, self.read_to_end()).await?;
-        let answer = ClientResponse {
+        let response = ClientResponse {
             status,
             head: self.head,
-            body: self.seen,
+            body: self.received,
             is_complete,
         };
-        Ok((answer, self.socket))
+        Ok((response, self.socket))
     }
 
     async fn read_to_end(&mut self) -> bool {
@@ -129,7 +136,7 @@
             if self.is_body_complete() {
                 return true;
             }
-            match self.socket.read_buf(&mut self.seen).await {
+            match self.socket.read_buf(&mut self.received).await {
                 Ok(0) | Err(_) => return false,
                 Ok(_) => {}
             }
@@ -137,17 +144,17 @@
     }
     fn is_body_complete(&self) -> bool {
         match self.head.number("content-length") {
-            Some(length) => self.seen.len() as u64 >= length,
-            None => self.seen.ends_with(b"0\r\n\r\n"),
+            Some(length) => self.received.len() as u64 >= length,
+            None => self.received.ends_with(b"0\r\n\r\n"),
         }
     }
     /// Returns the number of bytes that arrive after the complete response within a short time.
     pub async fn extra_bytes(&mut self) -> Result<usize> {
-        let before = self.seen.len();
-        let read = self.socket.read_buf(&mut self.seen);
+        let count_before = self.received.len();
+        let read = self.socket.read_buf(&mut self.received);
         match timeout(Duration::from_millis(200), read).await {
             Err(_) => Ok(0),
-            Ok(Ok(_)) => Ok(self.seen.len() - before),
+            Ok(Ok(_)) => Ok(self.received.len() - count_before),
             Ok(Err(e)) => bail!("{e}"),
         }
     }
--- a/testkit/src/users_platform/engine_orders.rs
+++ b/testkit/src/users_platform/engine_orders.rs
@@ -11,7 +11,7 @@
 const LOAD_TIME: Duration = Duration::from_millis(60);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TakenOrder {
+pub struct AcceptedOrder {
     pub operation: String,
     pub adapter: String,
     pub holder: String,
@@ -24,7 +24,7 @@
     pub held: HashMap<String, u64>,
     pub loading: HashMap<String, Instant>,
     pub versions: HashMap<String, u64>,
-    pub taken: Vec<TakenOrder>,
+    pub accepted: Vec<AcceptedOrder>,
     pub highest_fence: u64,
     /// Whether the base model has not been loaded since the engine's start.
     pub is_base_model_missing: bool,
@@ -57,7 +57,7 @@
         }
         self.highest_fence = fence;
         let adapter = text("Adapter");
-        self.taken.push(TakenOrder {
+        self.accepted.push(AcceptedOrder {
             operation: text("Operation"),
             adapter: adapter.clone(),
             holder: text("Holder"),
@@ -110,7 +110,7 @@
         json!({
             "Stage": "both",
             "Models": models,
-            "Pending": pending, "Busy": false, "Seq": self.taken.len(),
+            "Pending": pending, "Busy": false, "Seq": self.accepted.len(),
             "Queued": 0, "Running": 0, "KvUsed": 0, "KvTotal": 1000, "Handles": 0,
         })
     }
--- a/testkit/src/users_platform/fleet.rs
+++ b/testkit/src/users_platform/fleet.rs
@@ -192,8 +192,8 @@
     async fn wait_for_sidecars(&self) {
         for number in 0..self.engines.len() {
             let addr = self.sidecar_addr(number);
-            let listens = || async { TcpStream::connect(addr).await.is_ok() };
-            until_async("a sidecar listens", listens).await;
+            let is_listening = || async { TcpStream::connect(addr).await.is_ok() };
+            until_async("the sidecar listens", is_listening).await;
         }
     }
 
@@ -289,13 +289,13 @@
         };
         let zones = &self.settings.zones;
         let zone = zones[number % zones.len()].0;
-        let row = json!({
+        let record = json!({
             "Service": service, "Address": backend.addr, "Zone": zone, "Version": "v1",
             "Slots": 8, "State": state, "ColdLeftMs": 0, "Seq": 1,
             "born": backend.state().start_time_ms,
             "Models": [{"Name": MODEL, "Version": 1, "Adapters": []}],
         });
-        self.store.put(&format!("servers/{}", backend.id()), row);
+        self.store.put(&format!("servers/{}", backend.id()), record);
     }
     pub fn publish_engine(&self, number: usize, state: &str) {
         self.publish_backend(ENGINE_SERVICE, number, state);
@@ -370,7 +370,7 @@
 /// Returns whether the process with this readiness address accepts clients.
 async fn is_ready(readiness: SocketAddr) -> bool {
     let path = "/chalkcart/ready";
-    let asked = HttpClient::new()
+    let response = HttpClient::new()
         .exchange(
             readiness,
             Method::GET,
@@ -380,13 +380,13 @@
             READY_TIMEOUT,
         )
         .await;
-    asked.is_ok_and(|(status, _)| status == StatusCode::OK)
+    response.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
 /// Returns an ingress's metrics page, or an empty string if it is not served.
 pub async fn metrics_text(metrics: SocketAddr) -> String {
     let http = HttpClient::new();
-    let asked = http.exchange(
+    let response = http.exchange(
         metrics,
         Method::GET,
         "/metrics",
@@ -394,7 +394,7 @@
         Default::default(),
         READY_TIMEOUT,
     );
-    let page = asked.await.map(|(_, text)| text).unwrap_or_default();
+    let page = response.await.map(|(_, text)| text).unwrap_or_default();
     String::from_utf8_lossy(&page).to_string()
 }
 
--- a/testkit/src/users_platform/mod.rs
+++ b/testkit/src/users_platform/mod.rs
@@ -18,7 +18,7 @@
         FIRST_START_TIME_MS, LIMIT_GRACE, LIMIT_WINDOW,
     },
     client::{open_stream, request, send_on, ClientRequest, ClientResponse, OpenStream},
-    engine_orders::{TakenOrder, ADAPTER_SLOTS, MODEL},
+    engine_orders::{AcceptedOrder, ADAPTER_SLOTS, MODEL},
     fleet::{metrics_text, Fleet, FleetSettings, OtherIngress, HOST},
     prompts::{engine_runs, prompt, serve_prompt},
     retrying_clients::{send_with_retries, AttemptHistory, RetryingClients},
--- a/testkit/src/users_platform/prompts.rs
+++ b/testkit/src/users_platform/prompts.rs
@@ -17,9 +17,9 @@
 /// again.
 pub async fn serve_prompt(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
     loop {
-        let answer = request(fleet.clients, &prompt(adapter, id)).await?;
-        if answer.status != 503 {
-            return Ok(answer);
+        let response = request(fleet.clients, &prompt(adapter, id)).await?;
+        if response.status != 503 {
+            return Ok(response);
         }
     }
 }
--- a/testkit/src/users_platform/retrying_clients.rs
+++ b/testkit/src/users_platform/retrying_clients.rs
@@ -27,52 +27,54 @@
     /// Request ids of the attempts, in order.
     pub request_ids: Vec<String>,
     pub responses: Vec<ClientResponse>,
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// Sends copies of a request and retries those that are rejected; each attempt has its own id.
 pub async fn send_with_retries(
     addr: SocketAddr,
-    sent: &ClientRequest,
-    how: &RetryingClients,
+    template: &ClientRequest,
+    settings: &RetryingClients,
 ) -> Result<Vec<AttemptHistory>> {
-    let histories = (0..how.requests).map(|number| async move {
-        sleep(how.gap * number).await;
-        send_request(addr, sent, how, number).await
+    let histories = (0..settings.requests).map(|number| async move {
+        sleep(settings.gap * number).await;
+        send_request(addr, template, settings, number).await
     });
     join_all(histories).await.into_iter().collect()
 }
 
 async fn send_request(
     addr: SocketAddr,
-    sent: &ClientRequest,
-    how: &RetryingClients,
+    template: &ClientRequest,
+    settings: &RetryingClients,
     number: u32,
 ) -> Result<AttemptHistory> {
     let started = Instant::now();
     let mut history = AttemptHistory {
         request_ids: Vec::new(),
         responses: Vec::new(),
-        took: Duration::ZERO,
+        duration: Duration::ZERO,
     };
-    for attempt in 0..=how.retries {
-        let one = ClientRequest {
-            id: format!("{}-{number}-{attempt}", sent.id),
-            ..sent.clone()
+    for attempt in 0..=settings.retries {
+        let attempt_request = ClientRequest {
+            id: format!("{}-{number}-{attempt}", template.id),
+            ..template.clone()
         };
-        let answer = request(addr, &one).await?;
-        let refused = answer.status == 503;
-        let after = answer.head.get("retry-after");
-        let after = after.and_then(|s| s.parse::<f64>().ok()).unwrap_or(0.0);
-        history.request_ids.push(one.id);
-        history.responses.push(answer);
-        if !refused {
+        let response = request(addr, &attempt_request).await?;
+        let is_rejected = response.status == 503;
+        let retry_after_s = response.head.get("retry-after");
+        let retry_after_s = retry_after_s
+            .and_then(|s| s.parse::<f64>().ok())
+            .unwrap_or(0.0);
+        history.request_ids.push(attempt_request.id);
+        history.responses.push(response);
+        if !is_rejected {
             break;
         }
-        if how.honors_retry_after {
-            sleep(Duration::from_secs_f64(after)).await;
+        if settings.honors_retry_after {
+            sleep(Duration::from_secs_f64(retry_after_s)).await;
         }
     }
-    history.took = started.elapsed();
+    history.duration = started.elapsed();
     Ok(history)
 }
--- a/testkit/src/users_platform/store_stand_in.rs
+++ b/testkit/src/users_platform/store_stand_in.rs
@@ -148,7 +148,7 @@
 }
 
 async fn serve(mut socket: TcpStream, state: Arc<Mutex<State>>, changed: Arc<watch::Sender<u64>>) {
-    let number = {
+    let connection = {
         let mut state = lock(&state);
         state.connections += 1;
         state.connections
@@ -157,7 +157,7 @@
         let fault = {
             let mut state = lock(&state);
             state.calls.push(head.target());
-            match number <= state.silent_connections {
+            match connection <= state.silent_connections {
                 true => StoreFault::Unresponsive,
                 false => state.fault,
             }
@@ -166,7 +166,7 @@
             StoreFault::Unresponsive => return sleep(Duration::from_secs(60)).await,
             StoreFault::Reset => return,
             StoreFault::Status(status) => (status, Value::Null),
-            StoreFault::None => answer(&head, &state, &changed).await,
+            StoreFault::None => respond(&head, &state, &changed).await,
         };
         let body = body.to_string();
         if write_response(&mut socket, status, &[], body.as_bytes())
@@ -178,7 +178,7 @@
     }
 }
 
-async fn answer(head: &Head, state: &Mutex<State>, changed: &watch::Sender<u64>) -> (u16, Value) {
+async fn respond(head: &Head, state: &Mutex<State>, changed: &watch::Sender<u64>) -> (u16, Value) {
     let target = head.target();
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     let value = |name: &str| {
@@ -196,9 +196,9 @@
                 Some((items, revision)) if value("stale").is_some() => (items, *revision),
                 _ => present,
             };
-            range(items, revision, &prefix, &after)
+            read_range(items, revision, &prefix, &after)
         }
-        KEY_PATH => key(&lock(state), &value("Key").unwrap_or_default()),
+        KEY_PATH => read_key(&lock(state), &value("Key").unwrap_or_default()),
         names::WATCH_PATH => {
             let after = after.parse().unwrap_or(0);
             let wait = value("WaitMs").and_then(|ms| ms.parse().ok()).unwrap_or(0);
@@ -208,20 +208,20 @@
     }
 }
 
-fn range(items: &Items, revision: u64, prefix: &str, after: &str) -> (u16, Value) {
+fn read_range(items: &Items, revision: u64, prefix: &str, after: &str) -> (u16, Value) {
     let matching = items.iter().filter(|(key, _)| key.starts_with(prefix));
-    let mut rest = matching.filter(|(key, _)| key.as_str() > after);
-    let page: Vec<Value> = rest
+    let mut remaining = matching.filter(|(key, _)| key.as_str() > after);
+    let page: Vec<Value> = remaining
         .by_ref()
         .take(ITEMS_PER_PAGE)
         .map(|(key, (value, revision))| item(key, Some(value), *revision))
         .collect();
-    let more = rest.next().is_some();
+    let more = remaining.next().is_some();
     let body = json!({"items": page, "more": more, "at": revision});
     (200, body)
 }
 
-fn key(state: &State, key: &str) -> (u16, Value) {
+fn read_key(state: &State, key: &str) -> (u16, Value) {
     match state.items.get(key) {
         Some((value, revision)) => (200, item(key, Some(value), *revision)),
         None => (404, Value::Null),
@@ -236,7 +236,7 @@
     wait: Duration,
 ) -> (u16, Value) {
     let mut revisions = changed.subscribe();
-    let heard = async {
+    let next_change = async {
         loop {
             {
                 let state = lock(state);
@@ -252,16 +252,16 @@
             let _ = revisions.changed().await;
         }
     };
-    let nothing = json!({"events": [], "at": after});
-    timeout(wait, heard).await.unwrap_or((200, nothing))
+    let no_events = json!({"events": [], "at": after});
+    timeout(wait, next_change).await.unwrap_or((200, no_events))
 }
 
 fn events(state: &State, prefix: &str, after: u64) -> Vec<Value> {
-    let later = state
+    let later_changes = state
         .history
         .iter()
         .filter(|(revision, key, _)| *revision > after && key.starts_with(prefix));
-    let events = later.map(|(revision, key, value)| item(key, value.as_ref(), *revision));
+    let events = later_changes.map(|(revision, key, value)| item(key, value.as_ref(), *revision));
     events.collect()
 }
 
--- a/testkit/src/users_platform/wire.rs
+++ b/testkit/src/users_platform/wire.rs
@@ -9,7 +9,7 @@
     },
 };
 
-const MAX_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Head of a message, with the first line split at spaces.
 #[derive(Debug, Clone, Default)]
@@ -41,14 +41,14 @@
         if let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             break end;
         }
-        if buf.len() > MAX_HEAD {
-            bail!("head too long");
+        if buf.len() > MAX_HEAD_BYTES {
+            bail!("message head exceeds {MAX_HEAD_BYTES} bytes");
         }
         if socket.read_buf(&mut buf).await? == 0 {
             return Ok(None);
         }
     };
-    let text = std::str::from_utf8(&buf[..end]).context("head is text")?;
+    let text = std::str::from_utf8(&buf[..end]).context("message head is not UTF-8")?;
     let mut lines = text.split("\r\n");
     let line = lines.next().unwrap_or_default();
     let headers = lines.filter_map(|line| {
@@ -68,7 +68,7 @@
     let mut body = head.rest.clone();
     while body.len() < length {
         if socket.read_buf(&mut body).await? == 0 {
-            bail!("the body broke off");
+            bail!("connection closed in the body");
         }
     }
     Ok(body)
@@ -88,5 +88,5 @@
     text.push_str("\r\n");
     let mut message = text.into_bytes();
     message.extend_from_slice(body);
-    socket.write_all(&message).await.context("write an answer")
+    socket.write_all(&message).await.context("write a response")
 }
--- a/testkit/tests/soak.rs
+++ b/testkit/tests/soak.rs
@@ -7,7 +7,7 @@
             run_soak, schedule_faults, violations, BackendRecord, ConfigurationHistory, Outcome,
             RequestKind, RequestRecord, SoakRecord, SoakSettings, Violation,
         },
-        users_platform::{TakenOrder, ADAPTER_SLOTS},
+        users_platform::{AcceptedOrder, ADAPTER_SLOTS},
     },
     std::time::{Duration, Instant},
 };
@@ -154,8 +154,8 @@
     }
 }
 
-fn order(holder: &str, fence: u64) -> TakenOrder {
-    TakenOrder {
+fn order(holder: &str, fence: u64) -> AcceptedOrder {
+    AcceptedOrder {
         operation: "load".to_string(),
         adapter: "a".to_string(),
         holder: holder.to_string(),
@@ -189,7 +189,7 @@
     let mut fence_fell = ledger(Vec::new(), 0);
     fence_fell.backends[0].orders = vec![order("x", 2), order("x", 1)];
     let mut too_many = ledger(Vec::new(), 0);
-    too_many.backends[0].most_adapters = ADAPTER_SLOTS + 1;
+    too_many.backends[0].max_adapters = ADAPTER_SLOTS + 1;
     let mut leaving = ledger(Vec::new(), 0);
     leaving.backends[0].requests_while_leaving = 1;
     let mut resting = ledger(Vec::new(), 0);
@@ -200,9 +200,9 @@
     back.configurations = ConfigurationHistory {
         incarnations: vec![vec![3, 5], vec![4, 6, 2]],
     };
-    let mut repeats = ledger(vec![answered(RequestKind::Safe, 503, "")], 0);
+    let mut retries = ledger(vec![answered(RequestKind::Safe, 503, "")], 0);
     let now = Instant::now();
-    repeats.backends[0].arrivals = vec![(now, id()); 52];
+    retries.backends[0].arrivals = vec![(now, id()); 52];
     let mut crashing_requests = ledger(Vec::new(), 0);
     (
         crashing_requests.crashes,
@@ -262,7 +262,7 @@
             too_many,
             Violation::TooManyAdapters {
                 engine: engine(),
-                most: ADAPTER_SLOTS + 1,
+                max_held: ADAPTER_SLOTS + 1,
             },
         ),
         (
@@ -283,21 +283,21 @@
             limited,
             Violation::LimitNotHonored {
                 engine: engine(),
-                over: 2,
+                excess: 2,
             },
         ),
         (back, Violation::ConfigurationRegressed { from: 6, to: 2 }),
         (
-            repeats,
+            retries,
             Violation::RetryBudgetExceeded {
-                repeats: 51,
+                retries: 51,
                 allowed: 50,
             },
         ),
         (
             crashing_requests,
             Violation::TooManyCrashes {
-                ended: 10,
+                crashes: 10,
                 allowed: 9,
             },
         ),
