--- a/testkit/examples/soak/main.rs
+++ b/testkit/examples/soak/main.rs
@@ -61,9 +61,9 @@
         engines: number(matches, "engines", default.engines)?,
         plain: number(matches, "plain", default.plain)?,
         clients: number(matches, "clients", default.clients)?,
-        crashing_requests: matches.opt_present("crashing"),
-        backend_signals: matches.opt_present("own-words"),
-        rate_limits: matches.opt_present("limits"),
+        has_crashing_requests: matches.opt_present("crashing"),
+        has_backend_signals: matches.opt_present("own-words"),
+        has_rate_limits: matches.opt_present("limits"),
         other_build: Binaries::from_other_build(),
         fault_period: Duration::from_secs(number(matches, "span", default.fault_period.as_secs())?),
         mean_fault_interval: Duration::from_millis(number(
--- a/testkit/src/cluster/fleet.rs
+++ b/testkit/src/cluster/fleet.rs
@@ -166,7 +166,7 @@
             zone: &zone,
             role: Role::Entry,
             listen,
-            forwarder: forwarder(self.settings.forward_entries, listen).await?,
+            forwarder: forwarder(self.settings.has_entry_forwarders, listen).await?,
             settings,
             folder: &self.folder,
         })?;
@@ -265,7 +265,7 @@
             zone: &zone,
             role,
             listen,
-            forwarder: forwarder(self.settings.forward_targets, listen).await?,
+            forwarder: forwarder(self.settings.has_target_forwarders, listen).await?,
             settings,
             folder: &self.folder,
         })?;
--- a/testkit/src/cluster/settings.rs
+++ b/testkit/src/cluster/settings.rs
@@ -22,9 +22,9 @@
     pub services: Vec<ServiceSettings>,
     pub store: StoreSettings,
     /// Whether sidecars are reached through forwarders that can inject faults.
-    pub forward_targets: bool,
+    pub has_target_forwarders: bool,
     /// Whether peers reach entries through forwarders; clients connect directly.
-    pub forward_entries: bool,
+    pub has_entry_forwarders: bool,
     /// Keys added to the entries' settings.
     pub entry_settings: Map<String, Value>,
     /// Keys added to the sidecars' settings.
@@ -53,8 +53,8 @@
                 at_once: 10,
                 load_time: Duration::from_millis(50),
             },
-            forward_targets: false,
-            forward_entries: false,
+            has_target_forwarders: false,
+            has_entry_forwarders: false,
             entry_settings: Map::new(),
             sidecar_settings: Map::new(),
         }
--- a/testkit/src/engine/batch.rs
+++ b/testkit/src/engine/batch.rs
@@ -57,7 +57,7 @@
     }
 
     fn advance(&mut self, request: &str) {
-        let wrong_version = self.faults.wrong_version;
+        let should_report_wrong_version = self.faults.should_report_wrong_version;
         let Some(entry) = self.requests.get_mut(request) else {
             return;
         };
@@ -75,7 +75,7 @@
         let generated = entry.body.generated.len() + entry.events.len();
         if generated >= entry.body.max_tokens as usize {
             let mut used_adapter: AdapterBody = entry.body.adapter.clone();
-            used_adapter.version += u32::from(wrong_version);
+            used_adapter.version += u32::from(should_report_wrong_version);
             self.end(request, EventBody::Finished(used_adapter));
         }
     }
--- a/testkit/src/engine/routes.rs
+++ b/testkit/src/engine/routes.rs
@@ -198,12 +198,12 @@
         self.next += 1;
         self.sent += 1;
         self.has_ended = !matches!(event.body, chalkcart_transport::engine::EventBody::Token(_));
-        if faults.swap_events && !self.has_ended && self.held_back.is_none() {
+        if faults.should_swap_events && !self.has_ended && self.held_back.is_none() {
             self.held_back = Some(event);
             return Some(Ok(Bytes::new()));
         }
         let mut lines = line(&event);
-        if faults.duplicate_events {
+        if faults.should_duplicate_events {
             lines.extend(line(&event));
         }
         if let Some(held_back) = self.held_back.take() {
--- a/testkit/src/engine/settings.rs
+++ b/testkit/src/engine/settings.rs
@@ -36,11 +36,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineFaults {
     /// Sends each event twice.
-    pub duplicate_events: bool,
+    pub should_duplicate_events: bool,
     /// Swaps neighboring events.
-    pub swap_events: bool,
+    pub should_swap_events: bool,
     /// Cuts a stream after this number of events.
     pub cut_after: Option<u32>,
     /// Reports a version that is one higher than the one used.
-    pub wrong_version: bool,
+    pub should_report_wrong_version: bool,
 }
--- a/testkit/src/soak/fault_schedule.rs
+++ b/testkit/src/soak/fault_schedule.rs
@@ -114,13 +114,13 @@
         Fault::Configuration,
         Fault::AdapterVersion(rng.random_range(0..4)),
     ];
-    if settings.backend_signals {
+    if settings.has_backend_signals {
         all.extend([
             Fault::EngineLeaves(engine),
             Fault::EngineRequestsBackoff(engine),
         ]);
     }
-    if settings.rate_limits {
+    if settings.has_rate_limits {
         all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
         // twice as likely, so that a limit is enforced even in a short soak
         all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
--- a/testkit/src/soak/runner.rs
+++ b/testkit/src/soak/runner.rs
@@ -65,7 +65,7 @@
 struct FaultStep {
     at: Duration,
     fault: Fault,
-    begins: bool,
+    is_start: bool,
 }
 
 /// Runs a soak with one seed.
@@ -85,7 +85,7 @@
     });
     let clients: Vec<_> = clients.collect();
     let crashing_client = settings
-        .crashing_requests
+        .has_crashing_requests
         .then(|| send_crashing_requests(&fleet, &stop));
     let faults = schedule_faults(settings);
     let mut soak = SoakRun {
@@ -158,10 +158,10 @@
     async fn inject_faults(&mut self, faults: &[ScheduledFault]) -> Result<()> {
         let begin = tokio::time::Instant::now();
         let steps = faults.iter().flat_map(|planned| {
-            let step = |at, begins| FaultStep {
+            let step = |at, is_start| FaultStep {
                 at,
                 fault: planned.fault,
-                begins,
+                is_start,
             };
             [
                 step(planned.at, true),
@@ -172,7 +172,7 @@
         steps.sort_by_key(|step| step.at);
         for step in steps {
             sleep_until(begin + step.at).await;
-            let done = match step.begins {
+            let done = match step.is_start {
                 true => self.start_fault(step.fault).await,
                 false => self.end_fault(step.fault).await,
             };
@@ -220,7 +220,7 @@
             Fault::EngineOverloaded(n) => {
                 engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS)
             }
-            Fault::EngineLeaves(n) => engine(fleet, n).state().announces_leaving = true,
+            Fault::EngineLeaves(n) => engine(fleet, n).state().is_leaving = true,
             Fault::EngineRequestsBackoff(n) => {
                 engine(fleet, n).state().requested_backoff = Some(BACKOFF);
                 engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS);
--- a/testkit/src/soak/settings.rs
+++ b/testkit/src/soak/settings.rs
@@ -8,12 +8,12 @@
     pub plain: u8,
     pub clients: u32,
     /// Whether another client keeps sending a request that crashes each engine that runs it.
-    pub crashing_requests: bool,
+    pub has_crashing_requests: bool,
     /// Whether engines also announce that they leave or need a back-off; changes the faults
     /// that a seed generates.
-    pub backend_signals: bool,
+    pub has_backend_signals: bool,
     /// Whether back ends also announce rate limits; changes the faults that a seed generates.
-    pub rate_limits: bool,
+    pub has_rate_limits: bool,
     /// Programs of an older build; process starts alternate between it and this build.
     pub other_build: Option<Binaries>,
     /// Period during which faults start.
@@ -29,9 +29,9 @@
             engines: 3,
             plain: 2,
             clients: 16,
-            crashing_requests: false,
-            backend_signals: false,
-            rate_limits: false,
+            has_crashing_requests: false,
+            has_backend_signals: false,
+            has_rate_limits: false,
             other_build: None,
             fault_period: Duration::from_secs(8),
             mean_fault_interval: Duration::from_millis(500),
--- a/testkit/src/users_platform/backend_responses.rs
+++ b/testkit/src/users_platform/backend_responses.rs
@@ -37,7 +37,7 @@
         let headers = rejection_response_headers(&mut lock(state), status, request);
         return write_response(socket, status, &headers, b"").await;
     }
-    let is_crashing = lock(state).crashes_on(&body);
+    let is_crashing = lock(state).is_crash_body(&body);
     let run_index = record_run(state, head, body);
     let _running = RunningRequest(state.clone());
     let kind = lock(state).kind;
@@ -57,11 +57,13 @@
             bail!("connection closed after invalid bytes")
         }
         (BackendFault::Unresponsive, _) => {
-            wait_or_disconnect(socket, state, run_index, UNRESPONSIVE_DURATION).await
+            wait_unless_disconnected(socket, state, run_index, UNRESPONSIVE_DURATION).await
         }
         (BackendFault::Status(status), _) => write_response(socket, status, &headers, b"").await,
         (_, BackendKind::Engine) => {
-            let from = head.number("last-event-id").map_or(0, |id| id as u32 + 1);
+            let from = head
+                .get_number("last-event-id")
+                .map_or(0, |id| id as u32 + 1);
             stream_events(socket, state, run_index, &headers, (fault, from)).await
         }
         (_, BackendKind::Plain) => {
@@ -99,7 +101,7 @@
     state.orders.complete_loads(Instant::now());
     let (_, adapter) = head.get("chalkcart-model")?.split_once('/')?;
     let held_version = state.orders.held.get(adapter).copied();
-    let expected = head.number("chalkcart-expect-version");
+    let expected = head.get_number("chalkcart-expect-version");
     match held_version {
         Some(version) if expected.is_none_or(|e| e == version) => None,
         _ => Some(421),
@@ -124,7 +126,7 @@
 }
 
 fn record_run(state: &Mutex<BackendState>, head: &Head, body: Vec<u8>) -> usize {
-    let line_part = |n: usize| head.line.get(n).cloned().unwrap_or_default();
+    let line_part = |n: usize| head.start_line.get(n).cloned().unwrap_or_default();
     let run = Run {
         request: head
             .get("chalkcart-request-id")
@@ -134,7 +136,7 @@
         target: line_part(1),
         body,
         headers: head.headers.clone(),
-        client_disconnected: false,
+        has_client_disconnected: false,
     };
     let mut state = lock(state);
     state.running += 1;
@@ -216,17 +218,17 @@
         let event = format!("id: {part}\ndata: x\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         if socket.write_all(chunk.as_bytes()).await.is_err() {
-            lock(state).runs[run_index].client_disconnected = true;
+            lock(state).runs[run_index].has_client_disconnected = true;
             bail!("caller disconnected");
         }
-        wait_or_disconnect(socket, state, run_index, event_interval).await?;
+        wait_unless_disconnected(socket, state, run_index, event_interval).await?;
     }
     socket.write_all(b"0\r\n\r\n").await?;
     Ok(())
 }
 
 /// Waits and records whether the caller closes the connection meanwhile.
-async fn wait_or_disconnect(
+async fn wait_unless_disconnected(
     socket: &mut TcpStream,
     state: &Mutex<BackendState>,
     run_index: usize,
@@ -236,7 +238,7 @@
     match timeout(wait, socket.read(&mut buf)).await {
         Err(_) => Ok(()),
         Ok(_) => {
-            lock(state).runs[run_index].client_disconnected = true;
+            lock(state).runs[run_index].has_client_disconnected = true;
             bail!("caller disconnected")
         }
     }
--- a/testkit/src/users_platform/backend_stand_in.rs
+++ b/testkit/src/users_platform/backend_stand_in.rs
@@ -78,7 +78,7 @@
     pub body: Vec<u8>,
     pub headers: std::collections::HashMap<String, String>,
     /// Whether the caller closed the connection before the end.
-    pub client_disconnected: bool,
+    pub has_client_disconnected: bool,
 }
 
 /// State of a back end that tests inspect and change.
@@ -110,7 +110,7 @@
     /// A request with this body crashes the back end.
     pub crash_body: Option<Vec<u8>>,
     /// Whether all responses carry the `Server-Leaving` header.
-    pub announces_leaving: bool,
+    pub is_leaving: bool,
     /// Limit in requests per second that all responses carry, if any.
     pub advertised_limit: Option<f64>,
     /// Time of the first request that was answered with the limit.
@@ -126,7 +126,7 @@
     /// Number of requests received more than `DRAIN` after that.
     pub requests_while_leaving: usize,
     /// Whether orders are rejected too.
-    pub rejects_orders: bool,
+    pub should_reject_orders: bool,
     /// Times of the sidecar's calls: orders, reports and instance id queries; recorded while
     /// orders are rejected.
     pub sidecar_calls: Vec<Instant>,
@@ -142,9 +142,7 @@
 impl BackendState {
     /// Returns the headers with which every response reports the state of the back end.
     pub fn signal_headers(&self) -> Vec<(&'static str, String)> {
-        let leaving = self
-            .announces_leaving
-            .then(|| ("Server-Leaving", "1".to_string()));
+        let leaving = self.is_leaving.then(|| ("Server-Leaving", "1".to_string()));
         let limit = self
             .advertised_limit
             .map(|per_s| ("Server-Limit", per_s.to_string()));
@@ -164,7 +162,7 @@
     pub fn on_arrival(&mut self, request: &str, now: Instant) {
         self.arrivals.push((now, request.to_string()));
         self.check_limit(now);
-        if self.announces_leaving {
+        if self.is_leaving {
             let announced_at = *self.leaving_announced_at.get_or_insert(now);
             self.requests_while_leaving += usize::from(now - announced_at > DRAIN);
         }
@@ -227,7 +225,7 @@
             .max()
             .unwrap_or(0)
     }
-    pub fn crashes_on(&self, body: &[u8]) -> bool {
+    pub fn is_crash_body(&self, body: &[u8]) -> bool {
         self.crash_body.as_deref() == Some(body)
     }
     /// Ends the current incarnation; the next one has another id and holds no adapters.
@@ -282,7 +280,7 @@
             event_interval: Duration::from_millis(5),
             event_interval_per_run: Duration::ZERO,
             crash_body: None,
-            announces_leaving: false,
+            is_leaving: false,
             advertised_limit: None,
             limit_announced_at: None,
             requests_over_limit: 0,
@@ -290,7 +288,7 @@
             requested_backoff: None,
             leaving_announced_at: None,
             requests_while_leaving: 0,
-            rejects_orders: false,
+            should_reject_orders: false,
             sidecar_calls: Vec::new(),
             backoffs: Vec::new(),
             restart_delay: Duration::from_millis(300),
@@ -364,7 +362,7 @@
     pub fn restart_with_id(&self, id: &str) {
         let mut state = self.state();
         state.id = id.to_string();
-        state.announces_leaving = false;
+        state.is_leaving = false;
         state.leaving_announced_at = None;
         state.orders = state.orders.next_incarnation();
     }
@@ -402,14 +400,14 @@
     head: &Head,
     body: Vec<u8>,
 ) -> Result<()> {
-    let target = head.line.get(1).cloned().unwrap_or_default();
+    let target = head.start_line.get(1).cloned().unwrap_or_default();
     let id = lock(state).id.clone();
     let headers = lock(state).signal_headers();
     let mut headers_with_id = headers.clone();
     headers_with_id.push(("Chalkcart-Instance-Id", id.clone()));
     let is_sidecar_call =
         [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
-    if is_sidecar_call && lock(state).rejects_orders {
+    if is_sidecar_call && lock(state).should_reject_orders {
         lock(state).sidecar_calls.push(Instant::now());
     }
     if target == HEALTH_PATH {
@@ -432,7 +430,7 @@
     if expected.is_some_and(|expected| expected != id) {
         return write_response(socket, 421, &headers_with_id, b"").await;
     }
-    if target == names::ORDER_PATH && lock(state).rejects_orders {
+    if target == names::ORDER_PATH && lock(state).should_reject_orders {
         let headers = lock(state).rejection_headers(Instant::now());
         return write_response(socket, 503, &headers, b"").await;
     }
--- a/testkit/src/users_platform/client.rs
+++ b/testkit/src/users_platform/client.rs
@@ -104,7 +104,7 @@
         .context("send the request")?;
     let head = timeout(RESPONSE_TIMEOUT, read_head(&mut socket)).await??;
     let head = head.context("connection closed without a response")?;
-    let received = head.rest.clone();
+    let received = head.body_start.clone();
     Ok(OpenStream {
         head,
         socket,
@@ -119,7 +119,7 @@
     }
     /// Reads the rest of the response and returns it with the connection.
     pub async fn finish_and_keep_connection(mut self) -> Result<(ClientResponse, TcpStream)> {
-        let status = self.head.line.get(1).and_then(|s| s.parse().ok());
+        let status = self.head.start_line.get(1).and_then(|s| s.parse().ok());
         let status = status.context("read the status of the response")?;
         let is_complete = timeout(RESPONSE_TIMEOUT, self.read_to_end()).await?;
         let response = ClientResponse {
@@ -143,7 +143,7 @@
         }
     }
     fn is_body_complete(&self) -> bool {
-        match self.head.number("content-length") {
+        match self.head.get_number("content-length") {
             Some(length) => self.received.len() as u64 >= length,
             None => self.received.ends_with(b"0\r\n\r\n"),
         }
--- a/testkit/src/users_platform/fleet.rs
+++ b/testkit/src/users_platform/fleet.rs
@@ -38,7 +38,7 @@
     pub engines: u8,
     pub plain: u8,
     /// Whether a configuration is published before the start.
-    pub publish_config: bool,
+    pub should_publish_config: bool,
     pub timeout_ms: u64,
     pub grace_s: f64,
     /// Number of engines from which on the ingress uses a relay.
@@ -60,7 +60,7 @@
             zones: vec![("z", "r")],
             engines: 0,
             plain: 1,
-            publish_config: true,
+            should_publish_config: true,
             timeout_ms: 8_000,
             grace_s: 6.0,
             relays_from_engines: usize::MAX,
@@ -119,7 +119,7 @@
             fleet.plain.push(backend);
             fleet.publish_backend(PLAIN_SERVICE, fleet.plain.len() - 1, "ready");
         }
-        if fleet.settings.publish_config {
+        if fleet.settings.should_publish_config {
             fleet.configure(|_| {});
             fleet.wait_ready().await;
         }
--- a/testkit/src/users_platform/retrying_clients.rs
+++ b/testkit/src/users_platform/retrying_clients.rs
@@ -18,7 +18,7 @@
     /// Maximum number of retries per request.
     pub retries: u32,
     /// Whether retries wait for `Retry-After`; otherwise they are sent at once.
-    pub honors_retry_after: bool,
+    pub should_honor_retry_after: bool,
 }
 
 /// All attempts of one request.
@@ -71,7 +71,7 @@
         if !is_rejected {
             break;
         }
-        if settings.honors_retry_after {
+        if settings.should_honor_retry_after {
             sleep(Duration::from_secs_f64(retry_after_s)).await;
         }
     }
--- a/testkit/src/users_platform/wire.rs
+++ b/testkit/src/users_platform/wire.rs
@@ -14,22 +14,22 @@
 /// Head of a message, with the first line split at spaces.
 #[derive(Debug, Clone, Default)]
 pub struct Head {
-    pub line: Vec<String>,
+    pub start_line: Vec<String>,
     /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
     /// Bytes received after the head.
-    pub rest: Vec<u8>,
+    pub body_start: Vec<u8>,
 }
 
 impl Head {
     /// Returns the path and query of a request.
     pub fn target(&self) -> String {
-        self.line.get(1).cloned().unwrap_or_default()
+        self.start_line.get(1).cloned().unwrap_or_default()
     }
     pub fn get(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
-    pub fn number(&self, name: &str) -> Option<u64> {
+    pub fn get_number(&self, name: &str) -> Option<u64> {
         self.get(name)?.parse().ok()
     }
 }
@@ -56,16 +56,16 @@
         Some((name.to_ascii_lowercase(), value.trim().to_string()))
     });
     Ok(Some(Head {
-        line: line.split(' ').map(str::to_string).collect(),
+        start_line: line.split(' ').map(str::to_string).collect(),
         headers: headers.collect(),
-        rest: buf[end + 4..].to_vec(),
+        body_start: buf[end + 4..].to_vec(),
     }))
 }
 
 /// Reads a body of the length that the head declares.
 pub async fn read_body(socket: &mut TcpStream, head: &Head) -> Result<Vec<u8>> {
-    let length = head.number("content-length").unwrap_or(0) as usize;
-    let mut body = head.rest.clone();
+    let length = head.get_number("content-length").unwrap_or(0) as usize;
+    let mut body = head.body_start.clone();
     while body.len() < length {
         if socket.read_buf(&mut body).await? == 0 {
             bail!("connection closed in the body");
--- a/testkit/tests/at_most_once.rs
+++ b/testkit/tests/at_most_once.rs
@@ -168,7 +168,7 @@
         LinkFault::Closed,
     ] {
         let settings = ClusterSettings {
-            forward_targets: true,
+            has_target_forwarders: true,
             ..one_service()
         };
         let cluster = Cluster::start(settings).await?;
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -230,7 +230,7 @@
 async fn entries_cut_from_each_other_read_the_platform_and_serve_on() -> Result<()> {
     let settings = ClusterSettings {
         entries: 5,
-        forward_entries: true,
+        has_entry_forwarders: true,
         ..ClusterSettings::default()
     };
     let cluster = Cluster::start(settings).await?;
--- a/testkit/tests/ingress_answers.rs
+++ b/testkit/tests/ingress_answers.rs
@@ -133,7 +133,7 @@
     let answer = request(fleet.clients, &to("/unsafe/", "r1")).await?;
     assert_eq!(answer.status, 504);
     until("the back end is freed", || {
-        fleet.plain[0].runs()[0].client_disconnected
+        fleet.plain[0].runs()[0].has_client_disconnected
     })
     .await;
     Ok(())
@@ -150,7 +150,7 @@
     until("it runs", || fleet.plain[0].runs().len() == 1).await;
     waiting.abort();
     until("the back end is freed", || {
-        fleet.plain[0].runs()[0].client_disconnected
+        fleet.plain[0].runs()[0].has_client_disconnected
     })
     .await;
     Ok(())
@@ -202,7 +202,7 @@
 #[tokio::test]
 async fn before_any_configuration_each_path_gets_503_with_a_time_to_come_back() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
-        publish_config: false,
+        should_publish_config: false,
         ..FleetSettings::default()
     })
     .await?;
@@ -281,7 +281,7 @@
 /// after a refusal
 #[tokio::test]
 async fn under_pressure_each_refusal_is_true_and_nothing_runs_twice() -> Result<()> {
-    for honors_retry_after in [true, false] {
+    for should_honor_retry_after in [true, false] {
         let fleet = Fleet::start(FleetSettings::default()).await?;
         {
             let mut state = fleet.plain[0].state();
@@ -292,7 +292,7 @@
             requests: 60,
             gap: Duration::from_millis(5),
             retries: 2,
-            honors_retry_after,
+            should_honor_retry_after,
         };
         let histories = send_with_retries(fleet.clients, &to("/unsafe/", "p"), &how).await?;
         let runs = fleet.plain[0].runs();
--- a/testkit/tests/ingress_engines.rs
+++ b/testkit/tests/ingress_engines.rs
@@ -163,7 +163,7 @@
     until("the engine is freed", || {
         let runs = fleet.engines[0].runs();
         runs.iter()
-            .any(|run| run.request == "r2" && run.client_disconnected)
+            .any(|run| run.request == "r2" && run.has_client_disconnected)
     })
     .await;
     Ok(())
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -38,7 +38,7 @@
 
 async fn start_with(settings: FleetSettings, accounts: Value) -> Result<Fleet> {
     let mut fleet = Fleet::start(FleetSettings {
-        publish_config: false,
+        should_publish_config: false,
         revoke_ms: Some(REVOKE_MS),
         ..settings
     })
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -64,7 +64,7 @@
         requests: MANY,
         gap: Duration::from_millis(50),
         retries,
-        honors_retry_after: true,
+        should_honor_retry_after: true,
     }
 }
 
@@ -89,7 +89,7 @@
     serve_prompt(&fleet, "a", "first").await?;
     fleet.store.set_fault(StoreFault::Unresponsive);
     let leaving = that_ran(&fleet, "first");
-    leaving.state().announces_leaving = true;
+    leaving.state().is_leaving = true;
     let answer = serve_prompt(&fleet, "a", "told").await?;
     assert_eq!(answer.head.get("server-leaving"), Some("1"));
     let told = Instant::now();
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn its_record_does_not_take_its_word_back() -> Result<()> {
     let fleet = plain(2).await?;
-    fleet.plain[0].state().announces_leaving = true;
+    fleet.plain[0].state().is_leaving = true;
     let mut told = false;
     for number in 0..MANY {
         let answer = request(fleet.clients, &safe(&format!("before-{number}"))).await?;
@@ -211,7 +211,7 @@
     for engine in &fleet.engines {
         let mut state = engine.state();
         state.requested_backoff = Some(REST);
-        state.rejects_orders = true;
+        state.should_reject_orders = true;
     }
     // each makes an engine wanted for an adapter that it lacks
     for number in 0..4 {
@@ -238,7 +238,7 @@
     serve_prompt(&fleet, "a", "first").await?;
     fleet.store.set_fault(StoreFault::Unresponsive);
     let leaving = that_ran(&fleet, "first");
-    leaving.state().announces_leaving = true;
+    leaving.state().is_leaving = true;
     sleep(DRAIN).await;
     let told = Instant::now();
     for number in 0..4 {
@@ -262,10 +262,10 @@
             fleet.sidecar_log(0).contains(&identified)
         })
         .await;
-        engine.state().announces_leaving = true;
+        engine.state().is_leaving = true;
         until("its word is logged", || lines(fleet.sidecar_log(0)) == life).await;
         let mut state = engine.state();
-        state.announces_leaving = false;
+        state.is_leaving = false;
         state.crash();
     }
     Ok(())
--- a/testkit/tests/named_limits.rs
+++ b/testkit/tests/named_limits.rs
@@ -21,7 +21,7 @@
     requests: 160,
     gap: Duration::from_millis(50),
     retries: 0,
-    honors_retry_after: false,
+    should_honor_retry_after: false,
 };
 
 fn safe() -> ClientRequest {
--- a/testkit/tests/soak.rs
+++ b/testkit/tests/soak.rs
@@ -56,7 +56,7 @@
     for (seed, gap_ms) in [(11, 500), (12, 500), (338, 300), (344, 300), (439, 300)] {
         play_clean(SoakSettings {
             seed,
-            crashing_requests: true,
+            has_crashing_requests: true,
             mean_fault_interval: Duration::from_millis(gap_ms),
             fault_period: SPAN,
             ..SoakSettings::default()
@@ -72,7 +72,7 @@
     for seed in [21, 22, 23] {
         play_clean(SoakSettings {
             seed,
-            backend_signals: true,
+            has_backend_signals: true,
             mean_fault_interval: Duration::from_millis(300),
             fault_period: SPAN,
             ..SoakSettings::default()
@@ -88,7 +88,7 @@
     for seed in [31, 32] {
         play_clean(SoakSettings {
             seed,
-            rate_limits: true,
+            has_rate_limits: true,
             mean_fault_interval: Duration::from_millis(700),
             fault_period: LIMITED_SPAN,
             ..SoakSettings::default()
--- a/testkit/tests/whole_answers.rs
+++ b/testkit/tests/whole_answers.rs
@@ -90,14 +90,14 @@
         (
             "repeated",
             EngineFaults {
-                duplicate_events: true,
+                should_duplicate_events: true,
                 ..EngineFaults::default()
             },
         ),
         (
             "out of order",
             EngineFaults {
-                swap_events: true,
+                should_swap_events: true,
                 ..EngineFaults::default()
             },
         ),
@@ -111,10 +111,10 @@
         (
             "all at once",
             EngineFaults {
-                duplicate_events: true,
-                swap_events: true,
+                should_duplicate_events: true,
+                should_swap_events: true,
                 cut_after: Some(9),
-                wrong_version: false,
+                should_report_wrong_version: false,
             },
         ),
     ];
@@ -134,7 +134,7 @@
 async fn an_answer_of_another_version_is_an_error_and_never_an_answer() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let faults = EngineFaults {
-        wrong_version: true,
+        should_report_wrong_version: true,
         ..EngineFaults::default()
     };
     cluster
@@ -158,7 +158,7 @@
         LinkFault::Blackhole,
     ] {
         let settings = ClusterSettings {
-            forward_targets: true,
+            has_target_forwarders: true,
             ..engines_only()
         };
         let cluster = Cluster::start(settings).await?;
