--- a/testkit/src/load/scrape.rs
+++ b/testkit/src/load/scrape.rs
@@ -12,9 +12,9 @@
 impl HistogramTotals {
     /// Returns the upper bound in seconds of the bucket that contains a quantile.
     pub fn quantile(&self, quantile: f64) -> f64 {
-        let wanted = self.count * quantile;
-        let found = self.buckets.iter().find(|(_, n)| **n >= wanted);
-        found.map_or(0.0, |(bits, _)| f64::from_bits(*bits))
+        let rank = self.count * quantile;
+        let bucket = self.buckets.iter().find(|(_, n)| **n >= rank);
+        bucket.map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
     /// Subtracts an earlier scrape.
     pub fn since(mut self, earlier: &Self) -> Self {
@@ -25,12 +25,12 @@
         }
         self
     }
-    fn add_line(&mut self, rest: &str, value: f64) {
-        if rest.starts_with("_count") {
+    fn add_line(&mut self, suffix: &str, value: f64) {
+        if suffix.starts_with("_count") {
             self.count += value;
-        } else if rest.starts_with("_sum") {
+        } else if suffix.starts_with("_sum") {
             self.sum += value;
-        } else if let Some(bound) = bucket_bound(rest) {
+        } else if let Some(bound) = bucket_bound(suffix) {
             // non-negative floats sort like their bit patterns
             *self.buckets.entry(bound.to_bits()).or_insert(0.0) += value;
         }
@@ -43,18 +43,18 @@
     for node in &cluster.engines {
         let (_, page) = node.sidecar.get("/metrics").await?;
         for line in page.lines() {
-            let Some(rest) = line.strip_prefix(name) else {
+            let Some(suffix) = line.strip_prefix(name) else {
                 continue;
             };
             let value = line.rsplit(' ').next().and_then(|v| v.parse().ok());
-            scraped.add_line(rest, value.unwrap_or(0.0));
+            scraped.add_line(suffix, value.unwrap_or(0.0));
         }
     }
     Ok(scraped)
 }
 
-fn bucket_bound(rest: &str) -> Option<f64> {
-    let (_, from_bound) = rest.split_once("le=\"")?;
+fn bucket_bound(suffix: &str) -> Option<f64> {
+    let (_, from_bound) = suffix.split_once("le=\"")?;
     let (bound, _) = from_bound.split_once('"')?;
     match bound {
         "+Inf" => Some(f64::INFINITY),
--- a/testkit/src/soak/runner.rs
+++ b/testkit/src/soak/runner.rs
@@ -492,11 +492,11 @@
         if line.contains("serves on ") {
             incarnations.push(Vec::new());
         }
-        let Some((_, rest)) = line.split_once("configuration ") else {
+        let Some((_, suffix)) = line.split_once("configuration ") else {
             continue;
         };
-        let number = rest.split(' ').next().and_then(|n| n.parse().ok());
-        let is_in_force = rest.contains(" in force, ");
+        let number = suffix.split(' ').next().and_then(|n| n.parse().ok());
+        let is_in_force = suffix.contains(" in force, ");
         if let (Some(number), true, Some(incarnation)) =
             (number, is_in_force, incarnations.last_mut())
         {
