--- a/testkit/src/cluster/binaries.rs
+++ b/testkit/src/cluster/binaries.rs
@@ -11,28 +11,28 @@
 static BUILT: OnceLock<Binaries> = OnceLock::new();
 static BUILDING: Mutex<()> = Mutex::new(());
 
-/// the two programs, built like the running test or example
+/// Paths of the two programs, built with the profile of the running test or example.
 #[derive(Debug, Clone)]
 pub struct Binaries {
     pub entry: PathBuf,
     pub sidecar: PathBuf,
 }
 
-/// the folder with the programs of an older build, for tests of two builds side by side
+/// Variable with the folder of an older build's programs, for tests of mixed versions.
 pub const OTHER_BUILD: &str = "CHALKCART_OTHER_BUILD";
 
 impl Binaries {
-    /// those of the older build that the environment names, if it does
-    pub fn of_other_build() -> Option<Self> {
+    /// Returns the programs of the older build that the environment names, if any.
+    pub fn from_other_build() -> Option<Self> {
         let folder = PathBuf::from(env::var_os(OTHER_BUILD)?);
         Some(Self {
             entry: folder.join("chalkcart"),
             sidecar: folder.join("chalkcart-sidecar"),
         })
     }
-    /// build the programs once, and say where they are
+    /// Builds the programs once and returns their paths.
     pub fn get() -> Result<Self> {
-        let _one_at_a_time = BUILDING.lock().unwrap_or_else(|e| e.into_inner());
+        let _build_lock = BUILDING.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(built) = BUILT.get() {
             return Ok(built.clone());
         }
@@ -43,8 +43,8 @@
 
 fn build() -> Result<Binaries> {
     // tests run from target/PROFILE/deps, examples from target/PROFILE/examples
-    let own = env::current_exe().context("find the running program")?;
-    let profile = own.parent().and_then(|deps| deps.parent());
+    let current_exe = env::current_exe().context("find the running program")?;
+    let profile = current_exe.parent().and_then(|deps| deps.parent());
     let folder = profile
         .context("find the folder of the build")?
         .to_path_buf();
@@ -58,7 +58,7 @@
     }
     let status = command.status().context("run cargo")?;
     if !status.success() {
-        bail!("cargo build of the programs: {status}");
+        bail!("cargo build of the programs failed: {status}");
     }
     Ok(Binaries {
         entry: folder.join("chalkcart"),
--- a/testkit/src/cluster/node.rs
+++ b/testkit/src/cluster/node.rs
@@ -15,20 +15,20 @@
     tokio::time::sleep,
 };
 
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const READY_LOOK: Duration = Duration::from_millis(20);
-const HTTP_LIMIT: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const HTTP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// one box of the fleet with its process
+/// Box of the fleet with its process.
 #[derive(Debug)]
 pub struct Node {
     pub name: String,
     pub zone: String,
     pub role: Role,
-    /// where the process listens
+    /// Address on which the process listens.
     pub listen: SocketAddr,
-    /// where the platform's list says that it listens
-    pub listed: SocketAddr,
+    /// Address in the platform's list: the forwarder's if there is one.
+    pub listed_addr: SocketAddr,
     pub forwarder: Option<TcpForwarder>,
     pub process: Process,
     program: PathBuf,
@@ -36,40 +36,46 @@
     log_file: PathBuf,
 }
 
-/// what a node is started with
+/// Options for starting a node.
 #[derive(Debug)]
-pub struct NodeStart<'a> {
+pub struct NodeOptions<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     pub role: Role,
     pub listen: SocketAddr,
-    /// set if others reach it through a forwarder
+    /// Forwarder through which other processes reach the node, if any.
     pub forwarder: Option<TcpForwarder>,
     pub settings: Map<String, Value>,
     pub folder: &'a Path,
 }
 
 impl Node {
-    pub fn start(start: NodeStart) -> Result<Self> {
+    pub fn start(options: NodeOptions) -> Result<Self> {
         let binaries = Binaries::get()?;
-        let program = match start.role {
+        let program = match options.role {
             Role::Entry => binaries.entry,
             Role::Engine { .. } | Role::Service { .. } => binaries.sidecar,
         };
         let file = |ending: &str| {
-            let name = format!("{}-{}.{ending}", start.name, start.listen.port());
-            start.folder.join(name)
+            let name = format!("{}-{}.{ending}", options.name, options.listen.port());
+            options.folder.join(name)
         };
         let (settings_file, log_file) = (file("json"), file("log"));
-        fs::write(&settings_file, serde_json::to_vec_pretty(&start.settings)?)?;
-        let process = spawn(&program, &start.role, &settings_file, &log_file)?;
+        fs::write(
+            &settings_file,
+            serde_json::to_vec_pretty(&options.settings)?,
+        )?;
+        let process = spawn(&program, &options.role, &settings_file, &log_file)?;
         Ok(Self {
-            name: start.name.to_string(),
-            zone: start.zone.to_string(),
-            role: start.role,
-            listen: start.listen,
-            listed: start.forwarder.as_ref().map_or(start.listen, |f| f.addr),
-            forwarder: start.forwarder,
+            name: options.name.to_string(),
+            zone: options.zone.to_string(),
+            role: options.role,
+            listen: options.listen,
+            listed_addr: options
+                .forwarder
+                .as_ref()
+                .map_or(options.listen, |f| f.addr),
+            forwarder: options.forwarder,
             process,
             program,
             settings_file,
@@ -77,18 +83,18 @@
         })
     }
 
-    /// its row of the platform's list
-    pub fn row(&self) -> FleetBox {
+    /// Returns the node's entry in the platform's list.
+    pub fn list_entry(&self) -> FleetBox {
         FleetBox {
             name: self.name.clone(),
             zone: self.zone.clone(),
-            addr: self.listed,
+            addr: self.listed_addr,
             role: self.role.clone(),
             state: BoxState::Live,
         }
     }
 
-    /// start the process again, with the same settings
+    /// Starts the process again with the same settings.
     pub fn respawn(&mut self) -> Result<()> {
         self.process = spawn(
             &self.program,
@@ -99,30 +105,30 @@
         Ok(())
     }
 
-    /// wait until `/readyz` says so
+    /// Waits until `/readyz` responds with 200.
     pub async fn wait_ready(&self) -> Result<()> {
-        let until = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
             ensure!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "{} is not ready; its log:\n{}",
                 self.name,
                 self.log()
             );
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     pub async fn is_ready(&self) -> bool {
         let (status, _) = match self.get("/readyz").await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => return false,
         };
         status == StatusCode::OK
     }
 
-    /// get a page of the process
+    /// Requests a page from the process.
     pub async fn get(&self, path: &str) -> Result<(StatusCode, String)> {
         let (status, body) = HttpClient::new()
             .exchange(
@@ -131,13 +137,13 @@
                 path,
                 "text/plain",
                 bytes::Bytes::new(),
-                HTTP_LIMIT,
+                HTTP_TIMEOUT,
             )
             .await?;
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// whether a line of the log says this, written as `part: message`
+    /// Returns whether a log line contains a text, matched against `part: message`.
     pub fn has_logged(&self, text: &str) -> bool {
         let log = self.log();
         let mut lines = log
--- a/testkit/src/commands.rs
+++ b/testkit/src/commands.rs
@@ -1,4 +1,4 @@
-//! running a program for its output, for tests of the command line
+//! Runs programs and captures their output, for tests of the command line.
 
 use std::{
     env, fs,
@@ -9,29 +9,29 @@
 
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// how a program ended and what it printed
+/// Exit code and output of a program.
 #[derive(Debug)]
-pub struct Ran {
+pub struct ProgramOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-/// run a program to its end
-pub fn run_program(program: &Path, args: &[&str]) -> anyhow::Result<Ran> {
+/// Runs a program until it exits.
+pub fn run_program(program: &Path, args: &[&str]) -> anyhow::Result<ProgramOutput> {
     let Output {
         status,
         stdout,
         stderr,
     } = Command::new(program).args(args).output()?;
-    Ok(Ran {
+    Ok(ProgramOutput {
         code: status.code(),
         stdout: String::from_utf8_lossy(&stdout).into_owned(),
         stderr: String::from_utf8_lossy(&stderr).into_owned(),
     })
 }
 
-/// write a settings file for a program
+/// Writes a settings file for a program.
 pub fn settings_file(text: &str) -> anyhow::Result<PathBuf> {
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let name = format!("chalkcart-settings-{}-{number}.json", process::id());
--- a/testkit/src/load/calls.rs
+++ b/testkit/src/load/calls.rs
@@ -1,5 +1,5 @@
 use {
-    super::Answer,
+    super::Completion,
     chalkcart_protocol::{
         peer::Outcome,
         status::{outcome_of, reason_of, retry_after_of},
@@ -12,62 +12,62 @@
     tonic::{transport::Channel, Status},
 };
 
-/// a failed request, as its caller sees it
+/// Failed request as seen by its caller.
 #[derive(Debug, Clone)]
 pub struct Failure {
     pub outcome: Outcome,
     pub reason: String,
     pub retry_after: Option<Duration>,
-    pub took: Duration,
+    pub duration: Duration,
     pub status: Status,
-    /// tokens that came before
+    /// Number of tokens received before the failure.
     pub tokens: usize,
 }
 
 impl Failure {
-    fn new(status: Status, took: Duration, tokens: usize) -> Self {
+    fn new(status: Status, duration: Duration, tokens: usize) -> Self {
         Self {
             outcome: outcome_of(&status),
             reason: reason_of(&status).unwrap_or_else(|| status.code().to_string()),
             retry_after: retry_after_of(&status),
-            took,
+            duration,
             status,
             tokens,
         }
     }
 }
 
-/// run a prompt to its end
+/// Runs a prompt and collects its completion.
 pub async fn generate(
     client: &mut InferenceClient<Channel>,
     req: GenerateRequest,
-) -> Result<Answer, Box<Failure>> {
+) -> Result<Completion, Box<Failure>> {
     let started = Instant::now();
-    let mut answer = Answer::default();
+    let mut completion = Completion::default();
     let failed = |status, tokens| Box::new(Failure::new(status, started.elapsed(), tokens));
     let response = client.generate(req).await.map_err(|e| failed(e, 0))?;
     let mut events = response.into_inner();
     loop {
         let event = events.message().await;
-        match event.map_err(|e| failed(e, answer.tokens.len()))? {
+        match event.map_err(|e| failed(e, completion.tokens.len()))? {
             None => break,
             Some(event) => match event.event {
                 Some(Event::Token(token)) => {
-                    if answer.tokens.is_empty() {
-                        answer.first_token = started.elapsed();
+                    if completion.tokens.is_empty() {
+                        completion.time_to_first_token = started.elapsed();
                     }
-                    answer.tokens.push(token.text);
+                    completion.tokens.push(token.text);
                 }
-                Some(Event::Finished(finished)) => answer.finished = Some(finished),
+                Some(Event::Finished(finished)) => completion.finished = Some(finished),
                 None => {}
             },
         }
     }
-    answer.took = started.elapsed();
-    Ok(answer)
+    completion.duration = started.elapsed();
+    Ok(completion)
 }
 
-/// call a service; an empty id makes it repeatable
+/// Calls a service; without a reserved id the call is repeatable.
 pub async fn call_once(
     client: &mut InferenceClient<Channel>,
     service: &str,
@@ -85,12 +85,11 @@
         not_repeatable: !reserved_id.is_empty(),
         reserved_id: reserved_id.to_string(),
     };
-    let answer = client.call(req).await;
-    let answer = answer.map_err(|e| Box::new(Failure::new(e, started.elapsed(), 0)))?;
-    Ok(answer.into_inner().body)
+    let response = client.call(req).await;
+    let response = response.map_err(|e| Box::new(Failure::new(e, started.elapsed(), 0)))?;
+    Ok(response.into_inner().body)
 }
 
-/// ids for calls of a service
 pub async fn reserve_for_service(
     client: &mut InferenceClient<Channel>,
     service: &str,
@@ -99,7 +98,6 @@
     reserve(client, Work::Service(service.to_string()), count).await
 }
 
-/// ids for prompts on an adapter
 pub async fn reserve_for_adapter(
     client: &mut InferenceClient<Channel>,
     adapter: &str,
--- a/testkit/src/load/report.rs
+++ b/testkit/src/load/report.rs
@@ -1,28 +1,28 @@
 use {hdrhistogram::Histogram, std::collections::BTreeMap, std::time::Duration};
 
-/// precision of the histograms
+/// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// what the requests of one group and class saw
+/// Results of the requests of one group and class.
 #[derive(Debug)]
 pub struct ClassReport {
     pub sent: u64,
     pub completed: u64,
-    /// completed within the stream's own limit
-    pub in_time: u64,
+    /// Completed with the first token within the stream's target.
+    pub within_target: u64,
     pub not_run: u64,
     pub may_have_run: u64,
     pub tokens: u64,
-    /// tokens of answers that ended between the warm-up and the load's end,
-    /// whenever they were asked for
+    /// Tokens of completions that ended between the warm-up and the end of the load, including
+    /// those of requests sent before.
     pub window_tokens: u64,
-    /// in µs
+    /// Time to first token in µs.
     pub first_token: Histogram<u64>,
-    /// of whole requests, in µs
+    /// Time to the end of the completion in µs.
     pub total: Histogram<u64>,
-    /// of refusals, in µs
-    pub refused_after: Histogram<u64>,
-    pub refused_with_retry_after: u64,
+    /// Time to a failure in µs.
+    pub rejection_time: Histogram<u64>,
+    pub rejected_with_retry_after: u64,
     pub reasons: BTreeMap<String, u64>,
 }
 
@@ -32,15 +32,15 @@
         Self {
             sent: 0,
             completed: 0,
-            in_time: 0,
+            within_target: 0,
             not_run: 0,
             may_have_run: 0,
             tokens: 0,
             window_tokens: 0,
             first_token: histogram(),
             total: histogram(),
-            refused_after: histogram(),
-            refused_with_retry_after: 0,
+            rejection_time: histogram(),
+            rejected_with_retry_after: 0,
             reasons: BTreeMap::new(),
         }
     }
@@ -53,22 +53,21 @@
     pub fn total_ms(&self, quantile: f64) -> f64 {
         self.total.value_at_quantile(quantile) as f64 / 1e3
     }
-    pub fn refused_ms(&self, quantile: f64) -> f64 {
-        self.refused_after.value_at_quantile(quantile) as f64 / 1e3
+    pub fn rejected_ms(&self, quantile: f64) -> f64 {
+        self.rejection_time.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// what a whole load saw
 #[derive(Debug, Default)]
 pub struct LoadReport {
-    /// by stream
+    /// Results by `GROUP/CLASS`.
     pub classes: BTreeMap<String, ClassReport>,
-    /// answers of another adapter, version or prompt
-    pub wrong: u64,
-    /// answers that were not whole
-    pub cut_off: u64,
-    /// requests without any word at the end
-    pub open: u64,
+    /// Completions by another adapter or version, or for another prompt.
+    pub mismatched: u64,
+    /// Completions with missing or misplaced tokens.
+    pub incomplete: u64,
+    /// Requests that neither completed nor failed.
+    pub unfinished: u64,
     pub span: Duration,
 }
 
@@ -76,13 +75,13 @@
     pub fn completed(&self) -> u64 {
         self.classes.values().map(|c| c.completed).sum()
     }
-    pub fn in_time(&self) -> u64 {
-        self.classes.values().map(|c| c.in_time).sum()
+    pub fn within_target(&self) -> u64 {
+        self.classes.values().map(|c| c.within_target).sum()
     }
     pub fn sent(&self) -> u64 {
         self.classes.values().map(|c| c.sent).sum()
     }
-    /// a table for people
+    /// Formats the results as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<22} {:>6} {:>6} {:>7} {:>8} {:>8} {:>9} {:>9} {:>9}\n",
@@ -102,7 +101,7 @@
                 name,
                 class.sent,
                 class.completed,
-                class.in_time,
+                class.within_target,
                 class.not_run,
                 class.may_have_run,
                 class.first_token_ms(0.5),
--- a/testkit/src/load/scrape.rs
+++ b/testkit/src/load/scrape.rs
@@ -1,22 +1,22 @@
 use {crate::cluster::Cluster, anyhow::Result, std::collections::BTreeMap};
 
-/// a histogram summed over processes and labels
+/// Histogram summed over processes and labels.
 #[derive(Debug, Default, Clone)]
-pub struct Scraped {
+pub struct HistogramTotals {
     pub count: f64,
     pub sum: f64,
-    /// observations up to each bound, by the bound's text
+    /// Cumulative counts by the bit pattern of the bucket's upper bound.
     buckets: BTreeMap<u64, f64>,
 }
 
-impl Scraped {
-    /// upper bound of the bucket in which a quantile lies, in seconds
+impl HistogramTotals {
+    /// Returns the upper bound in seconds of the bucket that contains a quantile.
     pub fn quantile(&self, quantile: f64) -> f64 {
-        let wanted = self.count * quantile;
-        let found = self.buckets.iter().find(|(_, n)| **n >= wanted);
-        found.map_or(0.0, |(bits, _)| f64::from_bits(*bits))
+        let rank = self.count * quantile;
+        let bucket = self.buckets.iter().find(|(_, n)| **n >= rank);
+        bucket.map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
-    /// what came after an earlier reading
+    /// Subtracts an earlier scrape.
     pub fn since(mut self, earlier: &Self) -> Self {
         self.count -= earlier.count;
         self.sum -= earlier.sum;
@@ -25,36 +25,36 @@
         }
         self
     }
-    fn add_line(&mut self, rest: &str, value: f64) {
-        if rest.starts_with("_count") {
+    fn add_line(&mut self, suffix: &str, value: f64) {
+        if suffix.starts_with("_count") {
             self.count += value;
-        } else if rest.starts_with("_sum") {
+        } else if suffix.starts_with("_sum") {
             self.sum += value;
-        } else if let Some(bound) = bound_of(rest) {
-            // positive floats sort like their bits
+        } else if let Some(bound) = bucket_bound(suffix) {
+            // non-negative floats sort like their bit patterns
             *self.buckets.entry(bound.to_bits()).or_insert(0.0) += value;
         }
     }
 }
 
-/// sum one histogram over all sidecars of engines
-pub async fn scrape_engines(cluster: &Cluster, name: &str) -> Result<Scraped> {
-    let mut scraped = Scraped::default();
+/// Sums one histogram over the sidecars of all engines.
+pub async fn scrape_engines(cluster: &Cluster, name: &str) -> Result<HistogramTotals> {
+    let mut scraped = HistogramTotals::default();
     for node in &cluster.engines {
         let (_, page) = node.sidecar.get("/metrics").await?;
         for line in page.lines() {
-            let Some(rest) = line.strip_prefix(name) else {
+            let Some(suffix) = line.strip_prefix(name) else {
                 continue;
             };
             let value = line.rsplit(' ').next().and_then(|v| v.parse().ok());
-            scraped.add_line(rest, value.unwrap_or(0.0));
+            scraped.add_line(suffix, value.unwrap_or(0.0));
         }
     }
     Ok(scraped)
 }
 
-fn bound_of(rest: &str) -> Option<f64> {
-    let (_, from_bound) = rest.split_once("le=\"")?;
+fn bucket_bound(suffix: &str) -> Option<f64> {
+    let (_, from_bound) = suffix.split_once("le=\"")?;
     let (bound, _) = from_bound.split_once('"')?;
     match bound {
         "+Inf" => Some(f64::INFINITY),
--- /dev/null
+++ b/testkit/src/soak/runner.rs
@@ -0,0 +1,507 @@
+use {
+    super::{
+        keep_alive_client::KeepAliveClient, schedule_faults, violations, BackendRecord,
+        ConfigurationHistory, Fault, Outcome, RequestRecord, ScheduledFault, SoakRecord,
+        SoakSettings, Violation,
+    },
+    crate::{
+        cluster::Binaries,
+        users_platform::{
+            prompt, request, BackendFault, BackendStandIn, ClientRequest, Fleet, FleetSettings,
+            StoreFault, FIRST_START_TIME_MS, MODEL,
+        },
+        waiting::until,
+    },
+    anyhow::{Context, Result},
+    nix::{
+        sys::signal::{kill, Signal},
+        unistd::Pid,
+    },
+    serde_json::json,
+    std::{
+        collections::BTreeMap,
+        sync::{
+            atomic::{AtomicBool, Ordering},
+            Arc,
+        },
+        time::{Duration, Instant},
+    },
+    tokio::{
+        task::JoinHandle,
+        time::{sleep, sleep_until},
+    },
+};
+
+/// Time limit for the fleet to serve all routes again after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between SIGTERM and SIGKILL, in seconds, and the time limit for an exit after it.
+const GRACE_S: f64 = 2.0;
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Back-off that engines request.
+const BACKOFF: Duration = Duration::from_secs(1);
+/// Rate limit that back ends announce, in requests per second.
+const RATE_LIMIT_PER_S: f64 = 2.0;
+/// Maximum number of requests that one fault of a back end affects.
+const MAX_FAULTY_REQUESTS: u32 = 40;
+const CRASHING_BODY: &[u8] = b"ends each engine that runs it";
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+
+#[derive(Debug)]
+pub struct SoakReport {
+    pub seed: u64,
+    pub faults: Vec<ScheduledFault>,
+    pub requests: usize,
+    pub served: usize,
+    /// Number of requests by status; 0 for lost connections.
+    pub outcomes: BTreeMap<u16, usize>,
+    pub violations: Vec<Violation>,
+    /// Folder of the processes' logs.
+    pub log_folder: String,
+}
+
+/// Start or end of a fault.
+#[derive(Debug, Clone, Copy)]
+struct FaultStep {
+    at: Duration,
+    fault: Fault,
+    is_start: bool,
+}
+
+/// Runs a soak with one seed.
+pub async fn run_soak(settings: &SoakSettings) -> Result<SoakReport> {
+    let fleet = Fleet::start(FleetSettings {
+        engines: settings.engines,
+        plain: settings.plain,
+        grace_s: GRACE_S,
+        has_store_forwarder: true,
+        ..FleetSettings::default()
+    })
+    .await?;
+    let stop = Arc::new(AtomicBool::new(false));
+    let clients = (0..settings.clients).map(|number| {
+        let client = KeepAliveClient::new(fleet.clients, settings.seed, number);
+        tokio::spawn(client.run(stop.clone()))
+    });
+    let clients: Vec<_> = clients.collect();
+    let crashing_client = settings
+        .has_crashing_requests
+        .then(|| send_crashing_requests(&fleet, &stop));
+    let faults = schedule_faults(settings);
+    let mut soak = SoakRun {
+        fleet,
+        is_stopped: false,
+        exited: Vec::new(),
+        incarnations: 0,
+        adapter_versions: 0,
+        other_build: settings.other_build.clone(),
+        starts: 0,
+    };
+    soak.inject_faults(&faults).await?;
+    if let Some(client) = crashing_client {
+        client.abort();
+    }
+    let not_recovered = soak.recover().await;
+    stop.store(true, Ordering::Relaxed);
+    let mut requests = Vec::new();
+    for client in clients {
+        requests.extend(client.await?);
+    }
+    soak.record_exits();
+    Ok(soak.report(settings.seed, faults, requests, not_recovered))
+}
+
+/// Sends requests that crash engines, each under another id.
+fn send_crashing_requests(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
+    for engine in &fleet.engines {
+        engine.state().crash_body = Some(CRASHING_BODY.to_vec());
+    }
+    let (entry, stop) = (fleet.clients, stop.clone());
+    tokio::spawn(async move {
+        let mut number = 0;
+        while !stop.load(Ordering::Relaxed) {
+            number += 1;
+            let crashing_request = ClientRequest {
+                body: CRASHING_BODY.to_vec(),
+                ..prompt("a0", &format!("{CRASHING_ID}{number}"))
+            };
+            // the result doesn't matter: the engines count their crashes
+            let _ = request(entry, &crashing_request).await;
+            sleep(CRASHING_REQUEST_INTERVAL).await;
+        }
+    })
+}
+
+/// Fleet under faults.
+struct SoakRun {
+    fleet: Fleet,
+    /// Whether the ingress was stopped and has not been started again.
+    is_stopped: bool,
+    /// Processes that exited without being stopped.
+    exited: Vec<String>,
+    incarnations: u64,
+    adapter_versions: u64,
+    /// Programs of an older build; process starts alternate between it and this build.
+    other_build: Option<Binaries>,
+    starts: u64,
+}
+
+impl SoakRun {
+    /// Alternates between the two builds for each process start.
+    fn select_build(&mut self) {
+        self.starts += 1;
+        let other = self.other_build.clone().filter(|_| self.starts % 2 == 1);
+        let (entry, sidecar) = other.map(|b| (b.entry, b.sidecar)).unzip();
+        self.fleet.set_programs(entry, sidecar);
+    }
+
+    async fn inject_faults(&mut self, faults: &[ScheduledFault]) -> Result<()> {
+        let begin = tokio::time::Instant::now();
+        let steps = faults.iter().flat_map(|planned| {
+            let step = |at, is_start| FaultStep {
+                at,
+                fault: planned.fault,
+                is_start,
+            };
+            [
+                step(planned.at, true),
+                step(planned.at + planned.duration, false),
+            ]
+        });
+        let mut steps: Vec<FaultStep> = steps.collect();
+        steps.sort_by_key(|step| step.at);
+        for step in steps {
+            sleep_until(begin + step.at).await;
+            let done = match step.is_start {
+                true => self.start_fault(step.fault).await,
+                false => self.end_fault(step.fault).await,
+            };
+            done.with_context(|| format!("{step:?}"))?;
+        }
+        Ok(())
+    }
+
+    async fn start_fault(&mut self, fault: Fault) -> Result<()> {
+        self.record_exits();
+        let fleet = &mut self.fleet;
+        match fault {
+            Fault::KillIngress if !self.is_stopped => {
+                fleet.ingress.kill()?;
+                self.is_stopped = true;
+            }
+            Fault::TerminateIngress if !self.is_stopped => {
+                // a paused process can't handle SIGTERM
+                fleet.ingress.resume()?;
+                fleet.ingress.terminate()?;
+                self.is_stopped = true;
+            }
+            Fault::PauseIngress if !self.is_stopped => fleet.ingress.pause()?,
+            Fault::ReloadIngress if !self.is_stopped => {
+                kill(Pid::from_raw(fleet.ingress.id() as i32), Signal::SIGHUP)?;
+            }
+            Fault::KillIngress
+            | Fault::TerminateIngress
+            | Fault::PauseIngress
+            | Fault::ReloadIngress => {}
+            Fault::KillSidecar(n) => {
+                fleet.sidecars[usize::from(n)].kill()?;
+                self.select_build();
+                self.fleet.sidecars[usize::from(n)] = self.fleet.start_sidecar(n)?;
+            }
+            Fault::PauseSidecar(n) => fleet.sidecars[usize::from(n)].pause()?,
+            Fault::EngineRestarts(n) => {
+                self.incarnations += 1;
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS + self.incarnations);
+            }
+            Fault::EngineRestartsWithEarlierClock(n) => {
+                self.incarnations += 1;
+                fleet.engines[usize::from(n)].restart(FIRST_START_TIME_MS - self.incarnations);
+            }
+            Fault::EngineOverloaded(n) => {
+                engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS)
+            }
+            Fault::EngineLeaves(n) => engine(fleet, n).state().is_leaving = true,
+            Fault::EngineRequestsBackoff(n) => {
+                engine(fleet, n).state().requested_backoff = Some(BACKOFF);
+                engine(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS);
+            }
+            Fault::EngineLimited(n) => engine(fleet, n).state().set_limit(Some(RATE_LIMIT_PER_S)),
+            Fault::PlainLimited(n) => plain(fleet, n).state().set_limit(Some(RATE_LIMIT_PER_S)),
+            Fault::EngineTruncatesStreams(n) => {
+                engine(fleet, n).set_fault(BackendFault::TruncateBody, MAX_FAULTY_REQUESTS);
+            }
+            Fault::EngineFails(n) => {
+                engine(fleet, n).set_fault(BackendFault::Status(500), MAX_FAULTY_REQUESTS);
+            }
+            Fault::PlainUnresponsive(n) => {
+                plain(fleet, n).set_fault(BackendFault::Unresponsive, MAX_FAULTY_REQUESTS)
+            }
+            Fault::PlainClosesWithoutResponse(n) => {
+                plain(fleet, n).set_fault(BackendFault::CloseBeforeResponse, MAX_FAULTY_REQUESTS);
+            }
+            Fault::PlainOverloaded(n) => {
+                plain(fleet, n).set_fault(BackendFault::Overloaded, MAX_FAULTY_REQUESTS)
+            }
+            Fault::PlainDrains(n) => fleet.publish_plain(usize::from(n), "draining"),
+            Fault::PlainRecordUnreadable(n) => {
+                let key = format!("servers/{}", plain(fleet, n).id());
+                fleet.store.put_bytes(&key, b"{\"Service\":[]");
+            }
+            Fault::StoreUnresponsive => fleet.store.set_fault(StoreFault::Unresponsive),
+            Fault::StoreReturnsErrors => fleet.store.set_fault(StoreFault::Status(503)),
+            Fault::StoreResetsConnections => fleet.store.set_fault(StoreFault::Reset),
+            Fault::StoreCompacts => fleet.store.compact_history(),
+            Fault::StoreConnectionsUnresponsive => fleet.store.silence_connections(),
+            Fault::Configuration => fleet.configure(|_| {}),
+            Fault::AdapterVersion(n) => {
+                self.adapter_versions += 1;
+                let (adapter, version) = (format!("a{n}"), 1 + self.adapter_versions);
+                for engine in &fleet.engines {
+                    let mut state = engine.state();
+                    state.orders.versions.insert(adapter.clone(), version);
+                }
+                let key = format!("op/version/{MODEL}.{adapter}");
+                let document = json!({"Model": MODEL, "Adapter": adapter, "Version": version});
+                fleet.store.put(&key, document);
+            }
+        }
+        Ok(())
+    }
+
+    async fn end_fault(&mut self, fault: Fault) -> Result<()> {
+        match fault {
+            Fault::KillIngress | Fault::TerminateIngress => self.start_ingress().await?,
+            Fault::PauseIngress if !self.is_stopped => {
+                self.fleet.ingress.resume()?;
+                self.reset_signals();
+            }
+            Fault::PauseSidecar(n) => self.fleet.sidecars[usize::from(n)].resume()?,
+            Fault::EngineOverloaded(n)
+            | Fault::EngineTruncatesStreams(n)
+            | Fault::EngineFails(n) => {
+                engine(&self.fleet, n).set_fault(BackendFault::None, 0);
+            }
+            Fault::EngineRequestsBackoff(n) => {
+                engine(&self.fleet, n).set_fault(BackendFault::None, 0);
+                engine(&self.fleet, n).state().requested_backoff = None;
+            }
+            Fault::EngineLimited(n) => engine(&self.fleet, n).state().set_limit(None),
+            Fault::PlainLimited(n) => plain(&self.fleet, n).state().set_limit(None),
+            Fault::EngineLeaves(n) => self.replace_engine(n),
+            Fault::PlainUnresponsive(n)
+            | Fault::PlainClosesWithoutResponse(n)
+            | Fault::PlainOverloaded(n) => {
+                plain(&self.fleet, n).set_fault(BackendFault::None, 0);
+            }
+            Fault::PlainDrains(n) | Fault::PlainRecordUnreadable(n) => {
+                self.fleet.publish_plain(usize::from(n), "ready");
+            }
+            Fault::StoreUnresponsive
+            | Fault::StoreReturnsErrors
+            | Fault::StoreResetsConnections => {
+                self.fleet.store.set_fault(StoreFault::None);
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Resets the signals of all back ends: an entry that was down or paused has not seen them.
+    fn reset_signals(&self) {
+        for backend in self.fleet.engines.iter().chain(&self.fleet.plain) {
+            backend.state().reset_signals();
+        }
+    }
+
+    /// Removes an engine that left and starts another one at its address.
+    fn replace_engine(&mut self, number: u8) {
+        self.incarnations += 1;
+        let key = format!("servers/{}", engine(&self.fleet, number).id());
+        self.fleet.store.delete(&key);
+        let name = format!("e-{number}-{}", self.incarnations);
+        engine(&self.fleet, number).restart_with_id(&name);
+        self.fleet.publish_engine(usize::from(number), "ready");
+    }
+
+    async fn start_ingress(&mut self) -> Result<()> {
+        if self.is_stopped {
+            // a terminated process exits within its grace period
+            self.fleet.ingress.wait(STOP_TIMEOUT).await?;
+            self.select_build();
+            self.fleet.restart_ingress()?;
+            let ingress = &self.fleet.ingress;
+            until("the ingress handles SIGHUP", || ingress.survives_sighup()).await;
+            self.is_stopped = false;
+            self.reset_signals();
+        }
+        Ok(())
+    }
+
+    /// Records processes that exited without being stopped.
+    fn record_exits(&mut self) {
+        if !self.is_stopped && self.fleet.ingress.has_ended() {
+            self.exited.push("ingress".to_string());
+        }
+        for (number, sidecar) in self.fleet.sidecars.iter_mut().enumerate() {
+            if sidecar.has_ended() {
+                self.exited.push(format!("sidecar {number}"));
+            }
+        }
+    }
+
+    /// Waits until each route is served and the newest configuration is in force; returns what
+    /// is missing at the time limit.
+    async fn recover(&mut self) -> Vec<String> {
+        self.fleet.configure(|_| {});
+        // checked by the gauge, since log lines may be dropped
+        let gauge_line = format!("chalkcart_ingress_configuration {}\n", self.fleet.version());
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
+        let mut missing: Vec<&str> = vec!["/safe/", "/unsafe/", "/stream/"];
+        let mut tries = 0;
+        while Instant::now() < deadline {
+            let mut left = Vec::new();
+            for target in missing {
+                tries += 1;
+                if !self.is_route_served(target, tries).await {
+                    left.push(target);
+                }
+            }
+            missing = left;
+            let is_in_force = self.fleet.metrics_text().await.contains(&gauge_line);
+            if missing.is_empty() && is_in_force {
+                return Vec::new();
+            }
+            sleep(RECOVERY_POLL_INTERVAL).await;
+        }
+        let mut missing: Vec<String> = missing.into_iter().map(str::to_string).collect();
+        missing.push(gauge_line);
+        missing
+    }
+
+    async fn is_route_served(&self, target: &str, number: u32) -> bool {
+        let probe = ClientRequest {
+            target: target.to_string(),
+            id: format!("{RECOVERY_ID}{number}"),
+            adapter: (target == "/stream/").then(|| format!("{MODEL}/a0")),
+            ..ClientRequest::default()
+        };
+        let response = request(self.fleet.clients, &probe).await;
+        response.is_ok_and(|response| response.status == 200)
+    }
+
+    fn report(
+        self,
+        seed: u64,
+        faults: Vec<ScheduledFault>,
+        requests: Vec<RequestRecord>,
+        not_recovered: Vec<String>,
+    ) -> SoakReport {
+        let status = |request: &RequestRecord| match &request.outcome {
+            Outcome::Responded { status, .. } => *status,
+            Outcome::ConnectionLost => 0,
+        };
+        let mut outcomes = BTreeMap::new();
+        for request in &requests {
+            *outcomes.entry(status(request)).or_default() += 1;
+        }
+        let engines = self.fleet.engines.iter().map(|b| backend_record(b, true));
+        let plain = self.fleet.plain.iter().map(|b| backend_record(b, false));
+        let record = SoakRecord {
+            backends: engines.chain(plain).collect(),
+            requests,
+            configurations: applied_configurations(&self.fleet.log()),
+            crashes: self.fleet.engines.iter().map(|e| e.state().crashes).sum(),
+            crash_registry_losses: crash_registry_losses(&faults),
+            exited_processes: self.exited,
+            not_recovered,
+            retry_ratio: 0.2,
+            retry_extra: 50.0,
+            retry_window: Duration::from_secs(10),
+        };
+        SoakReport {
+            seed,
+            faults,
+            requests: record.requests.len(),
+            served: outcomes.get(&200).copied().unwrap_or(0),
+            outcomes,
+            violations: violations(&record),
+            log_folder: self
+                .fleet
+                .settings_file
+                .with_file_name("")
+                .display()
+                .to_string(),
+        }
+    }
+}
+
+/// Prefix of the ids of requests that check the recovery.
+const RECOVERY_ID: &str = "recovery-";
+/// Prefix of the ids of requests that crash engines.
+const CRASHING_ID: &str = "crashing-";
+
+/// Counts the faults that may lose the crash registry: a start or pause of the only entry
+/// loses its copy, and the sidecars may have lost theirs if any of them was affected.
+fn crash_registry_losses(faults: &[ScheduledFault]) -> u32 {
+    let is_entry = |f: &&ScheduledFault| {
+        matches!(
+            f.fault,
+            Fault::KillIngress | Fault::TerminateIngress | Fault::PauseIngress
+        )
+    };
+    let is_sidecar =
+        |f: &ScheduledFault| matches!(f.fault, Fault::KillSidecar(_) | Fault::PauseSidecar(_));
+    match faults.iter().any(is_sidecar) {
+        true => faults.iter().filter(is_entry).count() as u32,
+        false => 0,
+    }
+}
+
+fn engine(fleet: &Fleet, number: u8) -> &BackendStandIn {
+    &fleet.engines[usize::from(number)]
+}
+
+fn plain(fleet: &Fleet, number: u8) -> &BackendStandIn {
+    &fleet.plain[usize::from(number)]
+}
+
+fn backend_record(backend: &BackendStandIn, is_engine: bool) -> BackendRecord {
+    let state = backend.state();
+    let is_client_request = |id: &str| !id.starts_with(RECOVERY_ID) && !id.starts_with(CRASHING_ID);
+    let runs = state.runs.iter().map(|run| run.request.clone());
+    BackendRecord {
+        name: state.id.clone(),
+        is_engine,
+        runs: runs.filter(|id| is_client_request(id)).collect(),
+        arrivals: state.arrivals.clone(),
+        orders: state.all_orders.clone(),
+        max_adapters: state.orders.max_adapters,
+        requests_while_leaving: state.requests_while_leaving,
+        max_requests_in_backoff: state.max_requests_in_backoff(SIGNAL_PROPAGATION_DELAY),
+        requests_over_limit: state.requests_over_limit,
+    }
+}
+
+/// Time for a back end's signal to reach the entry.
+const SIGNAL_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
+
+/// Extracts the configurations that an ingress put in force from its log, by incarnation.
+fn applied_configurations(log: &str) -> ConfigurationHistory {
+    let mut incarnations: Vec<Vec<u64>> = vec![Vec::new()];
+    for line in log.lines() {
+        if line.contains("serves on ") {
+            incarnations.push(Vec::new());
+        }
+        let Some((_, suffix)) = line.split_once("configuration ") else {
+            continue;
+        };
+        let number = suffix.split(' ').next().and_then(|n| n.parse().ok());
+        let is_in_force = suffix.contains(" in force, ");
+        if let (Some(number), true, Some(incarnation)) =
+            (number, is_in_force, incarnations.last_mut())
+        {
+            incarnation.push(number);
+        }
+    }
+    ConfigurationHistory { incarnations }
+}
--- a/testkit/src/users_platform/client.rs
+++ b/testkit/src/users_platform/client.rs
@@ -9,10 +9,9 @@
     },
 };
 
-/// far beyond what any machine needs; it only keeps a failure from hanging
-const LIMIT: Duration = Duration::from_secs(60);
+/// Keeps a failing test from hanging; far longer than any response takes.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// a client's request
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub method: &'static str,
@@ -20,7 +19,7 @@
     pub host: String,
     pub id: String,
     pub deadline_ms: u64,
-    /// `MODEL/ADAPTER`
+    /// Model and adapter as `MODEL/ADAPTER`.
     pub adapter: Option<String>,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -41,21 +40,21 @@
     }
 }
 
-/// an answer as a client saw it
+/// Response as received by a client.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     pub head: Head,
     pub body: Vec<u8>,
-    /// the body ended as its framing says
-    pub is_whole: bool,
+    /// Whether the body ended as its framing requires.
+    pub is_complete: bool,
 }
 
-/// a stream that its client still reads
+/// Response whose body is still being received.
 pub struct OpenStream {
     pub head: Head,
     socket: TcpStream,
-    seen: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl ClientRequest {
@@ -85,70 +84,77 @@
     }
 }
 
-/// send a request on a new connection and read the whole answer
-pub async fn request(addr: SocketAddr, request: &ClientRequest) -> Result<Answer> {
+/// Sends a request on a new connection and reads the complete response.
+pub async fn request(addr: SocketAddr, request: &ClientRequest) -> Result<ClientResponse> {
     let stream = open_stream(addr, request).await?;
     stream.finish().await
 }
 
-/// send a request on a new connection and read the head of the answer
+/// Sends a request on a new connection and reads the head of the response.
 pub async fn open_stream(addr: SocketAddr, request: &ClientRequest) -> Result<OpenStream> {
     let socket = TcpStream::connect(addr).await.context("connect")?;
     send_on(socket, request).await
 }
 
-/// send a request on a connection that is open, and read the head of the answer
+/// Sends a request on an open connection and reads the head of the response.
 pub async fn send_on(mut socket: TcpStream, request: &ClientRequest) -> Result<OpenStream> {
-    socket.write_all(&request.text()).await.context("send")?;
-    let head = timeout(LIMIT, read_head(&mut socket)).await??;
-    let head = head.context("closed with no answer")?;
-    let seen = head.rest.clone();
-    Ok(OpenStream { head, socket, seen })
+    socket
+        .write_all(&request.text())
+        .await
+        .context("send the request")?;
+    let head = timeout(RESPONSE_TIMEOUT, read_head(&mut socket)).await??;
+    let head = head.context("connection closed without a response")?;
+    let received = head.body_start.clone();
+    Ok(OpenStream {
+        head,
+        socket,
+        received,
+    })
 }
 
 impl OpenStream {
-    /// read on to the end
-    pub async fn finish(self) -> Result<Answer> {
-        Ok(self.finish_and_keep().await?.0)
+    /// Reads the rest of the response.
+    pub async fn finish(self) -> Result<ClientResponse> {
+        Ok(self.finish_and_keep_connection().await?.0)
     }
-    /// the same, and keep the connection
-    pub async fn finish_and_keep(mut self) -> Result<(Answer, TcpStream)> {
-        let status = self.head.line.get(1).and_then(|s| s.parse().ok());
-        let status = status.context("a status")?;
-        let is_whole = timeout(LIMIT, self.read_to_end()).await?;
-        let answer = Answer {
+    /// Reads the rest of the response and returns it with the connection.
+    pub async fn finish_and_keep_connection(mut self) -> Result<(ClientResponse, TcpStream)> {
+        let status = self.head.start_line.get(1).and_then(|s| s.parse().ok());
+        let status = status.context("read the status of the response")?;
+        let is_complete = timeout(RESPONSE_TIMEOUT, self.read_to_end()).await?;
+        let response = ClientResponse {
             status,
             head: self.head,
-            body: self.seen,
-            is_whole,
+            body: self.received,
+            is_complete,
         };
-        Ok((answer, self.socket))
+        Ok((response, self.socket))
     }
 
     async fn read_to_end(&mut self) -> bool {
         loop {
-            if self.has_ended() {
+            if self.is_body_complete() {
                 return true;
             }
-            match self.socket.read_buf(&mut self.seen).await {
+            match self.socket.read_buf(&mut self.received).await {
                 Ok(0) | Err(_) => return false,
                 Ok(_) => {}
             }
         }
     }
-    fn has_ended(&self) -> bool {
-        match self.head.number("content-length") {
-            Some(length) => self.seen.len() as u64 >= length,
-            None => self.seen.ends_with(b"0\r\n\r\n"),
+    fn is_body_complete(&self) -> bool {
+        match self.head.get_number("content-length") {
+            Some(length) => self.received.len() as u64 >= length,
+            None => self.received.ends_with(b"0\r\n\r\n"),
         }
     }
-    /// bytes that came after the whole answer, for a short time
-    pub async fn surplus(&mut self) -> Result<usize> {
-        let before = self.seen.len();
-        let read = self.socket.read_buf(&mut self.seen);
+    /// Returns the number of bytes that arrive after the complete response within a short time.
+    pub async fn extra_bytes(&mut self) -> Result<usize> {
+        let count_before = self.received.len();
+        let read = self.socket.read_buf(&mut self.received);
         match timeout(Duration::from_millis(200), read).await {
             Err(_) => Ok(0),
-            Ok(Ok(_)) => Ok(self.seen.len() - before),
+            Ok(Ok(_)) => Ok(self.received.len() - count_before),
             Ok(Err(e)) => bail!("{e}"),
         }
     }
--- a/testkit/src/users_platform/engine_orders.rs
+++ b/testkit/src/users_platform/engine_orders.rs
@@ -10,42 +10,41 @@
 pub const ADAPTER_SLOTS: usize = 2;
 const LOAD_TIME: Duration = Duration::from_millis(60);
 
-/// one order as it was taken
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TakenOrder {
+pub struct AcceptedOrder {
     pub operation: String,
     pub adapter: String,
     pub holder: String,
     pub fence: u64,
 }
 
-/// what an engine holds, and the orders that changed it
+/// Adapters that an engine holds, and the orders that changed them.
 #[derive(Debug, Default)]
 pub struct EngineOrders {
     pub held: HashMap<String, u64>,
     pub loading: HashMap<String, Instant>,
     pub versions: HashMap<String, u64>,
-    pub taken: Vec<TakenOrder>,
+    pub accepted: Vec<AcceptedOrder>,
     pub highest_fence: u64,
-    /// its base model was not loaded since its start
-    pub has_no_model: bool,
-    /// most adapters held and on their way at any time
-    pub most: usize,
+    /// Whether the base model has not been loaded since the engine's start.
+    pub is_base_model_missing: bool,
+    /// Maximum number of adapters held and loading at the same time.
+    pub max_adapters: usize,
 }
 
 impl EngineOrders {
-    /// those of a new life, which holds nothing; the weight store has the newest versions
-    /// still, and a load brings them
-    pub fn of_next_life(&self) -> Self {
+    /// Returns the state after a restart, which holds nothing but still loads the newest
+    /// versions from the weight store.
+    pub fn next_incarnation(&self) -> Self {
         Self {
             versions: self.versions.clone(),
             ..Self::default()
         }
     }
 
-    /// carry out an order; gives the status of the answer
+    /// Executes an order and returns the status of the response.
     pub fn order(&mut self, body: &[u8], now: Instant) -> u16 {
-        self.settle(now);
+        self.complete_loads(now);
         let Ok(order) = serde_json::from_slice::<Value>(body) else {
             return 400;
         };
@@ -58,7 +57,7 @@
         }
         self.highest_fence = fence;
         let adapter = text("Adapter");
-        self.taken.push(TakenOrder {
+        self.accepted.push(AcceptedOrder {
             operation: text("Operation"),
             adapter: adapter.clone(),
             holder: text("Holder"),
@@ -66,14 +65,14 @@
         });
         match text("Operation").as_str() {
             "load" if adapter.is_empty() => {
-                self.has_no_model = false;
+                self.is_base_model_missing = false;
                 202
             }
             "load" => {
                 self.loading.insert(adapter, now + LOAD_TIME);
                 let all = self.held.keys().chain(self.loading.keys());
                 let all: std::collections::HashSet<_> = all.collect();
-                self.most = self.most.max(all.len());
+                self.max_adapters = self.max_adapters.max(all.len());
                 202
             }
             "unload" => {
@@ -84,7 +83,7 @@
         }
     }
 
-    pub fn settle(&mut self, now: Instant) {
+    pub fn complete_loads(&mut self, now: Instant) {
         let versions = &self.versions;
         let held = &mut self.held;
         self.loading.retain(|adapter, ready| {
@@ -97,7 +96,7 @@
     }
 
     pub fn report(&mut self, now: Instant) -> Value {
-        self.settle(now);
+        self.complete_loads(now);
         let adapters: Vec<String> = self.held.iter().map(|(a, v)| format!("{a}@{v}")).collect();
         let pending: Vec<String> = self
             .loading
@@ -105,13 +104,13 @@
             .map(|a| format!("{MODEL}/{a}@1"))
             .collect();
         let mut models = vec![json!({"Name": MODEL, "Version": 1, "Adapters": adapters})];
-        if self.has_no_model {
+        if self.is_base_model_missing {
             models.clear();
         }
         json!({
             "Stage": "both",
             "Models": models,
-            "Pending": pending, "Busy": false, "Seq": self.taken.len(),
+            "Pending": pending, "Busy": false, "Seq": self.accepted.len(),
             "Queued": 0, "Running": 0, "KvUsed": 0, "KvTotal": 1000, "Handles": 0,
         })
     }
--- a/testkit/src/users_platform/wire.rs
+++ b/testkit/src/users_platform/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 by hand, since stand-ins must be able to break it
+//! A minimal HTTP/1.1 implementation that lets stand-ins violate the protocol.
 
 use {
     anyhow::{bail, Context, Result},
@@ -9,46 +9,46 @@
     },
 };
 
-const MAX_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// the head of a message, its first line split at spaces
+/// Head of a message, with the first line split at spaces.
 #[derive(Debug, Clone, Default)]
 pub struct Head {
-    pub line: Vec<String>,
-    /// names in lower case
+    pub start_line: Vec<String>,
+    /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
-    /// bytes that came behind the head
-    pub rest: Vec<u8>,
+    /// Bytes received after the head.
+    pub body_start: Vec<u8>,
 }
 
 impl Head {
-    /// of a request: its path and query
+    /// Returns the path and query of a request.
     pub fn target(&self) -> String {
-        self.line.get(1).cloned().unwrap_or_default()
+        self.start_line.get(1).cloned().unwrap_or_default()
     }
     pub fn get(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
-    pub fn number(&self, name: &str) -> Option<u64> {
+    pub fn get_number(&self, name: &str) -> Option<u64> {
         self.get(name)?.parse().ok()
     }
 }
 
-/// read a head; none if the peer closed before one
+/// Reads a head; `None` if the peer closed the connection before one was complete.
 pub async fn read_head(socket: &mut TcpStream) -> Result<Option<Head>> {
     let mut buf = Vec::new();
     let end = loop {
         if let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             break end;
         }
-        if buf.len() > MAX_HEAD {
-            bail!("head too long");
+        if buf.len() > MAX_HEAD_BYTES {
+            bail!("message head exceeds {MAX_HEAD_BYTES} bytes");
         }
         if socket.read_buf(&mut buf).await? == 0 {
             return Ok(None);
         }
     };
-    let text = std::str::from_utf8(&buf[..end]).context("head is text")?;
+    let text = std::str::from_utf8(&buf[..end]).context("message head is not UTF-8")?;
     let mut lines = text.split("\r\n");
     let line = lines.next().unwrap_or_default();
     let headers = lines.filter_map(|line| {
@@ -56,26 +56,26 @@
         Some((name.to_ascii_lowercase(), value.trim().to_string()))
     });
     Ok(Some(Head {
-        line: line.split(' ').map(str::to_string).collect(),
+        start_line: line.split(' ').map(str::to_string).collect(),
         headers: headers.collect(),
-        rest: buf[end + 4..].to_vec(),
+        body_start: buf[end + 4..].to_vec(),
     }))
 }
 
-/// read the body that a head announces by its length
+/// Reads a body of the length that the head declares.
 pub async fn read_body(socket: &mut TcpStream, head: &Head) -> Result<Vec<u8>> {
-    let length = head.number("content-length").unwrap_or(0) as usize;
-    let mut body = head.rest.clone();
+    let length = head.get_number("content-length").unwrap_or(0) as usize;
+    let mut body = head.body_start.clone();
     while body.len() < length {
         if socket.read_buf(&mut body).await? == 0 {
-            bail!("the body broke off");
+            bail!("connection closed in the body");
         }
     }
     Ok(body)
 }
 
-/// write an answer with a length
-pub async fn write_answer(
+/// Writes a response with a `Content-Length`.
+pub async fn write_response(
     socket: &mut TcpStream,
     status: u16,
     headers: &[(&str, String)],
@@ -88,5 +88,5 @@
     text.push_str("\r\n");
     let mut message = text.into_bytes();
     message.extend_from_slice(body);
-    socket.write_all(&message).await.context("write an answer")
+    socket.write_all(&message).await.context("write a response")
 }
