--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         conf::Settings,
-        config::ConfigKeeper,
+        config::ActiveConfig,
         control::{ControlHandle, EntryEvent},
     },
     chalkcart_coordination::membership::select_permit_issuer,
@@ -12,10 +12,10 @@
     },
 };
 
-/// what the threads of an entry share
+/// The state shared by the threads of an entry.
 pub struct Shared {
     pub settings: Settings,
-    pub keeper: ConfigKeeper,
+    pub active_config: ActiveConfig,
     pub control: ControlHandle,
     pub peers: PeerClient,
     pub metrics: RequestMetrics,
@@ -27,7 +27,7 @@
     pub fn new(settings: Settings, control: ControlHandle) -> Self {
         Self {
             settings,
-            keeper: ConfigKeeper::default(),
+            active_config: ActiveConfig::default(),
             control,
             peers: PeerClient::new(),
             metrics: RequestMetrics::new(),
@@ -43,22 +43,23 @@
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// follow a new configuration
+    /// Reports a new configuration to the metrics and its store limits to the control thread.
     pub fn on_configuration(&self) {
-        let Some(configuration) = self.keeper.configuration() else {
+        let Some(configuration) = self.active_config.configuration() else {
             return;
         };
         self.metrics.on_generation(configuration.generation());
         let policy = &configuration.root().policy;
-        self.control.tell(EntryEvent::StoreLimits {
+        self.control.send(EntryEvent::StoreLimitsUpdated {
             loads_per_second: policy.store_loads_per_second,
             loads_at_once: policy.store_loads_at_once,
         });
     }
 
-    /// the entry that gives load permits, as this one sees the fleet
-    pub fn permit_giver(&self) -> Option<SocketAddr> {
-        select_permit_issuer(&self.keeper.list()).map(|b| b.addr)
+    /// Returns the address of the entry that issues load permits, by this entry's list of
+    /// boxes.
+    pub fn permit_issuer(&self) -> Option<SocketAddr> {
+        select_permit_issuer(&self.active_config.list()).map(|b| b.addr)
     }
 }
 
@@ -66,7 +67,7 @@
     fn metrics_text(&self) -> String {
         self.metrics.text()
     }
-    /// has a configuration that was compared with peers, and is not stopping
+    /// Returns whether the configuration was compared with peers and the entry is not stopping.
     fn is_ready(&self) -> bool {
         self.synced.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
     }
