--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -133,7 +133,7 @@
             return Ok(None);
         };
         let judged = self.shared.admission.ages(account.fingerprint);
-        self.shared.metrics.on_judged(judged.0, judged.1);
+        self.shared.metrics.on_decision_inputs(judged.0, judged.1);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
@@ -159,7 +159,7 @@
 
     /// a client has set what is not its own to set; its request goes on without
     fn note_withheld(&self, request: &str, names: &[HeaderName]) {
-        self.shared.metrics.on_withheld(names.len());
+        self.shared.metrics.on_headers_removed(names.len());
         let names = names.iter().take(MAX_NAMES_LOGGED);
         let names: Vec<&str> = names.map(HeaderName::as_str).collect();
         log::info!(
@@ -183,7 +183,7 @@
             return Err(self.turn_away(&own, status, "no configuration yet", &parts));
         };
         let key = table.accounts.as_ref();
-        let key = key.map(|_| self.shared.dialect.take_key(&mut parts.headers));
+        let key = key.map(|_| self.shared.dialect.take_api_key(&mut parts.headers));
         let Some(route) = find_route(&table, &parts) else {
             // a route that is new may not be known here yet
             let (status, line) = match self.shared.admission.is_current() {
@@ -215,8 +215,11 @@
         let charge = self
             .charge(caller.as_ref(), &head)
             .map_err(|over| own.over_limit("over limit", over.retry_after))?;
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let withheld = self.shared.dialect.withhold(&mut parts.headers);
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
+        let withheld = self
+            .shared
+            .dialect
+            .remove_reserved_headers(&mut parts.headers);
         if !withheld.is_empty() {
             self.note_withheld(&head.id, &withheld);
         }
@@ -237,7 +240,7 @@
 
 #[async_trait]
 impl IngressService for RoutedIngress {
-    async fn answer(&self, req: ClientRequest) -> ClientResponse {
+    async fn respond(&self, req: ClientRequest) -> ClientResponse {
         let mut response = match self.accept(req).await {
             Ok(accepted) => self.exchange(accepted).await,
             Err(response) => response,
