--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -1,7 +1,7 @@
 use {
-    super::{shared::Shared, views::follow},
+    super::{shared::Shared, views::view_updates},
     crate::{
-        crashes::{crash_words, CrashKeeper},
+        crashes::{crash_reports, CrashAggregator},
         relay::{relay_demands, relay_published, relay_views, RelayHub},
     },
     chalkcart_coordination::{limits::UsageAggregator, placement::PlacementEvent},
@@ -24,15 +24,16 @@
     std::sync::{Arc, Mutex},
 };
 
-/// what entries let client accounts run, while this sidecar keeps the sums
-pub type UsageSums = Mutex<UsageAggregator>;
+/// Usage of client accounts over all entries, while this sidecar is the aggregator.
+pub type UsageTotals = Mutex<UsageAggregator>;
 
-/// the routes of a sidecar that places adapters, and may be a relay
+/// Returns the routes of a sidecar that places adapters and may act as a relay and as an
+/// aggregator.
 pub fn new_router(
     shared: Arc<Shared>,
     relay: Arc<RelayHub>,
-    usage: Arc<UsageSums>,
-    crashes: Arc<CrashKeeper>,
+    usage: Arc<UsageTotals>,
+    crashes: Arc<CrashAggregator>,
 ) -> Router {
     let pipeline = new_pipeline()
         .add(StateMiddleware::new(SharedData::new(Arc::new(
@@ -50,8 +51,8 @@
         route.post(path::RELAY_VIEWS).to_async(relay_views);
         route.post(path::RELAY_PUBLISHED).to_async(relay_published);
         route.post(path::USAGE).to_async(usage_report);
-        route.post(path::INTAKE).to_async(intake_report);
-        route.post(path::CRASHES).to_async(crash_words);
+        route.post(path::INTAKE).to_async(admission_report);
+        route.post(path::CRASHES).to_async(crash_reports);
         route.get("/healthz").to_async(pages::healthz);
     })
 }
@@ -71,11 +72,11 @@
 
 async fn views(state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
-    let reply = frames_reply(follow(&shared), caller_encoding(&state));
+    let reply = frames_reply(view_updates(&shared), caller_encoding(&state));
     Ok((state, reply))
 }
 
-async fn intake_report(mut state: State) -> HandlerResult {
+async fn admission_report(mut state: State) -> HandlerResult {
     let shared = SharedData::<Shared>::of(&state);
     let reply = match read_message::<AdmissionReport>(&mut state).await {
         Ok(report) => message_reply(&shared.control().on_admission_report(&report, clock::now())),
@@ -85,12 +86,12 @@
 }
 
 async fn usage_report(mut state: State) -> HandlerResult {
-    let sums = SharedData::<UsageSums>::of(&state);
+    let totals = SharedData::<UsageTotals>::of(&state);
     let reply = match read_message::<UsageReport>(&mut state).await {
         Ok(report) => {
-            // no holder panics halfway through a change
-            let mut keeper = sums.lock().unwrap_or_else(|e| e.into_inner());
-            message_reply(&keeper.on_report(report, clock::now()))
+            // the state is consistent even if the mutex is poisoned
+            let mut aggregator = totals.lock().unwrap_or_else(|e| e.into_inner());
+            message_reply(&aggregator.on_report(report, clock::now()))
         }
         Err(e) => pages::bad_message(&e),
     };
--- a/sidecar/src/placement/mod.rs
+++ b/sidecar/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! decides which adapters the engine holds, from what the entries need; no
-//! request passes through
+//! Serves the sidecar that decides which adapters the engine holds, from the demands of the
+//! entries. Requests are sent to the engine directly.
 
 mod handlers;
-mod keeper;
+mod placement_task;
 mod serve;
 mod shared;
 mod views;
