--- a/entry/src/ingress/admission.rs
+++ b/entry/src/ingress/admission.rs
@@ -26,7 +26,7 @@
 
 /// why a request with or without a key goes no further
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NotAdmitted {
+pub enum AdmissionError {
     /// what is known may be older than keys may be used for
     #[error("configuration not known to be current")]
     Outdated,
@@ -69,12 +69,12 @@
     }
 
     /// whether keys and routes that are not known can be told from new ones
-    pub fn is_current(&self) -> bool {
+    pub fn is_config_current(&self) -> bool {
         self.lease().is_valid(clock::now())
     }
     /// time since the configuration in hand was known to be the newest, in ms; -1
     /// if it never was
-    pub fn age_ms(&self) -> i64 {
+    pub fn config_age_ms(&self) -> i64 {
         let age = self.lease().age(clock::now());
         age.map_or(-1, |age| age.as_millis() as i64)
     }
@@ -95,15 +95,15 @@
         table: &RouteTable,
         route: &Route,
         key: Result<ApiKeyDigest, ApiKeyError>,
-    ) -> Result<Option<Caller>, NotAdmitted> {
+    ) -> Result<Option<Caller>, AdmissionError> {
         let Some(accounts) = table.accounts.as_ref().filter(|_| !route.is_public) else {
             return Ok(None);
         };
-        if !self.is_current() {
-            return Err(NotAdmitted::Outdated);
+        if !self.is_config_current() {
+            return Err(AdmissionError::Outdated);
         }
-        let key = key.map_err(NotAdmitted::Key)?;
-        let account = accounts.find(&key).ok_or(NotAdmitted::UnknownKey)?;
+        let key = key.map_err(AdmissionError::Key)?;
+        let account = accounts.find(&key).ok_or(AdmissionError::UnknownKey)?;
         let account = account.clone();
         Ok(Some(Caller { account, key }))
     }
@@ -114,15 +114,15 @@
     ///
     /// # Errors
     /// the key is another's by now, or what is known is too old to say so
-    pub fn admit_again(&self, table: &RouteTable, caller: &Caller) -> Result<(), NotAdmitted> {
-        if !self.is_current() {
-            return Err(NotAdmitted::Outdated);
+    pub fn revalidate(&self, table: &RouteTable, caller: &Caller) -> Result<(), AdmissionError> {
+        if !self.is_config_current() {
+            return Err(AdmissionError::Outdated);
         }
         let accounts = table.accounts.as_ref();
         let known = accounts.and_then(|accounts| accounts.find(&caller.key));
         match known.is_some_and(|account| account.name == caller.account.name) {
             true => Ok(()),
-            false => Err(NotAdmitted::UnknownKey),
+            false => Err(AdmissionError::UnknownKey),
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// a request came that is to be charged to its account's limit
-    pub fn ask(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
+    pub fn record_request(&self, account: &ClientAccount, limit: &RateLimit, units: u64) {
         let now = clock::now();
         self.limits()
             .record_request(account.fingerprint, limit, units, now);
--- a/entry/src/ingress/intake_exchange.rs
+++ b/entry/src/ingress/admission_exchange.rs
@@ -11,7 +11,7 @@
 const ANSWER_LIMIT: Duration = Duration::from_millis(200);
 
 /// asks the sidecars of limited engines how many requests may be sent there
-pub struct IntakeExchange {
+pub struct AdmissionExchange {
     runtime: Handle,
     control: ControlHandle,
     peers: PeerClient,
@@ -19,7 +19,7 @@
     sidecar_port: u16,
 }
 
-impl IntakeExchange {
+impl AdmissionExchange {
     pub fn new(runtime: Handle, control: ControlHandle, sidecar_port: u16) -> Self {
         Self {
             runtime,
@@ -30,7 +30,7 @@
     }
 
     /// ask, and tell the control thread what came of it
-    pub fn ask(&self, question: PermitQuery) {
+    pub fn request_permits(&self, question: PermitQuery) {
         let (peers, control) = (self.peers.clone(), self.control.clone());
         let dealer = SocketAddr::new(question.engine.ip(), self.sidecar_port);
         self.runtime.spawn(async move {
@@ -42,7 +42,7 @@
             let answer =
                 peers.call::<_, AdmissionResponse>(dealer, path::INTAKE, &report, ANSWER_LIMIT);
             let answer = answer.await.map_err(|e| no_deal(dealer, &e));
-            control.tell(DispatchEvent::PermitsReceived {
+            control.send_event(DispatchEvent::PermitsReceived {
                 backend: report.backend,
                 requested_at,
                 response: answer,
--- a/entry/src/ingress/mod.rs
+++ b/entry/src/ingress/mod.rs
@@ -2,23 +2,23 @@
 //! to the back ends that the control thread chooses
 
 mod admission;
-mod answers;
+mod admission_exchange;
 mod control;
 mod crash_exchange;
-mod crashes;
-mod exchange;
-mod exchange_log;
-mod figures_board;
+mod engine_stats_buffer;
 mod fleet_links;
-mod intake_exchange;
+mod local_response;
 mod observers;
 mod operator_pages;
 mod records;
 mod relay_link;
 mod relay_outbox;
+mod request_exchange;
+mod request_exchange_log;
 mod serve;
 mod service;
 mod shared;
+mod shared_crash_registry;
 mod store_relays;
 mod unknown_headers;
 mod unreadable_records;
--- a/entry/src/ingress/exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        admission::{Admission, NotAdmitted},
-        answers::OwnAnswer,
+        admission::{Admission, AdmissionError},
+        local_response::LocalResponse,
         observers::{SendGuard, StreamObserver, WaitGuard},
-        service::{find_route, Accepted},
+        service::{find_route, AcceptedRequest},
         shared::Shared,
     },
     bytes::Bytes,
@@ -52,10 +52,10 @@
 const REGIONS_CHANGED: &str = "its allowed regions changed";
 
 /// one request on its way: waits, sends and repeats
-pub struct Exchange {
+pub struct RequestExchange {
     pub(super) shared: Arc<Shared>,
     ticket: Ticket,
-    pub(super) accepted: Accepted,
+    pub(super) accepted: AcceptedRequest,
     deadline: Instant,
     pub(super) ask: DispatchRequest,
     /// the table by which its allowed regions are known
@@ -75,8 +75,8 @@
     TimedOut,
 }
 
-impl Exchange {
-    pub fn new(shared: Arc<Shared>, accepted: Accepted) -> Self {
+impl RequestExchange {
+    pub fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Self {
         let route = &accepted.route;
         let patience = accepted.head.timeout.unwrap_or(route.timeout);
         let deadline = accepted.arrived + patience.min(route.timeout);
@@ -96,7 +96,7 @@
             arrived_at: accepted.arrived,
             deadline,
             tried_backends: Vec::new(),
-            was_rejected_before: shared.has_returned(route, accepted.head.timeout),
+            was_rejected_before: shared.is_client_retry(route, accepted.head.timeout),
             is_load_time_checked: false,
             send_count: 0,
             start_tag: 0,
@@ -137,8 +137,8 @@
             if let Err(cause) = self.admit_again() {
                 self.decline(&assignment, &cause.to_string());
                 return match cause {
-                    NotAdmitted::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
-                    _ => self.own().plain(StatusCode::UNAUTHORIZED, KEY_GONE),
+                    AdmissionError::Outdated => self.give_up(&cause.to_string(), LATE_RETRY),
+                    _ => self.own().text(StatusCode::UNAUTHORIZED, KEY_GONE),
                 };
             }
             // they may be others since it began to wait
@@ -158,7 +158,7 @@
                 Attempt::Answered(response) => return response,
                 Attempt::TimedOut => {
                     self.log_attempt(&assignment, "timed_out", None);
-                    return self.own().plain(StatusCode::GATEWAY_TIMEOUT, LATE);
+                    return self.own().text(StatusCode::GATEWAY_TIMEOUT, LATE);
                 }
                 Attempt::NotRun(outcome) => {
                     self.set_may_have_run(self.runs > 0);
@@ -209,8 +209,8 @@
             return failure;
         }
         match self.runs {
-            0 => self.own().not_run(reason, retry_after),
-            _ => self.own().plain(StatusCode::BAD_GATEWAY, reason),
+            0 => self.own().service_unavailable(reason, retry_after),
+            _ => self.own().text(StatusCode::BAD_GATEWAY, reason),
         }
     }
 
@@ -234,13 +234,13 @@
         );
         self.shared.crashes.metrics.refused.inc();
         Some(match self.runs {
-            0 => self.own().plain(StatusCode::BAD_REQUEST, ENDS_ENGINES),
+            0 => self.own().text(StatusCode::BAD_REQUEST, ENDS_ENGINES),
             _ => self.give_up(ENDS_ENGINES, LATE_RETRY),
         })
     }
 
     fn standing(&self) -> RequestVerdict {
-        self.shared.crashes.judge(&self.accepted.digest)
+        self.shared.crashes.verdict(&self.accepted.digest)
     }
     /// whether it may end the engine that runs it, for all that is known
     fn is_suspected(&self) -> bool {
@@ -248,13 +248,13 @@
     }
 
     /// whether the caller's key is still its own
-    fn admit_again(&self) -> Result<(), NotAdmitted> {
+    fn admit_again(&self) -> Result<(), AdmissionError> {
         let Some(caller) = &self.accepted.caller else {
             return Ok(());
         };
         let table = self.shared.table.load();
-        let table = table.as_ref().ok_or(NotAdmitted::Outdated)?;
-        self.shared.admission.admit_again(table, caller)
+        let table = table.as_ref().ok_or(AdmissionError::Outdated)?;
+        self.shared.admission.revalidate(table, caller)
     }
 
     /// see where it may be served by the configuration in force; says whether that has changed
@@ -294,8 +294,8 @@
         }
     }
 
-    fn own(&self) -> OwnAnswer<'_> {
-        OwnAnswer {
+    fn own(&self) -> LocalResponse<'_> {
+        LocalResponse {
             dialect: self.shared.dialect.as_ref(),
             request_id: Some(&self.accepted.head.id),
         }
@@ -434,11 +434,13 @@
             total_ms = elapsed_ms(self.accepted.arrived);
             "backend: says of itself"
         );
-        self.shared.control.tell(DispatchEvent::SignalReceived {
-            backend,
-            signal: word,
-            sent_at: sent,
-        });
+        self.shared
+            .control
+            .send_event(DispatchEvent::SignalReceived {
+                backend,
+                signal: word,
+                sent_at: sent,
+            });
     }
 
     /// count and log what a back end says and this build does not know; never its value
@@ -449,7 +451,7 @@
             .filter(|name| !dialect.is_known_response_header(name))
         {
             let is_named = self.shared.metrics.on_unknown_header(name.as_str());
-            if is_named && self.shared.unknown_headers.is_news(backend, name.as_str()) {
+            if is_named && self.shared.unknown_headers.insert(backend, name.as_str()) {
                 log::warn!(
                     backend = backend.as_str(),
                     born = backend.start_time_ms,
