--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -1,7 +1,6 @@
-//! an adapter in use is never unloaded, and each request runs on the adapter
-//! and version that it named: random interleavings of two sidecars' decisions
-//! against the fenced engine stand-in, with orders that fail, get lost or
-//! arrive late. Seeds are fixed.
+//! An adapter in use is never unloaded, and each request runs on the adapter version that it
+//! named, over random interleavings of two sidecars and one engine with orders that fail, get
+//! lost or arrive late.
 
 use {
     chalkcart_coordination::{
@@ -27,55 +26,54 @@
 const SEED: u64 = 20_261_202;
 const RUNS: u64 = 800;
 const STEPS: usize = 1_500;
-/// requests without an end at once, so that the queue stays short
-const MAX_OPEN: usize = 10;
+/// Requests without a result at a time, which keeps the queue short.
+const MAX_UNFINISHED: usize = 10;
 const ADAPTERS: u8 = 6;
 const SLOTS: usize = 2;
 const LEASE: Duration = Duration::from_secs(1);
-/// ticks in which everything ends once faults stop
-const CALM_TICKS: usize = 4_000;
+/// Steps without faults in which all requests must end.
+const FAULT_FREE_STEPS: usize = 4_000;
 
-/// what happened over all runs, so that a test of nothing is noticed
+/// Event counts over all runs; the test fails if too few events occur.
 static STARTS: AtomicU64 = AtomicU64::new(0);
 static UNLOADS: AtomicU64 = AtomicU64::new(0);
-static LATE_REFUSED: AtomicU64 = AtomicU64::new(0);
+static LATE_ORDERS_REJECTED: AtomicU64 = AtomicU64::new(0);
 
-/// an order on its way to the engine
+/// An order in flight to the engine.
 #[derive(Debug, Clone)]
-struct Sent {
+struct InFlightOrder {
     from: usize,
     action: SidecarAction,
 }
 
-/// a load that the engine has begun
+/// A load in progress on the engine.
 struct Loading {
     from: Option<usize>,
     order: FenceBody,
     adapter: AdapterKey,
 }
 
-/// a sidecar with what is on its way
-struct Box_ {
+struct SidecarNode {
     control: SidecarControl,
-    /// requests without a last word
-    open: HashSet<String>,
+    /// Requests without a final result.
+    unfinished: HashSet<String>,
 }
 
-/// two sidecars before one engine
-struct World {
+/// One engine that up to two sidecars control.
+struct Simulation {
     now: Instant,
     engine: EngineState,
-    boxes: Vec<Box_>,
-    sent: Vec<Sent>,
-    /// orders whose sender has given them up
-    stragglers: Vec<Sent>,
+    sidecars: Vec<SidecarNode>,
+    in_flight: Vec<InFlightOrder>,
+    /// Orders that their sender has timed out on but that may still arrive.
+    delayed: Vec<InFlightOrder>,
     loading: Vec<Loading>,
-    answers: Vec<(usize, SidecarEvent)>,
+    pending_events: Vec<(usize, SidecarEvent)>,
     next_request: u32,
-    faults: bool,
+    has_faults: bool,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now = Instant::now();
         let settings = EngineSettings {
@@ -86,13 +84,13 @@
         Self {
             now,
             engine: EngineState::new(settings),
-            boxes: vec![new_box(1, now)],
-            sent: Vec::new(),
-            stragglers: Vec::new(),
+            sidecars: vec![new_sidecar(1, now)],
+            in_flight: Vec::new(),
+            delayed: Vec::new(),
             loading: Vec::new(),
-            answers: Vec::new(),
+            pending_events: Vec::new(),
             next_request: 0,
-            faults: true,
+            has_faults: true,
         }
     }
 
@@ -100,24 +98,29 @@
         let choice = (code >> 8) as u8;
         let detail = code as u8;
         match choice % 16 {
-            0..=3 => self.arrive(detail),
-            4..=7 => self.execute(detail),
-            8..=9 => self.answer(detail),
+            0..=3 => self.submit_request(detail),
+            4..=7 => self.send_order(detail),
+            8..=9 => self.deliver_event(detail),
             10 => self.finish_load(detail),
             11 => self.finish_run(detail),
             12 => self.tick(Duration::from_millis(u64::from(detail) * 4)),
-            13 if self.faults => self.straggle(detail),
-            14 if self.faults && detail < 6 => self.engine.restart(),
-            14 if self.faults && detail < 90 => self.pause(),
-            15 if self.faults && detail < 2 && self.boxes.len() < 2 => self.replace(),
-            _ => self.execute(detail),
+            13 if self.has_faults => self.deliver_delayed_order(detail),
+            14 if self.has_faults && detail < 6 => self.engine.restart(),
+            14 if self.has_faults && detail < 90 => self.skip_past_lease(),
+            15 if self.has_faults && detail < 2 && self.sidecars.len() < 2 => {
+                self.add_replacement_sidecar()
+            }
+            _ => self.send_order(detail),
         }
-        assert_eq!(self.engine.unloaded_in_use, 0, "unloaded in use");
+        assert_eq!(
+            self.engine.unloaded_in_use, 0,
+            "an adapter in use was unloaded"
+        );
     }
 
-    fn arrive(&mut self, detail: u8) {
-        let from = usize::from(detail >> 4) % self.boxes.len();
-        if self.boxes[from].open.len() >= MAX_OPEN {
+    fn submit_request(&mut self, detail: u8) {
+        let from = usize::from(detail >> 4) % self.sidecars.len();
+        if self.sidecars[from].unfinished.len() >= MAX_UNFINISHED {
             return;
         }
         let number = detail % ADAPTERS;
@@ -140,62 +143,62 @@
             }),
             permit_giver: None,
         };
-        self.boxes[from].open.insert(request);
+        self.sidecars[from].unfinished.insert(request);
         self.handle(from, SidecarEvent::Arrived(Box::new(work)));
     }
 
     fn handle(&mut self, to: usize, event: SidecarEvent) {
-        let actions = self.boxes[to].control.handle(event, self.now);
+        let actions = self.sidecars[to].control.handle(event, self.now);
         for action in actions {
             if let SidecarAction::Reject { request, .. } = &action {
-                self.boxes[to].open.remove(request);
+                self.sidecars[to].unfinished.remove(request);
                 continue;
             }
-            self.sent.push(Sent { from: to, action });
+            self.in_flight.push(InFlightOrder { from: to, action });
         }
     }
 
-    /// one order reaches the engine, or gets lost on the way
-    fn execute(&mut self, detail: u8) {
-        if self.sent.is_empty() {
+    /// Delivers, delays or drops one order.
+    fn send_order(&mut self, detail: u8) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let index = usize::from(detail) % self.sent.len();
-        let sent = self.sent.remove(index);
-        let fate = if self.faults { detail } else { u8::MAX };
-        match fate {
-            // lost: the sender hears nothing
-            0..=3 => self.give_up(&sent),
-            // late: the sender gives up, and it arrives some time after
+        let index = usize::from(detail) % self.in_flight.len();
+        let in_flight = self.in_flight.remove(index);
+        let delivery = if self.has_faults { detail } else { u8::MAX };
+        match delivery {
+            // dropped
+            0..=3 => self.report_unknown_result(&in_flight),
+            // delivered after the sender has timed out
             4..=11 => {
-                self.give_up(&sent);
-                self.stragglers.push(sent);
+                self.report_unknown_result(&in_flight);
+                self.delayed.push(in_flight);
             }
-            // obeyed, but the answer is lost
+            // executed, but the response is lost
             12..=15 => {
-                self.give_up(&sent);
-                self.obey(&sent, false);
+                self.report_unknown_result(&in_flight);
+                self.apply_order(&in_flight, false);
             }
-            _ => self.obey(&sent, true),
+            _ => self.apply_order(&in_flight, true),
         }
     }
 
-    fn straggle(&mut self, detail: u8) {
-        if self.stragglers.is_empty() {
+    fn deliver_delayed_order(&mut self, detail: u8) {
+        if self.delayed.is_empty() {
             return;
         }
-        let index = usize::from(detail) % self.stragglers.len();
-        let late = self.stragglers.remove(index);
-        let refused = self.engine.rejected_orders;
-        self.obey(&late, false);
-        let was_refused = self.engine.rejected_orders > refused;
-        LATE_REFUSED.fetch_add(u64::from(was_refused), Ordering::Relaxed);
+        let index = usize::from(detail) % self.delayed.len();
+        let late = self.delayed.remove(index);
+        let rejected_before = self.engine.rejected_orders;
+        self.apply_order(&late, false);
+        let was_rejected = self.engine.rejected_orders > rejected_before;
+        LATE_ORDERS_REJECTED.fetch_add(u64::from(was_rejected), Ordering::Relaxed);
     }
 
-    /// the engine does what it is told, if the fence holds
-    fn obey(&mut self, sent: &Sent, heard: bool) {
-        let event = match &sent.action {
-            SidecarAction::ReadEngine => Some(read(&self.engine)),
+    /// Executes an order on the engine, which rejects it if the fence is stale.
+    fn apply_order(&mut self, in_flight: &InFlightOrder, is_reported: bool) {
+        let event = match &in_flight.action {
+            SidecarAction::ReadEngine => Some(status_event(&self.engine)),
             SidecarAction::TakeFence(order) => {
                 let body = FenceBody::from(*order);
                 let result = match self.engine.accept_fence(body) {
@@ -213,7 +216,7 @@
                 match self.engine.begin_load(body) {
                     Ok(()) => {
                         self.loading.push(Loading {
-                            from: heard.then_some(sent.from),
+                            from: is_reported.then_some(in_flight.from),
                             order: body,
                             adapter: adapter.clone(),
                         });
@@ -238,7 +241,10 @@
                 })
             }
             SidecarAction::Run { work, order, .. } => {
-                let body = generate_body(work, order.expect("engines are ordered").into());
+                let body = generate_body(
+                    work,
+                    order.expect("orders to an engine carry a fence").into(),
+                );
                 match self.engine.generate(body) {
                     Ok(()) => {
                         STARTS.fetch_add(1, Ordering::Relaxed);
@@ -255,14 +261,14 @@
             }
             _ => None,
         };
-        if let (Some(event), true) = (event, heard) {
-            self.answers.push((sent.from, event));
+        if let (Some(event), true) = (event, is_reported) {
+            self.pending_events.push((in_flight.from, event));
         }
     }
 
-    /// the sender takes the order for lost
-    fn give_up(&mut self, sent: &Sent) {
-        let event = match &sent.action {
+    /// Reports an order to its sender as ended with an unknown result.
+    fn report_unknown_result(&mut self, in_flight: &InFlightOrder) {
+        let event = match &in_flight.action {
             SidecarAction::ReadEngine => SidecarEvent::EngineRead(None),
             SidecarAction::TakeFence(order) => SidecarEvent::FenceTakeEnded {
                 incarnation: order.incarnation,
@@ -280,17 +286,17 @@
             SidecarAction::Run { work, .. } => run_ended(&work.request, Outcome::MayHaveRun, true),
             _ => return,
         };
-        self.answers.push((sent.from, event));
+        self.pending_events.push((in_flight.from, event));
     }
 
-    fn answer(&mut self, detail: u8) {
-        if self.answers.is_empty() {
+    fn deliver_event(&mut self, detail: u8) {
+        if self.pending_events.is_empty() {
             return;
         }
-        let index = usize::from(detail) % self.answers.len();
-        let (to, event) = self.answers.remove(index);
+        let index = usize::from(detail) % self.pending_events.len();
+        let (to, event) = self.pending_events.remove(index);
         if let SidecarEvent::RunEnded { request, .. } = &event {
-            self.boxes[to].open.remove(request);
+            self.sidecars[to].unfinished.remove(request);
         }
         self.handle(to, event);
     }
@@ -301,15 +307,15 @@
         }
         let index = usize::from(detail) % self.loading.len();
         let load = self.loading.remove(index);
-        let fetched = !self.faults || !detail.is_multiple_of(5);
+        let is_fetched = !self.has_faults || !detail.is_multiple_of(5);
         let body = AdapterBody::from(&load.adapter);
-        let result = match self.engine.end_load(load.order, body, fetched) {
+        let result = match self.engine.end_load(load.order, body, is_fetched) {
             Ok(()) => OrderResult::Done,
-            Err(_) if !fetched => OrderResult::Failed,
+            Err(_) if !is_fetched => OrderResult::Failed,
             Err(_) => OrderResult::Fenced,
         };
         if let Some(from) = load.from {
-            self.answers
+            self.pending_events
                 .push((from, load_ended(&load.adapter, load.order, result)));
         }
     }
@@ -323,86 +329,88 @@
         let adapter = found.body.adapter.clone();
         assert!(
             self.engine.loaded.contains(&adapter),
-            "runs on what is not loaded"
+            "runs on an adapter that is not loaded"
         );
         self.engine.end(request, EventBody::Finished(adapter));
-        let owner = self.boxes.iter().position(|b| b.open.contains(request));
+        let owner = self
+            .sidecars
+            .iter()
+            .position(|b| b.unfinished.contains(request));
         if let Some(owner) = owner {
-            self.answers
+            self.pending_events
                 .push((owner, run_ended(request, Outcome::Ran, false)));
         }
     }
 
-    fn tick(&mut self, span: Duration) {
-        self.now += span.min(LEASE / 2);
-        for to in 0..self.boxes.len() {
+    fn tick(&mut self, duration: Duration) {
+        self.now += duration.min(LEASE / 2);
+        for to in 0..self.sidecars.len() {
             self.handle(to, SidecarEvent::Tick);
         }
     }
 
-    fn pause(&mut self) {
+    fn skip_past_lease(&mut self) {
         self.now += LEASE * 3;
-        for to in 0..self.boxes.len() {
+        for to in 0..self.sidecars.len() {
             self.handle(to, SidecarEvent::Tick);
         }
     }
 
-    fn replace(&mut self) {
-        self.boxes.push(new_box(1_000_000, self.now));
+    fn add_replacement_sidecar(&mut self) {
+        self.sidecars.push(new_sidecar(1_000_000, self.now));
     }
 
-    /// no more faults: everything must come to an end
-    fn calm(&mut self) {
-        self.faults = false;
-        for late in std::mem::take(&mut self.stragglers) {
-            self.obey(&late, false);
+    /// Steps without faults until all requests have ended; panics if they don't.
+    fn run_to_completion(&mut self) {
+        self.has_faults = false;
+        for late in std::mem::take(&mut self.delayed) {
+            self.apply_order(&late, false);
         }
-        for number in 0..CALM_TICKS {
+        for number in 0..FAULT_FREE_STEPS {
             self.step((4 << 8) | (number % 7) as u16);
             self.step(8 << 8);
             self.step((10 << 8) | 1);
             self.step((11 << 8) | (number % 5) as u16);
             self.step((12 << 8) | 10);
-            // a run that nobody waits for ends as well
-            if self.boxes.iter().all(|b| b.open.is_empty()) {
+            if self.sidecars.iter().all(|b| b.unfinished.is_empty()) {
                 return;
             }
             self.end_lost_runs();
         }
-        let open: Vec<_> = self.boxes.iter().map(|b| &b.open).collect();
-        panic!("requests without an end: {open:?}");
+        let unfinished: Vec<_> = self.sidecars.iter().map(|b| &b.unfinished).collect();
+        panic!("requests that did not end: {unfinished:?}");
     }
 
-    /// runs that an engine's restart has ended
+    /// Ends the requests whose run was lost when the engine restarted.
     fn end_lost_runs(&mut self) {
-        for to in 0..self.boxes.len() {
+        for to in 0..self.sidecars.len() {
             let waiting: HashSet<String> = self
-                .sent
+                .in_flight
                 .iter()
-                .filter_map(|sent| match &sent.action {
+                .filter_map(|in_flight| match &in_flight.action {
                     SidecarAction::Run { work, .. } => Some(work.request.clone()),
                     _ => None,
                 })
                 .collect();
-            let answered: HashSet<String> = self
-                .answers
+            let ended: HashSet<String> = self
+                .pending_events
                 .iter()
                 .filter_map(|(_, event)| match event {
                     SidecarEvent::RunEnded { request, .. } => Some(request.clone()),
                     _ => None,
                 })
                 .collect();
-            let lost: Vec<String> = self.boxes[to]
-                .open
+            let lost: Vec<String> = self.sidecars[to]
+                .unfinished
                 .iter()
                 .filter(|r| !self.engine.queue.contains(r))
-                .filter(|r| !waiting.contains(*r) && !answered.contains(*r))
+                .filter(|r| !waiting.contains(*r) && !ended.contains(*r))
                 .cloned()
                 .collect();
             for request in lost {
-                let known = self.boxes[to].control.is_running(&request);
-                if known {
-                    self.answers
+                let is_known = self.sidecars[to].control.is_running(&request);
+                if is_known {
+                    self.pending_events
                         .push((to, run_ended(&request, Outcome::MayHaveRun, false)));
                 }
             }
@@ -410,7 +418,7 @@
     }
 }
 
-fn new_box(epoch: u64, now: Instant) -> Box_ {
+fn new_sidecar(epoch: u64, now: Instant) -> SidecarNode {
     let settings = SidecarSettings {
         name: "engine-0".to_string(),
         incarnation: epoch,
@@ -418,13 +426,13 @@
         lease: LEASE,
         ..SidecarSettings::default()
     };
-    Box_ {
+    SidecarNode {
         control: SidecarControl::new(settings, now),
-        open: HashSet::new(),
+        unfinished: HashSet::new(),
     }
 }
 
-fn read(engine: &EngineState) -> SidecarEvent {
+fn status_event(engine: &EngineState) -> SidecarEvent {
     SidecarEvent::EngineRead(Some(EngineStatus::from(engine.status())))
 }
 
@@ -437,7 +445,7 @@
     }
 }
 
-fn run_ended(request: &str, outcome: Outcome, may_run_on: bool) -> SidecarEvent {
+fn run_ended(request: &str, outcome: Outcome, may_still_run: bool) -> SidecarEvent {
     let failure = match outcome {
         Outcome::Ran => None,
         Outcome::NotRun => Some(Reason::Superseded),
@@ -451,14 +459,14 @@
             detail: String::new(),
             tokens: 10,
             duration: Duration::from_millis(50),
-            may_still_run: may_run_on,
+            may_still_run,
         },
     }
 }
 
 fn generate_body(work: &WorkOrder, order: FenceBody) -> GenerateBody {
     let Work::Generate(generate) = &work.work else {
-        panic!("engines get prompts");
+        panic!("an engine receives only prompts");
     };
     GenerateBody {
         order,
@@ -473,22 +481,22 @@
 
 #[test]
 fn an_adapter_in_use_is_never_unloaded_and_every_request_ends() {
-    fn holds(seed: u64) -> bool {
+    fn ends_without_unloading_in_use(seed: u64) -> bool {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut world = World::new();
-        (0..STEPS).for_each(|_| world.step(rng.random()));
-        world.calm();
-        world.engine.unloaded_in_use == 0
+        let mut simulation = Simulation::new();
+        (0..STEPS).for_each(|_| simulation.step(rng.random()));
+        simulation.run_to_completion();
+        simulation.engine.unloaded_in_use == 0
     }
     let seeded = Gen::from_size_and_seed(100, SEED);
     QuickCheck::new()
         .rng(seeded)
         .tests(RUNS)
-        .quickcheck(holds as fn(u64) -> bool);
-    let counts = [&STARTS, &UNLOADS, &LATE_REFUSED].map(|n| n.load(Ordering::Relaxed));
-    println!("starts, unloads, late orders refused: {counts:?}");
+        .quickcheck(ends_without_unloading_in_use as fn(u64) -> bool);
+    let counts = [&STARTS, &UNLOADS, &LATE_ORDERS_REJECTED].map(|n| n.load(Ordering::Relaxed));
+    println!("starts, unloads, late orders rejected: {counts:?}");
     assert!(
         counts.iter().all(|n| *n > 100),
-        "too little happened: {counts:?}"
+        "too few events occurred: {counts:?}"
     );
 }
--- a/testkit/tests/addresses.rs
+++ b/testkit/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! addresses that the testkit hands out can be listened on at once
+//! Addresses that the testkit hands out can be bound immediately.
 
 use {
     anyhow::Result,
@@ -14,25 +14,25 @@
 const ROUNDS: usize = 1_500;
 const THREADS: usize = 4;
 
-/// a process that is being started holds copies of all open sockets for a
-/// moment; an address must not be held up by that
+/// Guards against: an address that is in use because a process being spawned briefly holds
+/// copies of all open sockets.
 #[test]
-fn an_address_is_free_while_other_threads_start_processes() -> Result<()> {
+fn an_address_can_be_bound_while_other_threads_spawn_processes() -> Result<()> {
     let is_over = AtomicBool::new(false);
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 while !is_over.load(Ordering::Relaxed) {
-                    // what it does is of no interest
+                    // only the spawn matters, not the result
                     let _ = Command::new("true").status();
                 }
             });
         }
-        let tries: Vec<_> = (0..ROUNDS)
+        let results: Vec<_> = (0..ROUNDS)
             .map(|_| TcpListener::bind(next_addr()))
             .collect();
         is_over.store(true, Ordering::Relaxed);
-        for listener in tries {
+        for listener in results {
             listener?;
         }
         Ok(())
--- a/testkit/tests/allowed_regions.rs
+++ b/testkit/tests/allowed_regions.rs
@@ -1,8 +1,4 @@
-//! Routes and client accounts that name the regions in which they may be served, over processes
-//! in three regions.
-//!
-//! Cause: nothing read the regions that a configuration allows; with the comparison left out,
-//! each of these tests fails.
+//! `AllowedRegions` of routes and client accounts, over real processes in three regions.
 
 use {
     anyhow::Result,
@@ -17,15 +13,15 @@
     tokio::time::sleep,
 };
 
-const PLACES: [(&str, &str); 3] = [("z-n", "north"), ("z-m", "middle"), ("z-s", "south")];
-/// more than any choice by chance would leave in one region
-const MANY: usize = 24;
-/// of the settings of the fleet: a change is in force everywhere after it
-const APPLIED: Duration = Duration::from_millis(2_000);
+const ZONES: [(&str, &str); 3] = [("z-n", "north"), ("z-m", "middle"), ("z-s", "south")];
+/// Too many for a random choice to place them all in one region.
+const REQUESTS: usize = 24;
+/// Time within which the fleet's processes apply a configuration change.
+const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2_000);
 
 async fn three_regions(engines: u8, plain: u8) -> Result<Fleet> {
     Fleet::start(FleetSettings {
-        zones: PLACES.to_vec(),
+        zones: ZONES.to_vec(),
         engines,
         plain,
         ..FleetSettings::default()
@@ -33,12 +29,12 @@
     .await
 }
 
-/// bind the route of a number in the configuration
-fn bind(fleet: &mut Fleet, route: usize, regions: Value) {
+/// Sets `AllowedRegions` of the route with this index.
+fn restrict_route(fleet: &mut Fleet, route: usize, regions: Value) {
     fleet.configure(|document| document["Routes"][route]["AllowedRegions"] = regions);
 }
 
-fn safe(id: usize) -> ClientRequest {
+fn safe_request(id: usize) -> ClientRequest {
     ClientRequest {
         target: "/safe/".to_string(),
         id: format!("r-{id}"),
@@ -48,96 +44,97 @@
 
 async fn statuses(entry: SocketAddr, from: usize) -> Result<Vec<u16>> {
     let mut statuses = Vec::new();
-    for id in from..from + MANY {
-        statuses.push(request(entry, &safe(id)).await?.status);
+    for id in from..from + REQUESTS {
+        statuses.push(request(entry, &safe_request(id)).await?.status);
     }
     Ok(statuses)
 }
 
-fn runs_of(fleet: &Fleet) -> Vec<usize> {
+fn run_counts(fleet: &Fleet) -> Vec<usize> {
     let runs = fleet.plain.iter().map(|b| b.runs().len());
     runs.collect()
 }
 
-/// Guards against: requests that are served in a region that their route does not allow,
-/// whichever entry they come to.
+/// Guards against: requests served outside the allowed regions of their route, whichever entry
+/// receives them.
 #[tokio::test]
-async fn a_bound_route_is_served_in_its_regions_alone() -> Result<()> {
+async fn a_restricted_route_is_served_only_in_its_allowed_regions() -> Result<()> {
     let mut fleet = three_regions(1, 3).await?;
-    bind(&mut fleet, 0, json!(["south"]));
-    sleep(APPLIED).await;
+    restrict_route(&mut fleet, 0, json!(["south"]));
+    sleep(CONFIG_APPLY_TIME).await;
     let middle = fleet
-        .start_other_ingress_in_zone("front-m", PLACES[1].0)
+        .start_other_ingress_in_zone("front-m", ZONES[1].0)
         .await?;
-    let before = runs_of(&fleet);
-    let mut answers = statuses(fleet.clients, 0).await?;
-    answers.extend(statuses(middle.clients, MANY).await?);
-    assert!(answers.iter().all(|status| *status == 200));
-    let after = runs_of(&fleet);
+    let before = run_counts(&fleet);
+    let mut responses = statuses(fleet.clients, 0).await?;
+    responses.extend(statuses(middle.clients, REQUESTS).await?);
+    assert!(responses.iter().all(|status| *status == 200));
+    let after = run_counts(&fleet);
     assert_eq!(after[..2], before[..2]);
-    assert_eq!(after[2], before[2] + 2 * MANY);
+    assert_eq!(after[2], before[2] + 2 * REQUESTS);
     Ok(())
 }
 
-/// Guards against: requests that go elsewhere, or are held, when the regions have no back end
-/// left; the store is silent, so that the list goes on naming the one that has ended.
+/// Guards against: requests sent to other regions, or held, when the allowed regions have no
+/// back end left. The store is unresponsive, so the list still has the one that crashed.
 #[tokio::test]
-async fn it_is_refused_when_its_regions_are_lost() -> Result<()> {
+async fn a_restricted_route_is_rejected_when_its_regions_have_no_back_end() -> Result<()> {
     let mut fleet = three_regions(1, 3).await?;
-    bind(&mut fleet, 0, json!(["south"]));
-    sleep(APPLIED).await;
+    restrict_route(&mut fleet, 0, json!(["south"]));
+    sleep(CONFIG_APPLY_TIME).await;
     fleet.store.set_fault(StoreFault::Unresponsive);
     fleet.plain[2].state().crash();
-    fleet.plain[2].state().restart_delay = APPLIED;
-    let before = runs_of(&fleet);
-    let answers = statuses(fleet.clients, 0).await?;
-    assert!(answers.iter().all(|status| [502, 503].contains(status)));
-    assert_eq!(runs_of(&fleet)[..2], before[..2]);
+    fleet.plain[2].state().restart_delay = CONFIG_APPLY_TIME;
+    let before = run_counts(&fleet);
+    let responses = statuses(fleet.clients, 0).await?;
+    assert!(responses.iter().all(|status| [502, 503].contains(status)));
+    assert_eq!(run_counts(&fleet)[..2], before[..2]);
     fleet.store.set_fault(StoreFault::None);
     fleet.store.delete(&format!("servers/{}", "p-2"));
-    until_async("a refusal says why", || async {
-        let refused = request(fleet.clients, &safe(99)).await;
-        refused.is_ok_and(|answer| answer.status == 503) && fleet.log().contains("outside_regions")
+    until_async("a rejection names its cause", || async {
+        let rejected = request(fleet.clients, &safe_request(99)).await;
+        rejected.is_ok_and(|response| response.status == 503)
+            && fleet.log().contains("outside_regions")
     })
     .await;
     assert!(fleet.log().contains("\"regions\":\"south\""));
-    let counted = "outside_regions_total";
-    assert!(fleet.metrics_text().await.contains(counted));
+    let metric = "outside_regions_total";
+    assert!(fleet.metrics_text().await.contains(metric));
     Ok(())
 }
 
-/// Guards against: a change of the bound that does not reach what is served after it.
+/// Guards against: a change of the allowed regions that does not apply to later requests.
 #[tokio::test]
-async fn a_change_binds_what_comes_after_it() -> Result<()> {
+async fn a_change_of_allowed_regions_applies_to_later_requests() -> Result<()> {
     let mut fleet = three_regions(1, 3).await?;
-    for (region, number) in [("south", 2), ("middle", 1)] {
-        bind(&mut fleet, 0, json!([region]));
-        sleep(APPLIED).await;
-        let before = runs_of(&fleet);
-        statuses(fleet.clients, number * 100).await?;
-        let after = runs_of(&fleet);
-        assert_eq!(after[number], before[number] + MANY);
+    for (region, index) in [("south", 2), ("middle", 1)] {
+        restrict_route(&mut fleet, 0, json!([region]));
+        sleep(CONFIG_APPLY_TIME).await;
+        let before = run_counts(&fleet);
+        statuses(fleet.clients, index * 100).await?;
+        let after = run_counts(&fleet);
+        assert_eq!(after[index], before[index] + REQUESTS);
     }
-    bind(&mut fleet, 0, json!([]));
-    sleep(APPLIED).await;
-    let answers = statuses(fleet.clients, 300).await?;
-    assert!(answers.iter().all(|status| *status == 200));
+    restrict_route(&mut fleet, 0, json!([]));
+    sleep(CONFIG_APPLY_TIME).await;
+    let responses = statuses(fleet.clients, 300).await?;
+    assert!(responses.iter().all(|status| *status == 200));
     Ok(())
 }
 
 const KEY: &str = "key-of-acme-5c1e07a2";
 
-async fn with_key(fleet: &Fleet, id: usize) -> Result<ClientResponse> {
-    let asked = ClientRequest {
+async fn request_with_key(fleet: &Fleet, id: usize) -> Result<ClientResponse> {
+    let sent = ClientRequest {
         headers: vec![("Api-Key".to_string(), KEY.to_string())],
-        ..safe(id)
+        ..safe_request(id)
     };
-    request(fleet.clients, &asked).await
+    request(fleet.clients, &sent).await
 }
 
-/// Guards against: the bound of an account that is lost beside that of its route.
+/// Guards against: allowed regions of an account that are ignored when its route has some too.
 #[tokio::test]
-async fn an_account_and_a_route_bind_together() -> Result<()> {
+async fn allowed_regions_of_account_and_route_are_intersected() -> Result<()> {
     let mut fleet = three_regions(1, 3).await?;
     fleet.configure(|document| {
         document["Routes"][0]["AllowedRegions"] = json!(["south", "middle"]);
@@ -145,35 +142,34 @@
             {"Name": "acme", "ApiKeys": [KEY], "AllowedRegions": ["middle", "north"]},
         ]);
     });
-    sleep(APPLIED).await;
-    let before = runs_of(&fleet);
-    for id in 0..MANY {
-        assert_eq!(with_key(&fleet, id).await?.status, 200);
+    sleep(CONFIG_APPLY_TIME).await;
+    let before = run_counts(&fleet);
+    for id in 0..REQUESTS {
+        assert_eq!(request_with_key(&fleet, id).await?.status, 200);
     }
-    let after = runs_of(&fleet);
-    assert_eq!(after[1], before[1] + MANY);
+    let after = run_counts(&fleet);
+    assert_eq!(after[1], before[1] + REQUESTS);
     Ok(())
 }
 
-/// Guards against: an adapter that is loaded, or a prompt that is run, at an engine of another
-/// region.
+/// Guards against: an adapter loaded, or a prompt run, by an engine outside the allowed regions.
 #[tokio::test]
-async fn prompts_and_their_adapters_stay_in_their_regions() -> Result<()> {
+async fn prompts_and_adapters_stay_in_the_allowed_regions() -> Result<()> {
     let mut fleet = three_regions(3, 1).await?;
-    bind(&mut fleet, 2, json!("middle"));
-    sleep(APPLIED).await;
-    let served = || async {
-        let answer = request(fleet.clients, &prompt("a", "first")).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+    restrict_route(&mut fleet, 2, json!("middle"));
+    sleep(CONFIG_APPLY_TIME).await;
+    let is_served = || async {
+        let response = request(fleet.clients, &prompt("a", "first")).await;
+        response.is_ok_and(|response| response.status == 200)
     };
-    until_async("a prompt is served", served).await;
-    for number in 0..4 {
-        let answer = request(fleet.clients, &prompt("a", &format!("p-{number}"))).await?;
-        assert_eq!(answer.status, 200);
+    until_async("a prompt is served", is_served).await;
+    for index in 0..4 {
+        let response = request(fleet.clients, &prompt("a", &format!("p-{index}"))).await?;
+        assert_eq!(response.status, 200);
     }
-    for other in [0, 2] {
-        assert!(fleet.engines[other].runs().is_empty());
-        assert!(fleet.engines[other].orders().is_empty());
+    for other_index in [0, 2] {
+        assert!(fleet.engines[other_index].runs().is_empty());
+        assert!(fleet.engines[other_index].orders().is_empty());
     }
     Ok(())
 }
--- a/testkit/tests/at_most_once.rs
+++ b/testkit/tests/at_most_once.rs
@@ -1,6 +1,5 @@
-//! requests under a reserved id run at most once, and `NOT_RUN` is true,
-//! under kills, freezes, cuts and replacements of real processes. Runs are
-//! counted by the stand-ins.
+//! Requests under a reserved id run at most once, and `NOT_RUN` is never reported for a request
+//! that ran, while real processes are killed, paused, disconnected and replaced.
 
 use {
     anyhow::Result,
@@ -26,13 +25,11 @@
 
 const SERVICE: &str = "fee-table";
 const BODY: &[u8] = b"fee table of client 7";
-/// long enough for a slow machine, in ms
-const LONG: u32 = 10_000;
-/// a caller that gives up soon, in ms
-const SHORT: u32 = 1_500;
+const LONG_TIMEOUT_MS: u32 = 10_000;
+const SHORT_TIMEOUT_MS: u32 = 1_500;
 
 type Client = InferenceClient<Channel>;
-type Called = Result<Vec<u8>, Box<Failure>>;
+type CallResult = Result<Vec<u8>, Box<Failure>>;
 
 fn one_service() -> ClusterSettings {
     ClusterSettings {
@@ -49,7 +46,7 @@
     Ok(reserve_for_service(client, SERVICE, 1).await?.remove(0))
 }
 
-fn spawn_call(mut client: Client, id: &str, timeout_ms: u32) -> JoinHandle<Called> {
+fn spawn_call(mut client: Client, id: &str, timeout_ms: u32) -> JoinHandle<CallResult> {
     let id = id.to_string();
     tokio::spawn(async move { call_once(&mut client, SERVICE, BODY, &id, timeout_ms).await })
 }
@@ -61,108 +58,111 @@
     Ok(client.cancel(req).await?.into_inner().outcome())
 }
 
-/// wait until an entry's list holds the address of a service's sidecar
-async fn wait_listed(cluster: &Cluster, entry: usize) -> Result<()> {
+/// Waits until an entry has the platform's current list.
+async fn wait_for_current_list(cluster: &Cluster, entry: usize) -> Result<()> {
     let version = cluster.platform.list().version;
-    let mark = format!("fleet: list {version} ");
-    until(&mark, || cluster.entries[entry].has_logged(&mark)).await;
+    let list_line = format!("fleet: list {version} ");
+    until(&list_line, || cluster.entries[entry].has_logged(&list_line)).await;
     Ok(())
 }
 
 #[tokio::test]
-async fn a_copy_through_another_entry_joins_the_first() -> Result<()> {
+async fn a_duplicate_call_through_another_entry_joins_the_first() -> Result<()> {
     let cluster = Cluster::start(one_service()).await?;
     let (mut first, second) = (cluster.client(0).await?, cluster.client(1).await?);
     let service = &cluster.services[0].service;
     service.set_paused(true);
     let id = reserve(&mut first).await?;
-    let one = spawn_call(first, &id, LONG);
+    let original = spawn_call(first, &id, LONG_TIMEOUT_MS);
     service.wait_for_runs(1).await;
-    let other = spawn_call(second, &id, LONG);
-    // the copy is at the sidecar when a third one's cancel was answered
+    let other = spawn_call(second, &id, LONG_TIMEOUT_MS);
+    // this response shows that the sidecar has also received the copy
     let mut third = cluster.client(1).await?;
     assert_eq!(cancel_unstarted(&mut third).await?, OutcomeCode::NotRun);
     service.set_paused(false);
-    assert_eq!(one.await?.expect("answered"), BODY);
-    assert_eq!(other.await?.expect("answered"), BODY);
+    assert_eq!(original.await?.expect("a response"), BODY);
+    assert_eq!(other.await?.expect("a response"), BODY);
     assert_eq!(service.runs(BODY), 1);
     Ok(())
 }
 
-/// reserve an id and cancel it: a round trip to the sidecar
+/// Reserves an id and cancels it, which is a round trip to the sidecar.
 async fn cancel_unstarted(client: &mut Client) -> Result<OutcomeCode> {
     let id = reserve(client).await?;
     cancel(client, &id).await
 }
 
 #[tokio::test]
-async fn an_entry_killed_after_sending_loses_nothing() -> Result<()> {
+async fn a_call_runs_once_when_the_entry_that_sent_it_is_killed() -> Result<()> {
     let mut cluster = Cluster::start(one_service()).await?;
     let mut first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
     cluster.services[0].service.set_paused(true);
     let id = reserve(&mut first).await?;
-    let lost = spawn_call(first, &id, LONG);
+    let interrupted = spawn_call(first, &id, LONG_TIMEOUT_MS);
     cluster.services[0].service.wait_for_runs(1).await;
     cluster.entries[0].process.kill()?;
-    let failure = lost.await?.expect_err("the entry is gone");
+    let failure = interrupted.await?.expect_err("the entry was killed");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     cluster.services[0].service.set_paused(false);
-    let answer = call_once(&mut second, SERVICE, BODY, &id, LONG).await;
-    assert_eq!(answer.expect("answered"), BODY);
+    let response = call_once(&mut second, SERVICE, BODY, &id, LONG_TIMEOUT_MS).await;
+    assert_eq!(response.expect("a response"), BODY);
     assert_eq!(cluster.services[0].service.runs(BODY), 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_sidecar_frozen_replaced_and_woken_runs_it_at_most_once() -> Result<()> {
+async fn a_sidecar_paused_replaced_and_resumed_runs_a_call_at_most_once() -> Result<()> {
     let mut cluster = Cluster::start(one_service()).await?;
     let mut first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
     let id = reserve(&mut first).await?;
     cluster.services[0].sidecar.process.pause()?;
-    let failure = call_once(&mut first, SERVICE, BODY, &id, SHORT).await;
-    assert_eq!(failure.expect_err("frozen").outcome, Outcome::MayHaveRun);
+    let failure = call_once(&mut first, SERVICE, BODY, &id, SHORT_TIMEOUT_MS).await;
+    assert_eq!(
+        failure.expect_err("the sidecar is paused").outcome,
+        Outcome::MayHaveRun
+    );
     let old = cluster.replace_service_sidecar(0).await?;
     cluster.services[0].sidecar.wait_ready().await?;
-    wait_listed(&cluster, 1).await?;
-    let failure = call_once(&mut second, SERVICE, BODY, &id, LONG).await;
-    let failure = failure.expect_err("an id of the old process");
+    wait_for_current_list(&cluster, 1).await?;
+    let failure = call_once(&mut second, SERVICE, BODY, &id, LONG_TIMEOUT_MS).await;
+    let failure = failure.expect_err("the id belongs to the old process");
     assert_eq!(failure.reason, "EARLIER_INCARNATION");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     assert_eq!(cancel(&mut second, &id).await?, OutcomeCode::MayHaveRun);
     old.process.resume()?;
     old.wait_ready().await?;
     let fresh = reserve(&mut second).await?;
-    let answer = call_once(&mut second, SERVICE, b"another", &fresh, LONG).await;
-    assert_eq!(answer.expect("served by the new process"), b"another");
+    let response = call_once(&mut second, SERVICE, b"another", &fresh, LONG_TIMEOUT_MS).await;
+    assert_eq!(response.expect("served by the new process"), b"another");
     assert!(cluster.services[0].service.runs(BODY) <= 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_killed_and_restarted_sidecar_refuses_its_earlier_ids() -> Result<()> {
+async fn a_restarted_sidecar_rejects_ids_of_its_earlier_incarnation() -> Result<()> {
     let mut cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
     cluster.services[0].service.set_paused(true);
     let id = reserve(&mut client).await?;
-    let lost = spawn_call(client.clone(), &id, LONG);
+    let interrupted = spawn_call(client.clone(), &id, LONG_TIMEOUT_MS);
     cluster.services[0].service.wait_for_runs(1).await;
     cluster.services[0].sidecar.process.kill()?;
-    let failure = lost.await?.expect_err("the sidecar is gone");
+    let failure = interrupted.await?.expect_err("the sidecar was killed");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     cluster.services[0].sidecar.respawn()?;
     cluster.services[0].sidecar.wait_ready().await?;
     cluster.services[0].service.set_paused(false);
-    let failure = call_once(&mut client, SERVICE, BODY, &id, LONG).await;
-    assert_eq!(failure.expect_err("refused").reason, "EARLIER_INCARNATION");
+    let failure = call_once(&mut client, SERVICE, BODY, &id, LONG_TIMEOUT_MS).await;
+    assert_eq!(failure.expect_err("rejected").reason, "EARLIER_INCARNATION");
     assert_eq!(cluster.services[0].service.runs(BODY), 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_cut_that_swallows_the_answer_is_healed_by_a_copy() -> Result<()> {
-    for cut in [
+async fn a_duplicate_call_returns_the_response_that_a_link_fault_lost() -> Result<()> {
+    for fault in [
         LinkFault::ResponsesLost,
         LinkFault::Blackhole,
         LinkFault::Closed,
@@ -177,42 +177,42 @@
         let forwarder = node.sidecar.forwarder.as_ref().expect("a forwarder");
         node.service.set_paused(true);
         let id = reserve(&mut client).await?;
-        let lost = spawn_call(client.clone(), &id, SHORT);
+        let interrupted = spawn_call(client.clone(), &id, SHORT_TIMEOUT_MS);
         node.service.wait_for_runs(1).await;
-        forwarder.set_fault(cut);
+        forwarder.set_fault(fault);
         node.service.set_paused(false);
-        let failure = lost.await?.expect_err("cut off");
-        assert_eq!(failure.outcome, Outcome::MayHaveRun, "{cut:?}");
+        let failure = interrupted.await?.expect_err("the link is down");
+        assert_eq!(failure.outcome, Outcome::MayHaveRun, "{fault:?}");
         forwarder.set_fault(LinkFault::None);
         let mut other = cluster.client(1).await?;
-        let answer = call_once(&mut other, SERVICE, BODY, &id, LONG).await;
-        assert_eq!(answer.expect("answered"), BODY, "{cut:?}");
-        assert_eq!(node.service.runs(BODY), 1, "{cut:?}");
+        let response = call_once(&mut other, SERVICE, BODY, &id, LONG_TIMEOUT_MS).await;
+        assert_eq!(response.expect("a response"), BODY, "{fault:?}");
+        assert_eq!(node.service.runs(BODY), 1, "{fault:?}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_cancel_before_the_start_keeps_it_from_running() -> Result<()> {
+async fn a_cancel_before_the_start_prevents_the_run() -> Result<()> {
     let cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
     let id = reserve(&mut client).await?;
     assert_eq!(cancel(&mut client, &id).await?, OutcomeCode::NotRun);
     let mut other = cluster.client(1).await?;
-    let late = call_once(&mut other, SERVICE, BODY, &id, LONG).await;
-    assert_eq!(late.expect_err("cancelled").outcome, Outcome::NotRun);
+    let late_call = call_once(&mut other, SERVICE, BODY, &id, LONG_TIMEOUT_MS).await;
+    assert_eq!(late_call.expect_err("cancelled").outcome, Outcome::NotRun);
     assert_eq!(cluster.services[0].service.runs(BODY), 0);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_cancel_after_the_start_does_not_claim_that_it_did_not_run() -> Result<()> {
+async fn a_cancel_after_the_start_reports_that_it_may_have_run() -> Result<()> {
     let cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
     let service = &cluster.services[0].service;
     service.set_paused(true);
     let id = reserve(&mut client).await?;
-    let running = spawn_call(client.clone(), &id, LONG);
+    let running = spawn_call(client.clone(), &id, LONG_TIMEOUT_MS);
     service.wait_for_runs(1).await;
     assert_eq!(cancel(&mut client, &id).await?, OutcomeCode::MayHaveRun);
     let failure = running.await?.expect_err("stopped");
@@ -221,26 +221,25 @@
     Ok(())
 }
 
-/// the call reaches the target only after its caller has cancelled it
-/// through another entry
+/// The call reaches the target only after its caller has cancelled it through another entry.
 #[tokio::test]
-async fn an_entry_that_wakes_with_a_call_in_hand_comes_too_late() -> Result<()> {
+async fn a_call_that_a_resumed_entry_sends_after_its_cancel_does_not_run() -> Result<()> {
     let cluster = Cluster::start(one_service()).await?;
     let first = cluster.client(0).await?;
     let mut second = cluster.client(1).await?;
     let id = reserve(&mut second).await?;
     cluster.entries[0].process.pause()?;
-    let in_hand = spawn_call(first, &id, LONG);
+    let delayed = spawn_call(first, &id, LONG_TIMEOUT_MS);
     assert_eq!(cancel(&mut second, &id).await?, OutcomeCode::NotRun);
     cluster.entries[0].process.resume()?;
-    let failure = in_hand.await?.expect_err("cancelled");
+    let failure = delayed.await?.expect_err("cancelled");
     assert_eq!(failure.outcome, Outcome::NotRun, "{failure:?}");
     assert_eq!(cluster.services[0].service.runs(BODY), 0);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_race_of_calls_and_cancels_keeps_every_word() -> Result<()> {
+async fn concurrent_calls_and_cancels_report_true_outcomes() -> Result<()> {
     const RACES: u32 = 60;
     let cluster = Cluster::start(one_service()).await?;
     let mut first = cluster.client(0).await?;
@@ -252,7 +251,7 @@
         let mut caller = cluster.client(0).await?;
         let mut canceller = cluster.client(1).await?;
         races.push(tokio::spawn(async move {
-            let called = call_once(&mut caller, SERVICE, body.as_bytes(), &id, LONG);
+            let called = call_once(&mut caller, SERVICE, body.as_bytes(), &id, LONG_TIMEOUT_MS);
             let (called, cancelled) = tokio::join!(called, cancel(&mut canceller, &id));
             (body, called, cancelled)
         }));
@@ -263,7 +262,7 @@
             ledger.on_outcome(&body, Outcome::NotRun);
         }
         match called {
-            Ok(answer) => ledger.on_response(&body, &answer),
+            Ok(response) => ledger.on_response(&body, &response),
             Err(failure) => ledger.on_outcome(&body, failure.outcome),
         }
     }
@@ -273,7 +272,7 @@
 }
 
 #[tokio::test]
-async fn the_id_table_at_its_bound_refuses_and_forgets_safely() -> Result<()> {
+async fn a_full_id_table_rejects_reservations_and_never_reruns_evicted_ids() -> Result<()> {
     let settings = ClusterSettings {
         sidecar_settings: sidecar_settings(json!({ "id_capacity": 10 })),
         ..one_service()
@@ -283,16 +282,16 @@
     let service = &cluster.services[0].service;
     let ids = reserve_for_service(&mut client, SERVICE, 10).await?;
     let full = reserve_for_service(&mut client, SERVICE, 1).await;
-    let full = full.expect_err("no room");
+    let full = full.expect_err("the id table is full");
     assert_eq!(full.code(), Code::ResourceExhausted);
     assert!(chalkcart_protocol::status::retry_after_of(&full).is_some());
     for id in &ids[..5] {
         let body = format!("bound {id}");
-        let answer = call_once(&mut client, SERVICE, body.as_bytes(), id, LONG).await;
-        assert!(answer.is_ok());
+        let response = call_once(&mut client, SERVICE, body.as_bytes(), id, LONG_TIMEOUT_MS).await;
+        assert!(response.is_ok());
     }
-    // the answer goes out before the control thread counts the end
-    until_async("five ids are free", || async {
+    // the response is sent before the control thread frees the id
+    until_async("five ids can be reserved", || async {
         let mut client = client.clone();
         let reserved = reserve_for_service(&mut client, SERVICE, 5).await;
         reserved.is_ok()
@@ -301,8 +300,8 @@
     let mut other = cluster.client(1).await?;
     for id in &ids[..5] {
         let body = format!("bound {id}");
-        // the answer may still be held and be given again; it never runs
-        let repeated = call_once(&mut other, SERVICE, body.as_bytes(), id, LONG).await;
+        // the stored response may be sent again, but the request doesn't run again
+        let repeated = call_once(&mut other, SERVICE, body.as_bytes(), id, LONG_TIMEOUT_MS).await;
         if let Err(failure) = repeated {
             assert_eq!(failure.outcome, Outcome::MayHaveRun);
         }
@@ -312,11 +311,11 @@
 }
 
 #[tokio::test]
-async fn without_a_reserved_id_it_is_refused_and_names_the_field() -> Result<()> {
+async fn a_call_without_a_reserved_id_is_rejected_naming_the_field() -> Result<()> {
     let cluster = Cluster::start(one_service()).await?;
     let mut client = cluster.client(0).await?;
-    let refused = call_once(&mut client, SERVICE, BODY, "", LONG).await;
-    let failure = refused.expect_err("refused");
+    let rejected = call_once(&mut client, SERVICE, BODY, "", LONG_TIMEOUT_MS).await;
+    let failure = rejected.expect_err("rejected");
     assert_eq!(failure.outcome, Outcome::NotRun);
     assert_eq!(failure.status.code(), Code::InvalidArgument);
     assert!(failure.status.message().contains("not_repeatable"));
@@ -325,7 +324,7 @@
 }
 
 #[tokio::test]
-async fn a_prompt_under_a_reserved_id_runs_once_though_its_engine_restarts() -> Result<()> {
+async fn a_prompt_under_a_reserved_id_runs_once_when_its_engine_restarts() -> Result<()> {
     let settings = ClusterSettings {
         services: Vec::new(),
         ..ClusterSettings::default()
@@ -359,19 +358,22 @@
     };
     until("the prompt runs", || runs() > 0).await;
     cluster.engines.iter().for_each(|e| e.engine.restart());
-    let failure = running.await?.expect_err("the engine lost it");
+    let failure = running.await?.expect_err("the engine restarted");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     let mut other = cluster.client(1).await?;
     let again = generate(&mut other, req.clone()).await;
-    assert_ne!(again.expect_err("never again").outcome, Outcome::NotRun);
+    assert_ne!(
+        again.expect_err("the id has already run").outcome,
+        Outcome::NotRun
+    );
     assert_eq!(runs(), 1);
     Ok(())
 }
 
-/// callers that resend everything unclear through other entries, while
-/// entries are killed and the sidecar frozen
+/// Callers retry all requests without a response through other entries, while entries are
+/// killed and the sidecar is paused.
 #[tokio::test]
-async fn resends_under_pairs_of_faults_keep_every_word() -> Result<()> {
+async fn retries_during_overlapping_faults_report_true_outcomes() -> Result<()> {
     const CALLS: usize = 120;
     let settings = ClusterSettings {
         entries: 3,
@@ -390,17 +392,18 @@
         callers.push(tokio::spawn(async move {
             sleep(Duration::from_millis(20 * number as u64)).await;
             let body = format!("pair {number}");
-            let mut words = Vec::new();
+            let mut results = Vec::new();
             for attempt in 0..4 {
                 let mut client = clients[(number + attempt) % clients.len()].clone();
-                let called = call_once(&mut client, SERVICE, body.as_bytes(), &id, SHORT).await;
+                let called =
+                    call_once(&mut client, SERVICE, body.as_bytes(), &id, SHORT_TIMEOUT_MS).await;
                 let is_final = called.is_ok();
-                words.push(called);
+                results.push(called);
                 if is_final {
                     break;
                 }
             }
-            (body, words)
+            (body, results)
         }));
     }
     let service = &cluster.services[0];
@@ -414,10 +417,10 @@
     cluster.entries[1].process.kill()?;
     let mut ledger = AtMostOnceLedger::default();
     for caller in callers {
-        let (body, words) = caller.await?;
-        for word in words {
-            match word {
-                Ok(answer) => ledger.on_response(&body, &answer),
+        let (body, results) = caller.await?;
+        for result in results {
+            match result {
+                Ok(response) => ledger.on_response(&body, &response),
                 Err(failure) => ledger.on_outcome(&body, failure.outcome),
             }
         }
@@ -429,34 +432,34 @@
 }
 
 #[test]
-fn the_ledger_catches_one_planted_fault_of_each_kind() {
+fn the_ledger_reports_each_kind_of_violation() {
     let mut ledger = AtMostOnceLedger::default();
-    ledger.on_response("doubled", b"doubled");
-    ledger.on_outcome("said not run", Outcome::NotRun);
+    ledger.on_response("duplicated", b"duplicated");
+    ledger.on_outcome("reported not run", Outcome::NotRun);
     ledger.on_response("never ran", b"never ran");
-    ledger.on_response("mixed up", b"another");
+    ledger.on_response("mismatched", b"another");
     ledger.on_response("good", b"good");
     let runs = HashMap::from([
-        ("doubled", 2),
-        ("said not run", 1),
-        ("mixed up", 1),
+        ("duplicated", 2),
+        ("reported not run", 1),
+        ("mismatched", 1),
         ("good", 1),
     ]);
     let found = ledger.violations(|body| runs.get(body).copied().unwrap_or(0));
-    let text = |body: &str| body.to_string();
+    let owned = |body: &str| body.to_string();
     let expected = [
         Violation::RanTwice {
-            body: text("doubled"),
+            body: owned("duplicated"),
             runs: 2,
         },
         Violation::WrongResponse {
-            body: text("mixed up"),
+            body: owned("mismatched"),
         },
         Violation::ResponseWithoutRun {
-            body: text("never ran"),
+            body: owned("never ran"),
         },
         Violation::RanDespiteNotRun {
-            body: text("said not run"),
+            body: owned("reported not run"),
         },
     ];
     assert_eq!(found, expected);
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -1,6 +1,5 @@
-//! an accepted configuration comes into force everywhere and never reverts,
-//! with the platform down or stale, with processes paused and started, and
-//! with operators that race
+//! An accepted configuration comes into force on every process and never reverts, while the
+//! platform is down or stale, processes are paused or restarted, and operators race.
 
 use {
     anyhow::Result,
@@ -42,7 +41,7 @@
     }
 }
 
-/// a prompt on the version that `new_version` adds
+/// Returns a prompt for the version that `new_version` adds.
 fn prompt_on_new_version(prompt: String) -> GenerateRequest {
     GenerateRequest {
         group: "branches".to_string(),
@@ -64,12 +63,12 @@
         .generation)
 }
 
-async fn wait_generation(cluster: &Cluster, entry: usize, wanted: u64) -> Result<()> {
+async fn wait_generation(cluster: &Cluster, entry: usize, expected: u64) -> Result<()> {
     let reached = || async {
         let found = generation(cluster, entry).await;
-        found.is_ok_and(|g| g >= wanted)
+        found.is_ok_and(|g| g >= expected)
     };
-    until_async("the generation", reached).await;
+    until_async("the generation is in force", reached).await;
     Ok(())
 }
 
@@ -86,9 +85,9 @@
     for entry in 0..3 {
         let mut client = cluster.client(entry).await?;
         let req = prompt_on_new_version(format!("the new version by {entry}"));
-        let answer = generate(&mut client, req.clone()).await;
+        let response = generate(&mut client, req.clone()).await;
         assert_eq!(
-            check_completion(&req, &answer.expect("served")),
+            check_completion(&req, &response.expect("served")),
             CompletionCheck::Correct
         );
     }
@@ -96,9 +95,9 @@
 }
 
 #[tokio::test]
-async fn it_spreads_through_peers_while_the_platform_is_down() -> Result<()> {
+async fn a_change_spreads_through_peers_while_the_platform_is_down() -> Result<()> {
     let cluster = Cluster::start(three_entries()).await?;
-    // watchers are asleep, one entry hears of it, then the platform goes
+    // only one entry receives the change before the platform goes down
     for paused in &cluster.entries[1..] {
         paused.process.pause()?;
     }
@@ -113,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_stale_platform_brings_nothing_back_to_a_new_process() -> Result<()> {
+async fn a_stale_platform_does_not_revert_a_new_process() -> Result<()> {
     let mut cluster = Cluster::start(three_entries()).await?;
     let first = cluster.platform.documents();
     let second = first.changed(&share(2))?;
@@ -145,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn another_content_under_the_same_generation_is_refused() -> Result<()> {
+async fn different_content_under_the_same_generation_is_rejected() -> Result<()> {
     let mut cluster = Cluster::start(three_entries()).await?;
     let first = cluster.platform.documents();
     let one = first.changed(&share(2))?;
@@ -166,7 +165,7 @@
     Ok(())
 }
 
-/// the root in force, out of the next documents that an entry plans
+/// Returns the root in force, taken from the next documents that an entry plans.
 async fn root_of(cluster: &Cluster, entry: usize) -> Result<Root> {
     let mut admin = AdminClient::new(cluster.channel(entry).await?);
     let req = RegisterAdapterRequest {
@@ -182,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_on_one_generation_one_must_build_again() -> Result<()> {
+async fn of_two_changes_on_one_generation_the_later_is_rejected() -> Result<()> {
     let cluster = Cluster::start(three_entries()).await?;
     let mut one = AdminClient::new(cluster.channel(0).await?);
     let mut other = AdminClient::new(cluster.channel(1).await?);
@@ -197,16 +196,16 @@
         digest: WeightsDigest::of(b"3").to_string(),
     };
     let planned = one.set_share(share.clone()).await?.into_inner();
-    let also = other.add_version(version.clone()).await?.into_inner();
-    assert_eq!((planned.generation, also.generation), (2, 2));
+    let planned_by_other = other.add_version(version.clone()).await?.into_inner();
+    assert_eq!((planned.generation, planned_by_other.generation), (2, 2));
     let published = cluster.platform.documents().changed(&self::share(5))?;
     cluster.platform.publish(published);
     cluster.wait_in_force(0, 2).await?;
-    let refused = other
+    let rejected = other
         .add_version(version.clone())
         .await
         .expect_err("stale base");
-    assert_eq!(refused.code(), Code::FailedPrecondition);
+    assert_eq!(rejected.code(), Code::FailedPrecondition);
     let rebuilt = AddVersionRequest {
         base_generation: 2,
         ..version
@@ -216,36 +215,36 @@
 }
 
 #[tokio::test]
-async fn a_root_whose_shards_are_missing_is_not_taken() -> Result<()> {
+async fn a_root_with_missing_shards_is_not_applied() -> Result<()> {
     let cluster = Cluster::start(three_entries()).await?;
     let first = cluster.platform.documents();
     let next = first.changed(&new_version())?;
-    let mut half = next.clone();
-    half.shards = first.shards.clone();
-    cluster.platform.publish(half);
+    let mut incomplete = next.clone();
+    incomplete.shards = first.shards.clone();
+    cluster.platform.publish(incomplete);
     wait_log(&cluster, 0, "generation 2 could not be applied").await;
     assert_eq!(generation(&cluster, 0).await?, 1);
     cluster.platform.publish(next);
     cluster.wait_in_force(0, 2).await
 }
 
-/// entries that no peer can reach read the platform themselves; sidecars,
-/// which read entries only, follow once the cut is healed
+/// Entries without reachable peers read the platform directly; sidecars, which read only from
+/// entries, catch up once the links are restored.
 #[tokio::test]
-async fn entries_cut_from_each_other_read_the_platform_and_serve_on() -> Result<()> {
+async fn entries_without_reachable_peers_read_the_platform_and_serve_requests() -> Result<()> {
     let settings = ClusterSettings {
         entries: 5,
         forward_entries: true,
         ..ClusterSettings::default()
     };
     let cluster = Cluster::start(settings).await?;
-    let set = |cut| {
+    let set = |fault| {
         for entry in &cluster.entries {
             entry
                 .forwarder
                 .as_ref()
                 .expect("a forwarder")
-                .set_fault(cut);
+                .set_fault(fault);
         }
     };
     set(LinkFault::Closed);
@@ -255,9 +254,9 @@
         wait_generation(&cluster, entry, 2).await?;
         let mut client = cluster.client(entry).await?;
         let req = prompt_on_new_version(format!("cut off {entry}"));
-        let answer = generate(&mut client, req.clone()).await;
+        let response = generate(&mut client, req.clone()).await;
         assert_eq!(
-            check_completion(&req, &answer.expect("served")),
+            check_completion(&req, &response.expect("served")),
             CompletionCheck::Correct
         );
     }
--- a/testkit/tests/emptied_zones.rs
+++ b/testkit/tests/emptied_zones.rs
@@ -1,8 +1,6 @@
-//! Zones whose back ends operators want to have emptied.
+//! Zones that operators evacuate.
 //!
-//! Seen: requests went on to the engines of a zone for as long as its evacuation lasted, 344
-//! of them later than 5 s after it was confirmed. Cause: nothing read the operators' record.
-//! Proof: the first test, with nothing but the record written.
+//! Guards against: requests sent to an evacuated zone.
 
 use {
     anyhow::Result,
@@ -13,63 +11,63 @@
     serde_json::json,
 };
 
-/// the zone of the entry and of the first copy, which is preferred
-const EVACUATION: &str = "op/evacuate/z";
+/// Key of the evacuation record of the zone that the entry and the first replica are in.
+const EVACUATION_KEY: &str = "op/evacuate/z";
 
-/// two copies of a plain service, the second in another zone
+/// Starts a plain service with two replicas, the second in another zone.
 async fn start() -> Result<Fleet> {
     let fleet = Fleet::start(FleetSettings {
         plain: 2,
         ..FleetSettings::default()
     })
     .await?;
-    let row = json!({
+    let record = json!({
         "Service": "plain", "Address": fleet.plain[1].addr, "Zone": "y", "Version": "v1",
         "Slots": 8, "State": "ready", "ColdLeftMs": 0, "Seq": 1, "Models": [],
         "born": fleet.plain[1].state().start_time_ms,
     });
-    fleet.store.put("servers/p-1", row);
+    fleet.store.put("servers/p-1", record);
     Ok(fleet)
 }
 
-/// requests of a few that ran in the zone; all are served
-async fn ran_there(fleet: &Fleet) -> Result<usize> {
+/// Sends a few requests, all of which must be served, and returns how many ran in the zone.
+async fn runs_in_zone(fleet: &Fleet) -> Result<usize> {
     let before = fleet.plain[0].runs().len();
     for _ in 0..6 {
-        let safe = ClientRequest {
+        let safe_request = ClientRequest {
             target: "/safe/".to_string(),
             ..ClientRequest::default()
         };
-        assert_eq!(request(fleet.clients, &safe).await?.status, 200);
+        assert_eq!(request(fleet.clients, &safe_request).await?.status, 200);
     }
     Ok(fleet.plain[0].runs().len() - before)
 }
 
-async fn until_used(fleet: &Fleet, is_used: bool) {
-    until_async("the zone is used as asked", || async {
-        ran_there(fleet).await.is_ok_and(|n| (n > 0) == is_used)
+async fn wait_until_zone_used(fleet: &Fleet, is_used: bool) {
+    until_async("the zone is used or unused as expected", || async {
+        runs_in_zone(fleet).await.is_ok_and(|n| (n > 0) == is_used)
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_zone_that_is_to_be_emptied_gets_nothing_until_that_is_taken_back() -> Result<()> {
+async fn an_evacuated_zone_receives_no_requests_until_the_evacuation_is_withdrawn() -> Result<()> {
     let mut fleet = start().await?;
-    until_used(&fleet, true).await;
-    fleet.store.put(EVACUATION, json!({}));
-    until_used(&fleet, false).await;
+    wait_until_zone_used(&fleet, true).await;
+    fleet.store.put(EVACUATION_KEY, json!({}));
+    wait_until_zone_used(&fleet, false).await;
     for _ in 0..3 {
-        assert_eq!(ran_there(&fleet).await?, 0);
+        assert_eq!(runs_in_zone(&fleet).await?, 0);
     }
-    // an entry that begins meanwhile reads it with all else
+    // an entry that starts meanwhile reads the record
     fleet.ingress.kill()?;
     fleet.restart_ingress()?;
     fleet.wait_ready().await;
-    assert_eq!(ran_there(&fleet).await?, 0);
-    fleet.store.delete(EVACUATION);
-    until_used(&fleet, true).await;
-    // and it may be asked for again
-    fleet.store.put(EVACUATION, json!({}));
-    until_used(&fleet, false).await;
+    assert_eq!(runs_in_zone(&fleet).await?, 0);
+    fleet.store.delete(EVACUATION_KEY);
+    wait_until_zone_used(&fleet, true).await;
+    // a second evacuation works as well
+    fleet.store.put(EVACUATION_KEY, json!({}));
+    wait_until_zone_used(&fleet, false).await;
     Ok(())
 }
