--- a/testkit/tests/ingress_answers.rs
+++ b/testkit/tests/ingress_answers.rs
@@ -1,5 +1,5 @@
-//! what clients of the ingress get, and what back ends see, over real
-//! processes; each case causes one fault of a back end
+//! Responses that clients of the ingress receive and requests that back ends receive, over real
+//! processes with one back-end fault per case.
 
 use {
     anyhow::Result,
@@ -13,9 +13,9 @@
     std::time::Duration,
 };
 
-const WHOLE: &[u8] = b"the whole answer";
+const BACKEND_BODY: &[u8] = b"the whole answer";
 
-fn to(target: &str, id: &str) -> ClientRequest {
+fn request_to(target: &str, id: &str) -> ClientRequest {
     ClientRequest {
         target: target.to_string(),
         id: id.to_string(),
@@ -24,7 +24,8 @@
 }
 
 #[tokio::test]
-async fn a_request_reaches_its_back_end_unchanged_and_its_answer_comes_back_whole() -> Result<()> {
+async fn a_request_reaches_its_back_end_unchanged_and_its_response_returns_complete() -> Result<()>
+{
     let fleet = Fleet::start(FleetSettings::default()).await?;
     let sent = ClientRequest {
         headers: vec![
@@ -33,12 +34,15 @@
             ("X-Hop".to_string(), "dropped".to_string()),
         ],
         body: b"a body".to_vec(),
-        ..to("/unsafe/a%2Fb/../c?q=1&q=2", "r1")
+        ..request_to("/unsafe/a%2Fb/../c?q=1&q=2", "r1")
     };
-    let answer = request(fleet.clients, &sent).await?;
-    assert_eq!((answer.status, answer.body.as_slice()), (200, WHOLE));
-    assert!(answer.is_complete);
-    assert_eq!(answer.head.get("chalkcart-response-stamp"), Some("stamp"));
+    let response = request(fleet.clients, &sent).await?;
+    assert_eq!(
+        (response.status, response.body.as_slice()),
+        (200, BACKEND_BODY)
+    );
+    assert!(response.is_complete);
+    assert_eq!(response.head.get("chalkcart-response-stamp"), Some("stamp"));
     let runs = fleet.plain[0].runs();
     assert_eq!(runs.len(), 1);
     let run = &runs[0];
@@ -58,17 +62,19 @@
             .map(String::as_str),
         Some("p-0")
     );
-    let left: u64 = run.headers["chalkcart-deadline-ms"].parse()?;
-    assert!(left <= 8_000, "{left}: no more than the route allows");
+    let time_left_ms: u64 = run.headers["chalkcart-deadline-ms"].parse()?;
+    assert!(
+        time_left_ms <= 8_000,
+        "{time_left_ms}: more than the timeout of the route"
+    );
     Ok(())
 }
 
-/// one fault of one back end of two: what a client gets, and how often the
-/// request runs
+/// One fault of one of two back ends: the status for the client and the number of runs.
 #[tokio::test]
-async fn faults_of_a_back_end() -> Result<()> {
+async fn each_back_end_fault_gives_the_expected_status_and_runs() -> Result<()> {
     let cases: &[(&str, BackendFault, u16, usize)] = &[
-        // it may be repeated once, at the other back end
+        // retried once at the other back end
         ("/safe/", BackendFault::CloseBeforeResponse, 200, 2),
         ("/safe/", BackendFault::TruncateBody, 200, 2),
         ("/safe/", BackendFault::InvalidBytes, 200, 2),
@@ -81,7 +87,7 @@
         ("/safe/", BackendFault::ExtraResponse, 200, 1),
         ("/safe/", BackendFault::LateExtraResponse, 200, 1),
         ("/safe/", BackendFault::Overloaded, 200, 1),
-        // it runs at most once, and nothing says that it did not run
+        // may have run: not retried
         ("/unsafe/", BackendFault::CloseBeforeResponse, 502, 1),
         ("/unsafe/", BackendFault::TruncateBody, 502, 1),
         ("/unsafe/", BackendFault::InvalidBytes, 502, 1),
@@ -90,13 +96,13 @@
         ("/unsafe/", BackendFault::EncodeBody, 502, 1),
         ("/unsafe/", BackendFault::Status(503), 502, 1),
         ("/unsafe/", BackendFault::Status(429), 502, 1),
-        // a failure of its own goes back as it is
+        // an error status of the back end is passed on unchanged
         ("/unsafe/", BackendFault::Status(500), 500, 1),
         ("/unsafe/", BackendFault::Status(504), 504, 1),
         ("/unsafe/", BackendFault::DelimitBodyByClose, 200, 1),
         ("/unsafe/", BackendFault::ExtraResponse, 200, 1),
         ("/unsafe/", BackendFault::LateExtraResponse, 200, 1),
-        // proof that it did not run
+        // proved not to have run: retried
         ("/unsafe/", BackendFault::Overloaded, 200, 1),
     ];
     for (number, (route, fault, status, runs)) in cases.iter().enumerate() {
@@ -105,15 +111,15 @@
             ..FleetSettings::default()
         })
         .await?;
-        // of equal back ends the one with the lowest id is asked first
+        // among equal back ends the one with the lowest id is tried first
         let id = format!("r{number}");
         fleet.plain[0].set_fault(*fault, 1);
-        let answer = request(fleet.clients, &to(route, &id)).await?;
+        let response = request(fleet.clients, &request_to(route, &id)).await?;
         let name = format!("{route} {fault:?}");
-        assert_eq!(answer.status, *status, "{name}");
-        assert!(answer.is_complete, "{name}");
-        if answer.status == 200 {
-            assert_eq!(answer.body, WHOLE, "{name}");
+        assert_eq!(response.status, *status, "{name}");
+        assert!(response.is_complete, "{name}");
+        if response.status == 200 {
+            assert_eq!(response.body, BACKEND_BODY, "{name}");
         }
         let all = fleet.plain.iter().flat_map(|b| b.runs());
         let of_request = all.filter(|run| run.request == id).count();
@@ -123,16 +129,16 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_over_its_time_gets_504_and_its_back_end_is_freed() -> Result<()> {
+async fn a_request_past_its_deadline_gets_504_and_releases_its_back_end() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
         timeout_ms: 300,
         ..FleetSettings::default()
     })
     .await?;
     fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
-    let answer = request(fleet.clients, &to("/unsafe/", "r1")).await?;
-    assert_eq!(answer.status, 504);
-    until("the back end is freed", || {
+    let response = request(fleet.clients, &request_to("/unsafe/", "r1")).await?;
+    assert_eq!(response.status, 504);
+    until("the back end is released", || {
         fleet.plain[0].runs()[0].client_disconnected
     })
     .await;
@@ -140,58 +146,58 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_frees_its_back_end() -> Result<()> {
+async fn a_client_disconnect_releases_its_back_end() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
     fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
     let waiting = tokio::spawn({
         let clients = fleet.clients;
-        async move { request(clients, &to("/unsafe/", "r1")).await }
+        async move { request(clients, &request_to("/unsafe/", "r1")).await }
     });
     until("it runs", || fleet.plain[0].runs().len() == 1).await;
     waiting.abort();
-    until("the back end is freed", || {
+    until("the back end is released", || {
         fleet.plain[0].runs()[0].client_disconnected
     })
     .await;
     Ok(())
 }
 
-/// heads and bodies that must go no further
+/// Invalid heads and bodies are rejected by the ingress.
 #[tokio::test]
-async fn bad_input_is_answered_and_nothing_is_sent_on() -> Result<()> {
+async fn invalid_requests_are_rejected_and_not_forwarded() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
     let no_host = ClientRequest {
         host: "unknown.example".to_string(),
-        ..to("/safe/", "r1")
+        ..request_to("/safe/", "r1")
     };
     let too_large = ClientRequest {
         body: vec![b'x'; 5_000],
-        ..to("/unsafe/", "r2")
+        ..request_to("/unsafe/", "r2")
     };
     let long_head = ClientRequest {
         headers: vec![("X-Long".to_string(), "x".repeat(20_000))],
-        ..to("/safe/", "r3")
+        ..request_to("/safe/", "r3")
     };
     let bad_deadline = ClientRequest {
         headers: vec![("Chalkcart-Deadline-Ms".to_string(), "soon".to_string())],
-        ..to("/safe/", "r4")
+        ..request_to("/safe/", "r4")
     };
     let bad_head = ClientRequest {
         headers: vec![("bad name".to_string(), "x".to_string())],
-        ..to("/safe/", "r5")
+        ..request_to("/safe/", "r5")
     };
     let cases = [
         ("unknown host", no_host, 404),
-        ("unknown path", to("/none/", "r6"), 404),
+        ("unknown path", request_to("/none/", "r6"), 404),
         ("body over the limit", too_large, 413),
         ("head over the limit", long_head, 431),
         ("malformed head", bad_head, 400),
     ];
     for (name, sent, status) in cases {
-        let answer = request(fleet.clients, &sent).await?;
-        assert_eq!(answer.status, status, "{name}");
+        let response = request(fleet.clients, &sent).await?;
+        assert_eq!(response.status, status, "{name}");
     }
-    // the first of two values counts, and it is good
+    // the first of two deadline headers counts, and it is valid
     assert_eq!(request(fleet.clients, &bad_deadline).await?.status, 200);
     let runs = fleet.plain[0].runs();
     let ids: Vec<&str> = runs.iter().map(|run| run.request.as_str()).collect();
@@ -200,7 +206,7 @@
 }
 
 #[tokio::test]
-async fn before_any_configuration_each_path_gets_503_with_a_time_to_come_back() -> Result<()> {
+async fn without_a_configuration_each_path_gets_503_with_retry_after() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
         publish_config: false,
         ..FleetSettings::default()
@@ -208,22 +214,26 @@
     .await?;
     until("it serves", || fleet.log().contains("serves on")).await;
     assert!(!fleet.is_ready().await);
-    let answer = request(fleet.clients, &to("/none/", "r1")).await?;
-    assert_eq!(answer.status, 503);
-    assert!(answer.head.get("retry-after").is_some());
+    let response = request(fleet.clients, &request_to("/none/", "r1")).await?;
+    assert_eq!(response.status, 503);
+    assert!(response.head.get("retry-after").is_some());
     Ok(())
 }
 
 #[tokio::test]
-async fn no_back_end_means_an_early_refusal_that_says_when_to_come_back() -> Result<()> {
+async fn without_a_back_end_a_request_is_rejected_early_with_retry_after() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
         plain: 0,
         ..FleetSettings::default()
     })
     .await?;
-    let answer = request(fleet.clients, &to("/unsafe/", "r1")).await?;
-    assert_eq!(answer.status, 503);
-    let after: f64 = answer.head.get("retry-after").unwrap_or_default().parse()?;
+    let response = request(fleet.clients, &request_to("/unsafe/", "r1")).await?;
+    assert_eq!(response.status, 503);
+    let after: f64 = response
+        .head
+        .get("retry-after")
+        .unwrap_or_default()
+        .parse()?;
     assert!(after > 0.0);
     until("the cause is logged", || {
         fleet.log().contains("\"cause\":\"no_backend\"")
@@ -233,14 +243,14 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_lets_requests_end_and_takes_no_new_clients() -> Result<()> {
+async fn a_planned_stop_completes_requests_and_accepts_no_new_clients() -> Result<()> {
     let mut fleet = Fleet::start(FleetSettings::default()).await?;
     fleet.plain[0].set_fault(BackendFault::Unresponsive, 1);
     let clients = fleet.clients;
     let running = tokio::spawn(async move {
         let sent = ClientRequest {
             deadline_ms: 1_500,
-            ..to("/unsafe/", "r1")
+            ..request_to("/unsafe/", "r1")
         };
         request(clients, &sent).await
     });
@@ -248,19 +258,23 @@
     fleet.ingress.terminate()?;
     until("it drains", || fleet.log().contains("drains after SIGTERM")).await;
     assert!(!fleet.is_ready().await);
-    let during = request(fleet.clients, &to("/unsafe/", "r2")).await?;
-    assert_eq!(during.status, 200, "connections on their way are served");
+    let during = request(fleet.clients, &request_to("/unsafe/", "r2")).await?;
+    assert_eq!(during.status, 200, "open connections are served");
     assert_eq!(during.head.get("connection"), Some("close"));
-    assert_eq!(running.await??.status, 504, "its own end, not a cut");
+    assert_eq!(
+        running.await??.status,
+        504,
+        "ended by its deadline, not cut off"
+    );
     let status = fleet.ingress.wait(Duration::from_secs(30)).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn each_decision_about_a_request_is_in_the_log_with_its_id() -> Result<()> {
+async fn each_decision_about_a_request_is_logged_with_its_id() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    request(fleet.clients, &to("/unsafe/", "r-in-log")).await?;
+    request(fleet.clients, &request_to("/unsafe/", "r-in-log")).await?;
     until("the lines are written", || {
         let log = fleet.log();
         let lines = log.lines().filter(|line| line.contains("r-in-log"));
@@ -276,11 +290,10 @@
     Ok(())
 }
 
-/// clients that press on one small back end, patient ones and those that come
-/// back at once: each try gets one final answer, and nothing runs twice or
-/// after a refusal
+/// Clients overload one small back end, with and without honoring `Retry-After`: each attempt
+/// gets one response, no request runs twice, and no rejected request runs.
 #[tokio::test]
-async fn under_pressure_each_refusal_is_true_and_nothing_runs_twice() -> Result<()> {
+async fn under_overload_no_rejected_request_runs_and_none_runs_twice() -> Result<()> {
     for honors_retry_after in [true, false] {
         let fleet = Fleet::start(FleetSettings::default()).await?;
         {
@@ -288,24 +301,25 @@
             state.slots = 2;
             state.delay = Duration::from_millis(40);
         }
-        let how = RetryingClients {
+        let load = RetryingClients {
             requests: 60,
             gap: Duration::from_millis(5),
             retries: 2,
             honors_retry_after,
         };
-        let histories = send_with_retries(fleet.clients, &to("/unsafe/", "p"), &how).await?;
+        let histories =
+            send_with_retries(fleet.clients, &request_to("/unsafe/", "p"), &load).await?;
         let runs = fleet.plain[0].runs();
         let ran = |id: &str| runs.iter().filter(|run| run.request == id).count();
         for history in &histories {
-            for (id, answer) in history.request_ids.iter().zip(&history.responses) {
-                let expected = match answer.status {
+            for (id, response) in history.request_ids.iter().zip(&history.responses) {
+                let expected = match response.status {
                     200 => 1,
                     503 => 0,
-                    other => panic!("{id}: {other}"),
+                    status => panic!("{id}: {status}"),
                 };
                 assert_eq!(ran(id), expected, "{id}");
-                assert!(answer.status == 200 || answer.head.get("retry-after").is_some());
+                assert!(response.status == 200 || response.head.get("retry-after").is_some());
             }
         }
         let served = histories
--- a/testkit/tests/ingress_edge.rs
+++ b/testkit/tests/ingress_edge.rs
@@ -1,4 +1,4 @@
-//! what of a client's head reaches a back end, over real processes
+//! Client headers that reach a back end, over real processes.
 
 use {
     anyhow::Result,
@@ -9,8 +9,8 @@
 
 const SEED: u64 = 18;
 const REQUESTS: usize = 60;
-/// headers that only the system or a back end sets
-const OURS: &[&str] = &[
+/// Headers that only the system or a back end may set.
+const RESERVED: &[&str] = &[
     "Chalkcart-Hold",
     "Chalkcart-Pin-Ms",
     "Chalkcart-Kv-Backup",
@@ -23,24 +23,24 @@
     "Chalkcart-Response-Stamp",
     "Chalkcart-Of-Tomorrow",
 ];
-/// headers of the platform's that a client sets and back ends must get as sent
-const PROTECTED: &[&str] = &[
+/// Headers that a client sets and back ends must receive unchanged.
+const END_TO_END: &[&str] = &[
     "Chalkcart-Model",
     "Chalkcart-Token-Usage",
     "Chalkcart-Prefix-Hash",
 ];
-/// what the system itself puts on a send
-const SET_BY_US: &[&str] = &["chalkcart-expect-instance", "chalkcart-request-urgency"];
-const PLANTED: &str = "planted";
+/// Reserved headers that the ingress adds to a request.
+const SET_BY_INGRESS: &[&str] = &["chalkcart-expect-instance", "chalkcart-request-urgency"];
+const FORGED: &str = "planted";
 
 fn random_request(rng: &mut StdRng, number: usize) -> ClientRequest {
     let mut headers = vec![("X-Own".to_string(), format!("{:x}", rng.random::<u64>()))];
-    for name in OURS {
+    for name in RESERVED {
         if rng.random_bool(0.4) {
-            headers.push((name.to_string(), PLANTED.to_string()));
+            headers.push((name.to_string(), FORGED.to_string()));
         }
     }
-    for name in PROTECTED {
+    for name in END_TO_END {
         if rng.random_bool(0.7) {
             let value = match *name {
                 "Chalkcart-Model" => "m".to_string(),
@@ -51,9 +51,9 @@
         }
     }
     if rng.random_bool(0.3) {
-        let named = PROTECTED.choose(rng).expect("a name");
-        headers.push(("Connection".to_string(), format!("X-Hop, {named}")));
-        headers.push(("X-Hop".to_string(), PLANTED.to_string()));
+        let listed = END_TO_END.choose(rng).expect("a name");
+        headers.push(("Connection".to_string(), format!("X-Hop, {listed}")));
+        headers.push(("X-Hop".to_string(), FORGED.to_string()));
     }
     let route = ["safe", "unsafe", "stream"].choose(rng).expect("a route");
     let len = rng.random_range(0..200);
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn the_clients_head_arrives_and_nothing_of_ours_comes_from_a_client() -> Result<()> {
+async fn client_headers_arrive_unchanged_and_reserved_ones_are_removed() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
         engines: 1,
         ..FleetSettings::default()
@@ -82,30 +82,35 @@
     let mut rng = StdRng::seed_from_u64(SEED);
     for number in 0..REQUESTS {
         let sent = random_request(&mut rng, number);
-        let answer = request(fleet.clients, &sent).await?;
-        assert_eq!(answer.status, 200, "{sent:?}");
+        let response = request(fleet.clients, &sent).await?;
+        assert_eq!(response.status, 200, "{sent:?}");
         let backends = fleet.plain.iter().chain(&fleet.engines);
         let mut runs = backends.flat_map(|b| b.runs());
         let run = runs.find(|run| run.request == sent.id).expect("a run");
         assert_eq!(run.method, sent.method);
         assert_eq!((&run.target, &run.body), (&sent.target, &sent.body));
-        let of_client: HashMap<String, &String> = sent
+        let sent_headers: HashMap<String, &String> = sent
             .headers
             .iter()
             .map(|(name, value)| (name.to_lowercase(), value))
             .collect();
-        for name in PROTECTED.iter().chain(&["X-Own"]) {
+        for name in END_TO_END.iter().chain(&["X-Own"]) {
             let name = name.to_lowercase();
             assert_eq!(
                 run.headers.get(&name),
-                of_client.get(&name).copied(),
+                sent_headers.get(&name).copied(),
                 "{sent:?}"
             );
         }
         for (name, value) in &run.headers {
-            assert_ne!(value, PLANTED, "{name} of {sent:?}");
-            let is_ours = OURS.iter().any(|ours| ours.eq_ignore_ascii_case(name));
-            assert!(!is_ours || SET_BY_US.contains(&name.as_str()), "{name}");
+            assert_ne!(value, FORGED, "{name} of {sent:?}");
+            let is_reserved = RESERVED
+                .iter()
+                .any(|reserved| reserved.eq_ignore_ascii_case(name));
+            assert!(
+                !is_reserved || SET_BY_INGRESS.contains(&name.as_str()),
+                "{name}"
+            );
         }
     }
     Ok(())
--- a/testkit/tests/ingress_engines.rs
+++ b/testkit/tests/ingress_engines.rs
@@ -1,4 +1,4 @@
-//! adapters, their sidecars and streams, over real processes
+//! Adapters, sidecars of engines, and streams, over real processes.
 
 use {
     anyhow::Result,
@@ -28,26 +28,26 @@
 #[tokio::test]
 async fn an_adapter_is_loaded_for_the_request_that_waits_for_it() -> Result<()> {
     let fleet = start(2).await?;
-    let answer = serve_prompt(&fleet, "a", "r1").await?;
-    assert_eq!(answer.status, 200);
-    assert!(answer.is_complete);
-    let text = String::from_utf8_lossy(&answer.body).to_string();
-    for part in 0..3 {
-        assert!(text.contains(&format!("id: {part}\n")), "{text}");
+    let response = serve_prompt(&fleet, "a", "r1").await?;
+    assert_eq!(response.status, 200);
+    assert!(response.is_complete);
+    let text = String::from_utf8_lossy(&response.body).to_string();
+    for index in 0..3 {
+        assert!(text.contains(&format!("id: {index}\n")), "{text}");
     }
     assert_eq!(engine_runs(&fleet, "r1"), 1);
     let loads: Vec<_> = fleet.engines.iter().flat_map(|e| e.orders()).collect();
-    assert_eq!(loads.len(), 1, "one home: {loads:?}");
+    assert_eq!(loads.len(), 1, "loaded on more than one engine: {loads:?}");
     Ok(())
 }
 
 #[tokio::test]
-async fn places_are_never_exceeded_and_one_holder_orders_each_engine() -> Result<()> {
+async fn adapter_slots_are_never_exceeded_and_one_holder_orders_each_engine() -> Result<()> {
     let fleet = start(2).await?;
     let adapters: Vec<String> = (0..9).map(|n| format!("a{n}")).collect();
-    let asked = adapters.iter().map(|a| serve_prompt(&fleet, a, a));
-    for answer in join_all(asked).await {
-        assert_eq!(answer?.status, 200);
+    let requests = adapters.iter().map(|a| serve_prompt(&fleet, a, a));
+    for response in join_all(requests).await {
+        assert_eq!(response?.status, 200);
     }
     for engine in &fleet.engines {
         assert!(engine.state().orders.max_adapters <= 2);
@@ -59,27 +59,27 @@
 }
 
 #[tokio::test]
-async fn a_sidecar_that_starts_again_orders_with_a_higher_fence() -> Result<()> {
+async fn a_restarted_sidecar_uses_a_higher_fence() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.sidecars[0].kill()?;
-    // a clock that went back: the engine has seen a higher fence since
-    let ahead = fleet.engines[0].state().orders.highest_fence + 3_600_000;
-    fleet.engines[0].state().orders.highest_fence = ahead;
+    // as after a clock that went back: the engine has seen a higher fence
+    let higher_fence = fleet.engines[0].state().orders.highest_fence + 3_600_000;
+    fleet.engines[0].state().orders.highest_fence = higher_fence;
     fleet.sidecars[0] = fleet.start_sidecar(0)?;
     until_async("it is served again", || async {
-        let answer = request(fleet.clients, &prompt("b", "r2")).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = request(fleet.clients, &prompt("b", "r2")).await;
+        response.is_ok_and(|response| response.status == 200)
     })
     .await;
     let fences: Vec<u64> = fleet.engines[0].orders().iter().map(|o| o.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
-    assert!(fences.last() >= Some(&ahead));
+    assert!(fences.last() >= Some(&higher_fence));
     Ok(())
 }
 
 #[tokio::test]
-async fn what_an_engine_holds_is_served_while_its_sidecar_is_away() -> Result<()> {
+async fn loaded_adapters_are_served_while_the_sidecar_is_down() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.store.put(
@@ -89,23 +89,26 @@
     );
     fleet.sidecars[0].kill()?;
     let orders = fleet.engines[0].orders().len();
-    until("the sidecar is missed", || fleet.log().contains("lost")).await;
+    until("the loss of the sidecar is logged", || {
+        fleet.log().contains("lost")
+    })
+    .await;
     assert_eq!(serve_prompt(&fleet, "a", "r2").await?.status, 200);
     assert_eq!(
         fleet.engines[0].orders().len(),
         orders,
-        "nobody else orders"
+        "an order was sent without the sidecar"
     );
     Ok(())
 }
 
 #[tokio::test]
-async fn an_engine_that_came_back_empty_is_used_before_the_list_has_it() -> Result<()> {
+async fn a_restarted_engine_is_used_before_the_list_has_its_new_id() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].restart_with_id("e-0-later");
-    let answer = serve_prompt(&fleet, "b", "r2").await?;
-    assert_eq!(answer.status, 200);
+    let response = serve_prompt(&fleet, "b", "r2").await?;
+    assert_eq!(response.status, 200);
     let runs = fleet.engines[0].runs();
     let run = runs.iter().find(|run| run.request == "r2").expect("a run");
     assert_eq!(run.headers["chalkcart-expect-instance"], "e-0-later");
@@ -113,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn a_newer_version_replaces_the_adapter_and_requests_name_it() -> Result<()> {
+async fn a_newer_version_replaces_the_adapter_and_requests_expect_it() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0]
@@ -125,7 +128,7 @@
         "op/version/m.a",
         json!({"Model": "m", "Adapter": "a", "Version": 2}),
     );
-    until("it is replaced", || {
+    until("the version is replaced", || {
         let mut state = fleet.engines[0].state();
         state.orders.complete_loads(std::time::Instant::now());
         state.orders.held.get("a") == Some(&2)
@@ -142,25 +145,25 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_never_looks_complete_nor_runs_again() -> Result<()> {
+async fn a_truncated_stream_is_not_complete_and_not_run_again() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].set_fault(BackendFault::TruncateBody, 1);
-    let answer = request(fleet.clients, &prompt("a", "r2")).await?;
-    assert_eq!(answer.status, 200);
-    assert!(!answer.is_complete);
+    let response = request(fleet.clients, &prompt("a", "r2")).await?;
+    assert_eq!(response.status, 200);
+    assert!(!response.is_complete);
     assert_eq!(engine_runs(&fleet, "r2"), 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_its_stream_frees_the_engine() -> Result<()> {
+async fn a_client_disconnect_from_a_stream_releases_the_engine() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].state().event_count = 1_000;
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     drop(stream);
-    until("the engine is freed", || {
+    until("the engine is released", || {
         let runs = fleet.engines[0].runs();
         runs.iter()
             .any(|run| run.request == "r2" && run.client_disconnected)
@@ -170,21 +173,21 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_stream() -> Result<()> {
+async fn a_planned_stop_interrupts_no_stream() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].state().event_count = 200;
     let stream = open_stream(fleet.clients, &prompt("a", "r2")).await?;
     fleet.ingress.terminate()?;
-    let answer = stream.finish().await?;
-    assert!(answer.is_complete, "{} bytes", answer.body.len());
+    let response = stream.finish().await?;
+    assert!(response.is_complete, "{} bytes", response.body.len());
     let status = fleet.ingress.wait(Duration::from_secs(30)).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_killed_sidecar_breaks_no_stream() -> Result<()> {
+async fn a_killed_sidecar_interrupts_no_stream() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].state().event_count = 100;
@@ -195,24 +198,24 @@
 }
 
 #[tokio::test]
-async fn a_flood_of_messages_does_not_keep_a_sidecar_from_its_engine() -> Result<()> {
+async fn a_flood_of_messages_does_not_stop_a_sidecar_from_loading() -> Result<()> {
     let fleet = start(1).await?;
-    // one adapter after the other: each needs a report that the former is there
+    // each load needs a report that the previous adapter is present
     let adapters: Vec<String> = (0..6).map(|n| format!("a{n}")).collect();
-    let waits = adapters.iter().map(|a| serve_prompt(&fleet, a, a));
+    let requests = adapters.iter().map(|a| serve_prompt(&fleet, a, a));
     let flood = flood(&fleet);
     tokio::select! {
         () = flood => unreachable!("the flood does not end"),
-        answers = join_all(waits) => {
-            for answer in answers {
-                assert_eq!(answer?.status, 200);
+        responses = join_all(requests) => {
+            for response in responses {
+                assert_eq!(response?.status, 200);
             }
         }
     }
     Ok(())
 }
 
-/// demands of another entry, one right after the other
+/// Sends demands of another entry in a tight loop.
 async fn flood(fleet: &Fleet) {
     let peers = PeerClient::new();
     let demand = AdapterDemand {
@@ -236,22 +239,22 @@
                 Duration::from_secs(5),
             )
             .await;
-        // a sidecar that does not keep up is what the test looks for
+        // calls may fail while the sidecar is overloaded
         let _ = sent;
     }
 }
 
 #[tokio::test]
-async fn a_client_takes_up_its_stream_where_it_broke_off() -> Result<()> {
+async fn a_client_resumes_its_stream_after_the_last_event_id() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    let resumed = ClientRequest {
+    let resumed_request = ClientRequest {
         headers: vec![("Last-Event-Id".to_string(), "0".to_string())],
         ..prompt("a", "r2")
     };
-    let answer = request(fleet.clients, &resumed).await?;
-    let text = String::from_utf8_lossy(&answer.body).to_string();
-    assert!(answer.is_complete && !text.contains("id: 0\n"), "{text}");
+    let response = request(fleet.clients, &resumed_request).await?;
+    let text = String::from_utf8_lossy(&response.body).to_string();
+    assert!(response.is_complete && !text.contains("id: 0\n"), "{text}");
     assert!(
         text.contains("id: 1\n") && text.contains("id: 2\n"),
         "{text}"
@@ -260,14 +263,14 @@
 }
 
 #[tokio::test]
-async fn streams_of_a_full_batch_are_slower_and_all_whole() -> Result<()> {
+async fn streams_of_a_full_batch_are_all_complete() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     fleet.engines[0].state().event_interval_per_run = Duration::from_millis(2);
     let ids: Vec<String> = (0..8).map(|n| format!("batch-{n}")).collect();
-    for answer in join_all(ids.iter().map(|id| serve_prompt(&fleet, "a", id))).await {
-        let answer = answer?;
-        assert!(answer.status == 200 && answer.is_complete);
+    for response in join_all(ids.iter().map(|id| serve_prompt(&fleet, "a", id))).await {
+        let response = response?;
+        assert!(response.status == 200 && response.is_complete);
     }
     for id in &ids {
         assert_eq!(engine_runs(&fleet, id), 1);
@@ -275,18 +278,18 @@
     Ok(())
 }
 
-/// clients that keep their connections hold up no planned stop
+/// Idle client connections must not delay a planned stop.
 #[tokio::test]
 async fn a_planned_stop_ends_with_its_last_request() -> Result<()> {
     let mut fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
-    let unused = TcpStream::connect(fleet.clients).await?;
-    let after_answer = ClientRequest {
+    let idle_connection = TcpStream::connect(fleet.clients).await?;
+    let after_response = ClientRequest {
         target: "/unsafe/".to_string(),
         id: "r2".to_string(),
         ..ClientRequest::default()
     };
-    let after_answer = open_stream(fleet.clients, &after_answer).await?;
+    let after_response = open_stream(fleet.clients, &after_response).await?;
     let after_stream = open_stream(fleet.clients, &prompt("a", "r3")).await?;
     until("the stream has ended", || {
         let log = fleet.log();
@@ -298,6 +301,6 @@
     let status = fleet.ingress.wait(Duration::from_secs(30)).await?;
     assert_eq!(status.code(), Some(0));
     assert!(!fleet.log().contains("requests still run"));
-    drop((unused, after_answer, after_stream));
+    drop((idle_connection, after_response, after_stream));
     Ok(())
 }
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -1,4 +1,4 @@
-//! keys, client accounts and their limits, over real processes
+//! API keys, client accounts and their limits, over real processes.
 
 use {
     anyhow::Result,
@@ -17,7 +17,7 @@
 const KEY: &str = "key-of-acme-5c1e07a2";
 const SECOND_KEY: &str = "second-key-of-acme-91bd3f06";
 const OTHER_KEY: &str = "key-of-bolt-e4402b7d";
-/// how long a configuration may be relied on in these tests, in ms
+/// Maximum age of a configuration that keys are checked against, in ms.
 const REVOKE_MS: u64 = 4_000;
 
 fn accounts() -> Value {
@@ -48,7 +48,7 @@
     Ok(fleet)
 }
 
-/// publish accounts; the route `/public/` needs no key
+/// Publishes accounts and a route `/public/` that needs no key.
 fn configure(fleet: &mut Fleet, accounts: Value) {
     fleet.configure(|document| {
         let mut public = document["Routes"][0].clone();
@@ -63,7 +63,7 @@
     });
 }
 
-fn asking(path: &str, id: &str, headers: &[(&str, &str)]) -> ClientRequest {
+fn request_to(path: &str, id: &str, headers: &[(&str, &str)]) -> ClientRequest {
     let headers = headers.iter();
     let headers = headers.map(|(name, value)| (name.to_string(), value.to_string()));
     ClientRequest {
@@ -74,12 +74,12 @@
     }
 }
 
-async fn ask(fleet: &Fleet, path: &str, id: &str, key: &str) -> Result<ClientResponse> {
-    request(fleet.clients, &asking(path, id, &[("Api-Key", key)])).await
+async fn send_with_key(fleet: &Fleet, path: &str, id: &str, key: &str) -> Result<ClientResponse> {
+    request(fleet.clients, &request_to(path, id, &[("Api-Key", key)])).await
 }
 
 #[tokio::test]
-async fn a_key_names_its_account_and_goes_no_further() -> Result<()> {
+async fn a_key_selects_its_account_and_is_not_forwarded() -> Result<()> {
     let fleet = start(accounts()).await?;
     let cases = [
         ("/safe/", KEY, Some("acme")),
@@ -91,7 +91,7 @@
     for (number, (path, key, account)) in cases.into_iter().enumerate() {
         let id = format!("r{number}");
         let head = [("Api-Key", key), ("Chalkcart-Tenant", "bolt")];
-        let mut sent = asking(path, &id, &head);
+        let mut sent = request_to(path, &id, &head);
         sent.headers.push((
             "Connection".to_string(),
             "api-key, chalkcart-tenant".to_string(),
@@ -102,16 +102,16 @@
             .flat_map(|b| b.runs())
             .find(|run| run.request == id);
         let run = run.expect("a run");
-        let named = run.headers.get("chalkcart-tenant").map(String::as_str);
-        assert_eq!(named, account, "{path}");
-        let shown = run.headers.values().any(|value| value.contains(key));
-        assert!(!shown, "{path}: {:?}", run.headers);
+        let account_header = run.headers.get("chalkcart-tenant").map(String::as_str);
+        assert_eq!(account_header, account, "{path}");
+        let is_key_forwarded = run.headers.values().any(|value| value.contains(key));
+        assert!(!is_key_forwarded, "{path}: {:?}", run.headers);
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn without_a_known_key_nothing_runs() -> Result<()> {
+async fn requests_without_a_known_key_are_rejected() -> Result<()> {
     let fleet = start(accounts()).await?;
     let upper = KEY.to_uppercase();
     let long = "k".repeat(1_000);
@@ -125,23 +125,23 @@
         &[("Chalkcart-Tenant", "acme")],
     ];
     for head in heads {
-        let answer = request(fleet.clients, &asking("/safe/", "id", head)).await?;
-        assert_eq!(answer.status, 401, "{head:?}");
+        let response = request(fleet.clients, &request_to("/safe/", "id", head)).await?;
+        assert_eq!(response.status, 401, "{head:?}");
     }
     assert!(fleet.plain.iter().all(|plain| plain.runs().is_empty()));
     Ok(())
 }
 
 #[tokio::test]
-async fn no_process_writes_a_key() -> Result<()> {
+async fn no_process_logs_or_exports_a_key() -> Result<()> {
     let fleet = start(accounts()).await?;
-    let wrong = "wrong-key-70";
-    for key in [KEY, OTHER_KEY, wrong] {
+    let unknown_key = "wrong-key-70";
+    for key in [KEY, OTHER_KEY, unknown_key] {
         for path in ["/safe/", "/public/", "/nowhere/"] {
-            ask(&fleet, path, "id", key).await?;
+            send_with_key(&fleet, path, "id", key).await?;
         }
     }
-    until("the answers are logged", || {
+    until("the responses are logged", || {
         fleet.log().contains("unknown key")
     })
     .await;
@@ -158,7 +158,7 @@
     let metrics = String::from_utf8_lossy(&metrics.1).to_string();
     let sidecar = std::fs::read_to_string(fleet.settings_file.with_file_name("side-0.log"))?;
     for text in [fleet.log(), metrics, sidecar] {
-        for key in [KEY, SECOND_KEY, OTHER_KEY, wrong] {
+        for key in [KEY, SECOND_KEY, OTHER_KEY, unknown_key] {
             assert!(!text.contains(key), "{key} in {text}");
         }
     }
@@ -166,98 +166,117 @@
 }
 
 #[tokio::test]
-async fn a_key_that_is_taken_away_or_added_is_so_soon() -> Result<()> {
+async fn revoked_and_added_keys_take_effect_soon() -> Result<()> {
     let mut fleet = start(accounts()).await?;
-    assert_eq!(ask(&fleet, "/safe/", "r1", SECOND_KEY).await?.status, 200);
+    assert_eq!(
+        send_with_key(&fleet, "/safe/", "r1", SECOND_KEY)
+            .await?
+            .status,
+        200
+    );
     configure(
         &mut fleet,
         json!([{"Name": "acme", "ApiKeys": [KEY, "third-key"]}]),
     );
-    until_async("the key is gone", || async {
-        let answer = ask(&fleet, "/safe/", "r2", SECOND_KEY).await;
-        answer.is_ok_and(|answer| answer.status == 401)
+    until_async("the key is revoked", || async {
+        let response = send_with_key(&fleet, "/safe/", "r2", SECOND_KEY).await;
+        response.is_ok_and(|response| response.status == 401)
     })
     .await;
     for key in [KEY, "third-key"] {
-        assert_eq!(ask(&fleet, "/safe/", key, key).await?.status, 200);
+        assert_eq!(send_with_key(&fleet, "/safe/", key, key).await?.status, 200);
     }
     Ok(())
 }
 
-/// a box that does not hear the store can't know that a key was taken away
+/// A box without contact to the store can't know whether a key was revoked.
 #[tokio::test]
-async fn keys_are_refused_while_the_store_is_not_heard_and_served_after() -> Result<()> {
+async fn keys_are_rejected_while_the_store_is_unreachable_and_served_after() -> Result<()> {
     let fleet = start(accounts()).await?;
     fleet.store.set_fault(StoreFault::Status(503));
-    until_async("keys are refused", || async {
-        let answer = ask(&fleet, "/safe/", "r1", KEY).await;
-        answer.is_ok_and(|answer| answer.status == 503)
+    until_async("keys are rejected", || async {
+        let response = send_with_key(&fleet, "/safe/", "r1", KEY).await;
+        response.is_ok_and(|response| response.status == 503)
     })
     .await;
-    // what is not known may be new: nothing is said about it
+    // an unknown key or path may be new, so it isn't rejected for good
     for (path, key) in [("/safe/", "no-such-key"), ("/nowhere/", KEY)] {
-        let answer = ask(&fleet, path, "r2", key).await?;
-        assert_eq!(answer.status, 503, "{path}");
-        assert!(answer.head.get("retry-after").is_some());
+        let response = send_with_key(&fleet, path, "r2", key).await?;
+        assert_eq!(response.status, 503, "{path}");
+        assert!(response.head.get("retry-after").is_some());
     }
-    assert_eq!(ask(&fleet, "/public/", "r3", KEY).await?.status, 200);
-    assert!(!fleet.is_ready().await, "clients are served elsewhere");
+    assert_eq!(
+        send_with_key(&fleet, "/public/", "r3", KEY).await?.status,
+        200
+    );
+    assert!(
+        !fleet.is_ready().await,
+        "an entry with an outdated configuration is not ready"
+    );
     fleet.store.set_fault(StoreFault::None);
     fleet.wait_ready().await;
-    assert_eq!(ask(&fleet, "/safe/", "r4", KEY).await?.status, 200);
+    assert_eq!(
+        send_with_key(&fleet, "/safe/", "r4", KEY).await?.status,
+        200
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn a_configuration_that_cant_be_read_ends_the_use_of_keys() -> Result<()> {
+async fn an_unreadable_configuration_rejects_keys() -> Result<()> {
     let mut fleet = start(accounts()).await?;
     configure(&mut fleet, json!([{"Name": "acme", "RatePerS": -1}]));
-    until_async("keys are refused", || async {
-        let answer = ask(&fleet, "/safe/", "r1", KEY).await;
-        answer.is_ok_and(|answer| answer.status == 503)
+    until_async("keys are rejected", || async {
+        let response = send_with_key(&fleet, "/safe/", "r1", KEY).await;
+        response.is_ok_and(|response| response.status == 503)
     })
     .await;
     configure(&mut fleet, accounts());
     until_async("keys are served", || async {
-        let answer = ask(&fleet, "/safe/", "r2", KEY).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = send_with_key(&fleet, "/safe/", "r2", KEY).await;
+        response.is_ok_and(|response| response.status == 200)
     })
     .await;
     Ok(())
 }
 
-/// 900 tokens at once and 50 a second: the fifth call of 200 comes too soon
+/// With a burst of 900 tokens and 50 tokens per second, the fifth call of 200 is over the limit.
 #[tokio::test]
-async fn an_account_over_its_limit_is_told_when_to_come_back() -> Result<()> {
+async fn an_account_over_its_limit_gets_429_with_retry_after() -> Result<()> {
     let fleet = start(accounts()).await?;
-    let mut refused = None;
+    let mut rejected = None;
     for number in 0..60 {
-        let answer = ask(&fleet, "/unsafe/", &format!("r{number}"), OTHER_KEY).await?;
-        match answer.status {
+        let response = send_with_key(&fleet, "/unsafe/", &format!("r{number}"), OTHER_KEY).await?;
+        match response.status {
             200 => {}
-            429 => refused = Some(answer),
-            other => panic!("{other}"),
+            429 => rejected = Some(response),
+            status => panic!("{status}"),
         }
-        if refused.is_some() {
+        if rejected.is_some() {
             break;
         }
     }
-    let refused = refused.expect("a refusal");
-    let seconds: f64 = refused.head.get("retry-after").expect("a time").parse()?;
+    let rejected = rejected.expect("a rejection");
+    let seconds: f64 = rejected.head.get("retry-after").expect("a time").parse()?;
     assert!(seconds > 0.0, "{seconds}");
-    assert_eq!(ask(&fleet, "/unsafe/", "other", KEY).await?.status, 200);
+    assert_eq!(
+        send_with_key(&fleet, "/unsafe/", "other", KEY)
+            .await?
+            .status,
+        200
+    );
     let runs: usize = fleet.plain.iter().map(|p| p.runs().len()).sum();
     assert!(runs < 60, "{runs}");
-    until("the refusal is logged", || {
+    until("the rejection is logged", || {
         fleet.log().contains("over limit")
     })
     .await;
     Ok(())
 }
 
-/// watches that fall silent without a reset are given up, while new calls work
+/// Watches whose connection goes dead without a reset are replaced by new calls.
 #[tokio::test]
-async fn silent_watches_of_the_store_are_found_out() -> Result<()> {
+async fn dead_store_watches_are_replaced() -> Result<()> {
     let settings = FleetSettings {
         has_store_forwarder: true,
         ..FleetSettings::default()
@@ -269,16 +288,16 @@
         let key = format!("key-of-round-{round}");
         configure(&mut fleet, json!([{"Name": "acme", "ApiKeys": [KEY, key]}]));
         until_async("the new key is known", || async {
-            let answer = ask(&fleet, "/safe/", "r1", &key).await;
-            answer.is_ok_and(|answer| answer.status == 200)
+            let response = send_with_key(&fleet, "/safe/", "r1", &key).await;
+            response.is_ok_and(|response| response.status == 200)
         })
         .await;
-        // and the list: the one plain service leaves and comes back
+        // the list too: the plain service drains and returns
         for (state, status) in [("draining", 503), ("ready", 200)] {
             fleet.publish_plain(0, state);
             until_async("the list is known", || async {
-                let answer = ask(&fleet, "/safe/", "r2", KEY).await;
-                answer.is_ok_and(|answer| answer.status == status)
+                let response = send_with_key(&fleet, "/safe/", "r2", KEY).await;
+                response.is_ok_and(|response| response.status == status)
             })
             .await;
         }
