--- a/testkit/tests/interface_contracts.rs
+++ b/testkit/tests/interface_contracts.rs
@@ -1,5 +1,4 @@
-//! the adapters to engines, plain services and the platform against their
-//! stand-ins, with the fault cases in tables
+//! Contracts of the clients for engines, plain services and the platform, against their stand-ins.
 
 use {
     anyhow::Result,
@@ -27,7 +26,7 @@
 };
 
 const FENCE: u64 = 10;
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn key(number: u32) -> AdapterKey {
     AdapterKey {
@@ -54,7 +53,7 @@
     }
 }
 
-/// an engine of two slots whose fence is taken
+/// Starts an engine with two slots and takes its fence.
 async fn fenced_engine() -> Result<(EngineStandIn, HttpEngine, OrderFence, Arc<WeightStore>)> {
     let store = Arc::new(WeightStore::new(StoreSettings {
         loads_per_second: 1_000.0,
@@ -83,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_obeys_only_the_fence_that_it_holds() -> Result<()> {
+async fn an_engine_accepts_orders_only_with_its_current_fence() -> Result<()> {
     let (_stand_in, engine, order, _store) = fenced_engine().await?;
     let lower = OrderFence {
         fence: FENCE - 1,
@@ -134,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_says_what_it_did_not_do() -> Result<()> {
+async fn an_engine_reports_failed_orders() -> Result<()> {
     let (stand_in, engine, order, store) = fenced_engine().await?;
     store.fail_next(1);
     assert_eq!(
@@ -151,8 +150,8 @@
         result_of(engine.unload(order, &key(3)).await),
         OrderResult::Failed
     );
-    let refused = engine.generate(order, &run(3, "not loaded", 1)).await;
-    assert!(refused.is_err_and(|e| e.proves_not_done()));
+    let rejected = engine.generate(order, &run(3, "not loaded", 1)).await;
+    assert!(rejected.is_err_and(|e| e.proves_not_done()));
     assert_eq!(stand_in.runs("not loaded"), 0);
     let unknown = engine.resume(&"never sent".to_string(), 0).await;
     assert!(matches!(unknown, Err(EngineError::Refused(_))));
@@ -160,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_engine_is_empty_and_refuses_earlier_orders() -> Result<()> {
+async fn a_restarted_engine_is_empty_and_rejects_earlier_orders() -> Result<()> {
     let (stand_in, engine, order, _store) = fenced_engine().await?;
     engine.load(order, &key(1)).await?;
     stand_in.restart();
@@ -179,15 +178,15 @@
     let (_stand_in, engine, order, _store) = fenced_engine().await?;
     engine.load(order, &key(1)).await?;
     let mut events = engine.generate(order, &run(1, "short", 3)).await?;
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     while let Some(event) = events.next().await {
-        seen.push(event?);
+        received.push(event?);
     }
-    let sequences: Vec<u64> = seen.iter().map(|e| e.sequence).collect();
+    let sequences: Vec<u64> = received.iter().map(|e| e.sequence).collect();
     assert_eq!(sequences, [0, 1, 2, 3]);
-    assert!(matches!(seen[3].body, EventBody::Finished(_)));
-    let rest = engine.resume(&"short".to_string(), 2).await?;
-    assert_eq!(rest.count().await, 2);
+    assert!(matches!(received[3].body, EventBody::Finished(_)));
+    let remaining = engine.resume(&"short".to_string(), 2).await?;
+    assert_eq!(remaining.count().await, 2);
     let mut long = engine.generate(order, &run(1, "long", 10_000)).await?;
     long.next().await.expect("a token")?;
     engine.cancel(&"long".to_string()).await?;
@@ -198,27 +197,27 @@
 }
 
 #[tokio::test]
-async fn a_service_is_called_once_and_a_dead_one_proves_that_it_was_not() -> Result<()> {
+async fn a_service_is_called_once_and_an_unreachable_one_proves_no_call() -> Result<()> {
     let stand_in = ServiceStandIn::start(Duration::ZERO).await?;
     let service = HttpService::new(stand_in.addr());
     let body = Bytes::from_static(b"table");
-    let answer = service
-        .call(&"one".to_string(), body.clone(), LIMIT)
+    let response = service
+        .call(&"one".to_string(), body.clone(), TIMEOUT)
         .await?;
-    assert_eq!((answer, stand_in.runs(&body)), (body.clone(), 1));
+    assert_eq!((response, stand_in.runs(&body)), (body.clone(), 1));
     stand_in.set_paused(true);
     let short = Duration::from_millis(50);
-    let late = service.call(&"two".to_string(), body.clone(), short).await;
-    assert!(matches!(late, Err(ServiceError::Client(e)) if !e.proves_not_sent()));
+    let timed_out = service.call(&"two".to_string(), body.clone(), short).await;
+    assert!(matches!(timed_out, Err(ServiceError::Client(e)) if !e.proves_not_sent()));
     assert_eq!(stand_in.runs(&body), 2);
-    let dead = HttpService::new(SocketAddr::from(([127, 0, 0, 1], 1)));
-    let refused = dead.call(&"three".to_string(), body, LIMIT).await;
-    assert!(matches!(refused, Err(ServiceError::Client(e)) if e.proves_not_sent()));
+    let unreachable = HttpService::new(SocketAddr::from(([127, 0, 0, 1], 1)));
+    let rejected = unreachable.call(&"three".to_string(), body, TIMEOUT).await;
+    assert!(matches!(rejected, Err(ServiceError::Client(e)) if e.proves_not_sent()));
     Ok(())
 }
 
 #[tokio::test]
-async fn the_platform_is_read_watched_and_may_be_down_or_stale() -> Result<()> {
+async fn the_platform_is_read_and_watched_and_may_be_down_or_stale() -> Result<()> {
     let first = Documents::new(2)
         .with_group("branches", 1)
         .with_base_model("base")
@@ -238,7 +237,7 @@
         Err(PlatformError::Missing(_))
     ));
     let watch = platform.clone();
-    let watched = tokio::spawn(async move { watch.watch_root(1, LIMIT).await });
+    let watched = tokio::spawn(async move { watch.watch_root(1, TIMEOUT).await });
     let change = Change::SetShare {
         group: "branches".to_string(),
         share: 3,
--- a/testkit/tests/landed_peers.rs
+++ b/testkit/tests/landed_peers.rs
@@ -1,5 +1,5 @@
-//! Peers of a build that has landed, over the wire: a sidecar that writes the recorded bytes of
-//! that build, and an entry that reads by its forms.
+//! Compatibility with peers of released builds: messages of their recorded bytes, and views in
+//! the encodings that they read.
 
 use {
     anyhow::Result,
@@ -19,28 +19,28 @@
     tokio_util::{codec::FramedRead, io::StreamReader},
 };
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const VIEWS: &str = "/peer/views";
 const RELAY_PUBLISHED: &str = "/peer/relay/published";
-/// a message without content
-const NOTHING: &[u8] = &[0xc0];
+/// An encoded message without content (MessagePack nil).
+const EMPTY_MESSAGE: &[u8] = &[0xc0];
 
-/// the lives of engines as builds name them
+/// The incarnation of an engine in the current encoding.
 #[derive(Debug, Deserialize)]
-struct Life {
+struct Incarnation {
     name: String,
 }
 
-/// what is looked at of a view
+/// The field of a view that these tests check.
 #[derive(Debug, Deserialize)]
-struct View<L> {
-    backend: L,
+struct View<I> {
+    backend: I,
 }
 
 #[derive(Debug, Deserialize)]
 #[allow(dead_code)]
-enum Update<L> {
-    Whole(View<L>),
+enum Update<I> {
+    Whole(View<I>),
     Changed(serde::de::IgnoredAny),
     Figures(serde::de::IgnoredAny),
 }
@@ -54,33 +54,33 @@
     .await
 }
 
-/// the first frame of the views of a sidecar, for an entry that says no version
+/// Returns the first frame of a sidecar's views for an entry that sends no version.
 async fn first_frame(fleet: &Fleet) -> Result<Bytes> {
     let sidecar = fleet.sidecar_addr(0);
     let req = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{sidecar}{VIEWS}"))
-        .body(Full::new(Bytes::from_static(NOTHING)))?;
-    let answer = HttpClient::new().request(sidecar, req).await?;
-    let data = answer.into_body().into_data_stream();
+        .body(Full::new(Bytes::from_static(EMPTY_MESSAGE)))?;
+    let response = HttpClient::new().request(sidecar, req).await?;
+    let data = response.into_body().into_data_stream();
     let reader = StreamReader::new(data.map_err(io::Error::other));
     let mut frames = FramedRead::new(reader, frame_codec());
-    let frame = timeout(LIMIT, frames.next()).await?;
+    let frame = timeout(TIMEOUT, frames.next()).await?;
     Ok(frame.expect("a frame")?.freeze())
 }
 
 async fn post(fleet: &Fleet, path: &str, body: Vec<u8>) -> Result<(StatusCode, Bytes)> {
     let sidecar = fleet.sidecar_addr(0);
     let client = HttpClient::new();
-    let answer = client.exchange(
+    let response = client.exchange(
         sidecar,
         Method::POST,
         path,
         "application/msgpack",
         Bytes::from(body),
-        LIMIT,
+        TIMEOUT,
     );
-    Ok(answer.await?)
+    Ok(response.await?)
 }
 
 fn recorded(build: &str, name: &str) -> Vec<u8> {
@@ -95,14 +95,14 @@
 const OLDEST: &str = include_str!("../../protocol/tests/recorded/2205e90.txt");
 const THIRD: &str = include_str!("../../protocol/tests/recorded/f7a7cb2.txt");
 
-/// names of fields are written for one that says no version
+/// Views for an entry that sends no version have named fields.
 #[tokio::test]
-async fn an_entry_that_says_no_version_reads_the_views_of_a_sidecar() -> Result<()> {
+async fn an_entry_without_a_version_reads_the_views_of_a_sidecar() -> Result<()> {
     let fleet = fleet().await?;
-    // it is identified by then
+    // the engine is identified once this is served
     serve_prompt(&fleet, "a", "first").await?;
     let frame = first_frame(&fleet).await?;
-    let update: Update<Life> = rmp_serde::from_slice(&frame)?;
+    let update: Update<Incarnation> = rmp_serde::from_slice(&frame)?;
     let Update::Whole(view) = update else {
         panic!("{update:?}");
     };
@@ -110,7 +110,7 @@
     Ok(())
 }
 
-/// its demands show that it names lives by texts
+/// Its demands show that it encodes incarnations as texts.
 #[tokio::test]
 async fn an_entry_of_the_oldest_build_reads_the_views_of_a_sidecar() -> Result<()> {
     let fleet = fleet().await?;
@@ -119,30 +119,30 @@
     assert_eq!(status, StatusCode::OK);
     let update: Update<String> = rmp_serde::from_slice(&first_frame(&fleet).await?)?;
     assert!(matches!(update, Update::Whole(view) if view.backend == fleet.engines[0].id()));
-    // replaced by a younger one on the same machine
+    // replaced by a newer build on the same machine
     let (status, _) = post(&fleet, "/peer/demand", recorded(THIRD, "demand")).await?;
     assert_eq!(status, StatusCode::OK);
-    let update: Update<Life> = rmp_serde::from_slice(&first_frame(&fleet).await?)?;
+    let update: Update<Incarnation> = rmp_serde::from_slice(&first_frame(&fleet).await?)?;
     assert!(matches!(update, Update::Whole(_)));
     Ok(())
 }
 
-/// it would not know all kinds of records
+/// Such an entry may not support all kinds of records.
 #[tokio::test]
-async fn an_entry_that_says_no_version_reads_the_store_itself() -> Result<()> {
+async fn an_entry_without_a_version_reads_the_store_directly() -> Result<()> {
     let fleet = fleet().await?;
-    let ask = recorded(THIRD, "published_ask");
-    let (status, answer) = post(&fleet, RELAY_PUBLISHED, ask).await?;
+    let request_body = recorded(THIRD, "published_ask");
+    let (status, response) = post(&fleet, RELAY_PUBLISHED, request_body).await?;
     assert_eq!(status, StatusCode::OK);
-    assert_eq!(answer, recorded(THIRD, "published_stale"));
+    assert_eq!(response, recorded(THIRD, "published_stale"));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_message_that_cannot_be_read_is_said_and_counted_once() -> Result<()> {
+async fn an_unreadable_message_is_rejected_and_logged_once() -> Result<()> {
     let fleet = fleet().await?;
     for _ in 0..5 {
-        let (status, _) = post(&fleet, "/peer/demand", NOTHING.to_vec()).await?;
+        let (status, _) = post(&fleet, "/peer/demand", EMPTY_MESSAGE.to_vec()).await?;
         assert_eq!(status, StatusCode::BAD_REQUEST);
     }
     let log = fleet.settings_file.with_file_name("side-0.log");
@@ -151,7 +151,7 @@
         text.matches("message not read").count() == 1
     })
     .await;
-    let answer = request(fleet.clients, &prompt("a", "after")).await?;
-    assert_ne!(answer.status, 500);
+    let response = request(fleet.clients, &prompt("a", "after")).await?;
+    assert_ne!(response.status, 500);
     Ok(())
 }
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -1,15 +1,7 @@
-//! Back ends that say in the heads of their answers that they leave, or that they want rest.
+//! Back ends that announce in response headers that they are leaving or request back-off.
 //!
-//! Seen: an engine that had said so in an answer got more requests 2 and 5 s later from the
-//! entry that had passed the answer on; one that turned requests away and asked for 3 s of
-//! rest got 25 within that time.
-//!
-//! How it came about: the record of the one that left reached nobody while the store was
-//! silent for 13 s; the others were tried again 60 ms after each refusal.
-//! Cause: of an answer's head only what a repeat needs was read; what a back end says of
-//! itself was dropped at the border, and its record in the store was all that counted.
-//! Proof: the lines of decisions show it among the candidates after the answer had passed,
-//! with a list that had not changed; with its word told to the dispatcher nothing goes there.
+//! Guards against: requests sent to a back end after it has announced that it is leaving, or
+//! during the back-off that it has requested.
 
 use {
     anyhow::Result,
@@ -24,15 +16,15 @@
     tokio::time::sleep,
 };
 
-/// of the settings of the fleet: a back end that leaves gets nothing after it
-const DRAIN: Duration = Duration::from_millis(2_000);
-/// time for the request for rest to reach the caller
-const KNOWN_AFTER: Duration = Duration::from_millis(500);
-/// requests that may come while a back end rests
-const MOST_IN_A_REST: usize = 2;
-const REST: Duration = Duration::from_millis(1_500);
-/// more requests than any rest of these tests would let through
-const MANY: u32 = 60;
+/// Time after which a leaving back end receives no requests.
+const DRAIN_TIME: Duration = Duration::from_millis(2_000);
+/// Time for the requested back-off to reach the caller.
+const SIGNAL_DELAY: Duration = Duration::from_millis(500);
+/// Probes that a back end may receive during its back-off.
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
+const BACKOFF: Duration = Duration::from_millis(1_500);
+/// More requests than fit into the back-off.
+const REQUESTS: u32 = 60;
 
 async fn engines(engines: u8) -> Result<Fleet> {
     Fleet::start(FleetSettings {
@@ -50,7 +42,7 @@
     .await
 }
 
-fn safe(id: &str) -> ClientRequest {
+fn safe_request(id: &str) -> ClientRequest {
     ClientRequest {
         target: "/safe/".to_string(),
         id: id.to_string(),
@@ -58,212 +50,235 @@
     }
 }
 
-/// many requests in a row; clients that come back do so when they are told to
-fn pressing(retries: u32) -> RetryingClients {
+/// Returns a load of steady requests that honor `Retry-After`.
+fn steady_load(retries: u32) -> RetryingClients {
     RetryingClients {
-        requests: MANY,
+        requests: REQUESTS,
         gap: Duration::from_millis(50),
         retries,
         honors_retry_after: true,
     }
 }
 
-/// the engine that ran a request
-fn that_ran<'f>(fleet: &'f Fleet, id: &str) -> &'f BackendStandIn {
+/// Returns the engine that ran a request.
+fn engine_that_ran<'f>(fleet: &'f Fleet, id: &str) -> &'f BackendStandIn {
     let mut all = fleet.engines.iter();
     let found = all.find(|e| e.runs().iter().any(|run| run.request == id));
     found.expect("an engine ran it")
 }
 
-/// requests that came to a back end since a moment
-fn came_since(backend: &BackendStandIn, at: Instant) -> Vec<String> {
+/// Returns the ids of requests that arrived at a back end after an instant.
+fn arrivals_since(backend: &BackendStandIn, at: Instant) -> Vec<String> {
     let state = backend.state();
-    let since = state.arrivals.iter().filter(|(came, _)| *came > at);
+    let since = state
+        .arrivals
+        .iter()
+        .filter(|(arrived_at, _)| *arrived_at > at);
     since.map(|(_, id)| id.clone()).collect()
 }
 
-/// the store is silent meanwhile, so that the list goes on naming it as ready
+/// The store is unresponsive, so the list still has the engine as ready.
 #[tokio::test]
-async fn an_engine_that_says_that_it_leaves_gets_nothing_more() -> Result<()> {
+async fn an_engine_that_announces_leaving_receives_no_more_requests() -> Result<()> {
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
     fleet.store.set_fault(StoreFault::Unresponsive);
-    let leaving = that_ran(&fleet, "first");
+    let leaving = engine_that_ran(&fleet, "first");
     leaving.state().announces_leaving = true;
-    let answer = serve_prompt(&fleet, "a", "told").await?;
-    assert_eq!(answer.head.get("server-leaving"), Some("1"));
-    let told = Instant::now();
-    sleep(DRAIN).await;
+    let response = serve_prompt(&fleet, "a", "told").await?;
+    assert_eq!(response.head.get("server-leaving"), Some("1"));
+    let announced_at = Instant::now();
+    sleep(DRAIN_TIME).await;
     for number in 0..4 {
-        let answer = serve_prompt(&fleet, "a", &format!("after-{number}")).await?;
-        assert_eq!(answer.status, 200);
+        let response = serve_prompt(&fleet, "a", &format!("after-{number}")).await?;
+        assert_eq!(response.status, 200);
     }
-    assert_eq!(came_since(leaving, told + DRAIN), Vec::<String>::new());
+    assert_eq!(
+        arrivals_since(leaving, announced_at + DRAIN_TIME),
+        Vec::<String>::new()
+    );
     Ok(())
 }
 
-/// its record in the store says `ready`, changes, goes and comes again
+/// Its record in the store is changed, deleted and published again as `ready`.
 #[tokio::test]
-async fn its_record_does_not_take_its_word_back() -> Result<()> {
+async fn a_record_in_the_store_does_not_revoke_the_leaving_signal() -> Result<()> {
     let fleet = plain(2).await?;
     fleet.plain[0].state().announces_leaving = true;
-    let mut told = false;
-    for number in 0..MANY {
-        let answer = request(fleet.clients, &safe(&format!("before-{number}"))).await?;
-        told |= answer.head.get("server-leaving").is_some();
-        if told {
+    let mut announced = false;
+    for number in 0..REQUESTS {
+        let response = request(fleet.clients, &safe_request(&format!("before-{number}"))).await?;
+        announced |= response.head.get("server-leaving").is_some();
+        if announced {
             break;
         }
     }
-    assert!(told, "no answer said that its back end leaves");
+    assert!(
+        announced,
+        "no response announced that its back end is leaving"
+    );
     let at = Instant::now();
     fleet.publish_plain(0, "draining");
-    sleep(DRAIN / 4).await;
+    sleep(DRAIN_TIME / 4).await;
     fleet
         .store
         .delete(&format!("servers/{}", fleet.plain[0].id()));
-    sleep(DRAIN / 2).await;
+    sleep(DRAIN_TIME / 2).await;
     fleet.publish_plain(0, "ready");
-    sleep(DRAIN / 2).await;
-    for number in 0..MANY {
-        let answer = request(fleet.clients, &safe(&format!("after-{number}"))).await?;
-        assert_eq!(answer.status, 200);
+    sleep(DRAIN_TIME / 2).await;
+    for number in 0..REQUESTS {
+        let response = request(fleet.clients, &safe_request(&format!("after-{number}"))).await?;
+        assert_eq!(response.status, 200);
     }
     assert_eq!(
-        came_since(&fleet.plain[0], at + DRAIN),
+        arrivals_since(&fleet.plain[0], at + DRAIN_TIME),
         Vec::<String>::new()
     );
     Ok(())
 }
 
-/// another copy of the service has places
+/// Another replica of the service has capacity.
 #[tokio::test]
-async fn a_back_end_that_asks_for_rest_gets_it() -> Result<()> {
+async fn requests_are_withheld_during_the_backoff_of_a_back_end() -> Result<()> {
     let fleet = plain(2).await?;
-    let resting = &fleet.plain[0];
-    resting.state().requested_backoff = Some(REST);
-    resting.set_fault(BackendFault::Overloaded, u32::MAX);
-    let how = pressing(0);
-    let histories = send_with_retries(fleet.clients, &safe("pressed"), &how).await?;
-    let state = resting.state();
+    let backing_off = &fleet.plain[0];
+    backing_off.state().requested_backoff = Some(BACKOFF);
+    backing_off.set_fault(BackendFault::Overloaded, u32::MAX);
+    let load = steady_load(0);
+    let histories = send_with_retries(fleet.clients, &safe_request("pressed"), &load).await?;
+    let state = backing_off.state();
     assert!(!state.backoffs.is_empty());
-    let most = state.max_requests_in_backoff(KNOWN_AFTER);
-    assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
-    let mut answers = histories.iter().flat_map(|s| &s.responses);
-    assert!(answers.all(|answer| answer.status == 200));
+    let max_requests = state.max_requests_in_backoff(SIGNAL_DELAY);
+    assert!(
+        max_requests <= MAX_REQUESTS_IN_BACKOFF,
+        "{max_requests} requests arrived during a back-off"
+    );
+    let mut responses = histories.iter().flat_map(|s| &s.responses);
+    assert!(responses.all(|response| response.status == 200));
     Ok(())
 }
 
-/// prompts for an adapter that it alone holds go elsewhere
+/// Prompts for an adapter that only this engine has loaded are served elsewhere.
 #[tokio::test]
-async fn an_engine_that_asks_for_rest_gets_it() -> Result<()> {
+async fn prompts_are_withheld_during_the_backoff_of_an_engine() -> Result<()> {
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
-    let resting = that_ran(&fleet, "first");
-    resting.state().requested_backoff = Some(REST);
-    resting.set_fault(BackendFault::Overloaded, u32::MAX);
-    let how = pressing(3);
-    let histories = send_with_retries(fleet.clients, &prompt("a", "pressed"), &how).await?;
-    let state = resting.state();
+    let backing_off = engine_that_ran(&fleet, "first");
+    backing_off.state().requested_backoff = Some(BACKOFF);
+    backing_off.set_fault(BackendFault::Overloaded, u32::MAX);
+    let load = steady_load(3);
+    let histories = send_with_retries(fleet.clients, &prompt("a", "pressed"), &load).await?;
+    let state = backing_off.state();
     assert!(!state.backoffs.is_empty());
-    let most = state.max_requests_in_backoff(KNOWN_AFTER);
-    assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
+    let max_requests = state.max_requests_in_backoff(SIGNAL_DELAY);
+    assert!(
+        max_requests <= MAX_REQUESTS_IN_BACKOFF,
+        "{max_requests} requests arrived during a back-off"
+    );
     let last = histories.iter().filter_map(|s| s.responses.last());
     let served = last.filter(|a| a.status == 200).count();
     assert!(served * 2 > histories.len(), "{served} served");
     Ok(())
 }
 
-/// nobody else can serve, so what comes is refused at once and told when to come back
+/// No other replica can serve, so requests are rejected.
 #[tokio::test]
-async fn a_service_that_rests_as_a_whole_gets_it() -> Result<()> {
+async fn requests_are_rejected_during_the_backoff_of_the_only_replica() -> Result<()> {
     let fleet = plain(1).await?;
-    let resting = &fleet.plain[0];
-    resting.state().requested_backoff = Some(REST);
-    resting.set_fault(BackendFault::Overloaded, u32::MAX);
-    let how = pressing(0);
-    let histories = send_with_retries(fleet.clients, &safe("pressed"), &how).await?;
-    let most = resting.state().max_requests_in_backoff(KNOWN_AFTER);
-    assert!(most <= MOST_IN_A_REST, "{most} requests came in a rest");
-    let answers = histories.iter().flat_map(|s| &s.responses);
-    assert!(answers.clone().all(|a| a.status == 503));
+    let backing_off = &fleet.plain[0];
+    backing_off.state().requested_backoff = Some(BACKOFF);
+    backing_off.set_fault(BackendFault::Overloaded, u32::MAX);
+    let load = steady_load(0);
+    let histories = send_with_retries(fleet.clients, &safe_request("pressed"), &load).await?;
+    let max_requests = backing_off.state().max_requests_in_backoff(SIGNAL_DELAY);
+    assert!(
+        max_requests <= MAX_REQUESTS_IN_BACKOFF,
+        "{max_requests} requests arrived during a back-off"
+    );
+    let responses = histories.iter().flat_map(|s| &s.responses);
+    assert!(responses.clone().all(|a| a.status == 503));
     Ok(())
 }
 
-/// the rest is over: requests are served again
 #[tokio::test]
-async fn a_back_end_is_used_again_after_its_rest() -> Result<()> {
+async fn a_back_end_is_used_again_after_its_backoff() -> Result<()> {
     let fleet = plain(1).await?;
-    let resting = &fleet.plain[0];
-    resting.state().requested_backoff = Some(REST);
-    resting.set_fault(BackendFault::Overloaded, 1);
-    request(fleet.clients, &safe("shed")).await?;
-    sleep(REST).await;
-    let answer = request(fleet.clients, &safe("after")).await?;
-    assert_eq!(answer.status, 200);
+    let backing_off = &fleet.plain[0];
+    backing_off.state().requested_backoff = Some(BACKOFF);
+    backing_off.set_fault(BackendFault::Overloaded, 1);
+    request(fleet.clients, &safe_request("shed")).await?;
+    sleep(BACKOFF).await;
+    let response = request(fleet.clients, &safe_request("after")).await?;
+    assert_eq!(response.status, 200);
     Ok(())
 }
 
-/// its sidecar gives it orders, reads its reports and asks for its name
+/// Its sidecar sends it orders, status reads and identification requests.
 #[tokio::test]
-async fn an_engine_that_turns_orders_away_gets_its_rest_from_its_sidecar() -> Result<()> {
+async fn a_sidecar_honors_the_backoff_of_an_engine_that_rejects_orders() -> Result<()> {
     let fleet = engines(2).await?;
     for engine in &fleet.engines {
         let mut state = engine.state();
-        state.requested_backoff = Some(REST);
+        state.requested_backoff = Some(BACKOFF);
         state.rejects_orders = true;
     }
-    // each makes an engine wanted for an adapter that it lacks
+    // each prompt demands an adapter that no engine has loaded
     for number in 0..4 {
-        let asked = ClientRequest {
+        let sent = ClientRequest {
             deadline_ms: 300,
             ..prompt(&format!("a{number}"), &format!("p-{number}"))
         };
-        request(fleet.clients, &asked).await?;
+        request(fleet.clients, &sent).await?;
     }
-    sleep(REST * 2).await;
-    let rests: usize = fleet.engines.iter().map(|e| e.state().backoffs.len()).sum();
-    assert!(rests > 0, "no order came");
+    sleep(BACKOFF * 2).await;
+    let backoffs: usize = fleet.engines.iter().map(|e| e.state().backoffs.len()).sum();
+    assert!(backoffs > 0, "no order arrived");
     for engine in &fleet.engines {
-        let most = engine.state().max_requests_in_backoff(KNOWN_AFTER);
-        assert!(most <= MOST_IN_A_REST, "{most} calls came in a rest");
+        let max_requests = engine.state().max_requests_in_backoff(SIGNAL_DELAY);
+        assert!(
+            max_requests <= MAX_REQUESTS_IN_BACKOFF,
+            "{max_requests} calls arrived during a back-off"
+        );
     }
     Ok(())
 }
 
-/// its sidecar reads it, and tells the entry that has had no answer of it
+/// The sidecar reads the signal and reports it to an entry that has seen no such response.
 #[tokio::test]
-async fn an_entry_knows_by_the_sidecar_that_an_engine_leaves() -> Result<()> {
+async fn an_entry_learns_from_the_sidecar_that_an_engine_is_leaving() -> Result<()> {
     let fleet = engines(2).await?;
     serve_prompt(&fleet, "a", "first").await?;
     fleet.store.set_fault(StoreFault::Unresponsive);
-    let leaving = that_ran(&fleet, "first");
+    let leaving = engine_that_ran(&fleet, "first");
     leaving.state().announces_leaving = true;
-    sleep(DRAIN).await;
-    let told = Instant::now();
+    sleep(DRAIN_TIME).await;
+    let announced_at = Instant::now();
     for number in 0..4 {
-        let answer = serve_prompt(&fleet, "a", &format!("after-{number}")).await?;
-        assert_eq!(answer.status, 200);
+        let response = serve_prompt(&fleet, "a", &format!("after-{number}")).await?;
+        assert_eq!(response.status, 200);
     }
-    assert_eq!(came_since(leaving, told), Vec::<String>::new());
+    assert_eq!(arrivals_since(leaving, announced_at), Vec::<String>::new());
     Ok(())
 }
 
-/// Seen: of an engine that was replaced the line that says that it leaves was missing, as its
-/// sidecar went on as the one of the engine before, which had said so too
+/// Guards against: signals of a replaced engine that are not logged because its predecessor
+/// sent the same ones.
 #[tokio::test]
-async fn each_engine_that_leaves_is_named_in_its_sidecars_log() -> Result<()> {
+async fn each_engine_that_is_leaving_is_logged_by_its_sidecar() -> Result<()> {
     let fleet = engines(1).await?;
     let lines = |log: String| log.matches("new back-end signals").count();
     let engine = &fleet.engines[0];
-    for life in 1..=2 {
-        let identified = format!("identified as Some(\\\"{}\\\")", engine.id());
-        until("the sidecar knows it", || {
-            fleet.sidecar_log(0).contains(&identified)
+    for incarnation in 1..=2 {
+        let identified_line = format!("identified as Some(\\\"{}\\\")", engine.id());
+        until("the sidecar has identified it", || {
+            fleet.sidecar_log(0).contains(&identified_line)
         })
         .await;
         engine.state().announces_leaving = true;
-        until("its word is logged", || lines(fleet.sidecar_log(0)) == life).await;
+        until("its signal is logged", || {
+            lines(fleet.sidecar_log(0)) == incarnation
+        })
+        .await;
         let mut state = engine.state();
         state.announces_leaving = false;
         state.crash();
--- a/testkit/tests/mixed_builds.rs
+++ b/testkit/tests/mixed_builds.rs
@@ -1,8 +1,7 @@
-//! Processes of an older build beside those of this one, in both directions.
+//! Processes of an older build together with those of this one, in both directions.
 //!
-//! They run where `CHALKCART_OTHER_BUILD` names a folder with the programs of that build; a
-//! second build is too slow for each run, where `landed_peers.rs` and the recorded bytes of
-//! messages stand for it.
+//! These tests run only if `CHALKCART_OTHER_BUILD` names a folder with the programs of the older
+//! build; `landed_peers.rs` and the recorded messages cover compatibility without one.
 
 use {
     anyhow::Result,
@@ -15,16 +14,16 @@
 
 const ADAPTERS: [&str; 3] = ["a", "b", "c"];
 
-/// each adapter is loaded and served, and again once its engine's sidecar is another build
-async fn serves_all(fleet: &Fleet, round: u32) -> Result<()> {
+/// Checks that prompts for each adapter are served completely.
+async fn check_all_served(fleet: &Fleet, round: u32) -> Result<()> {
     for adapter in ADAPTERS {
         for number in 0..3 {
             let id = format!("{round}-{adapter}-{number}");
-            let answer = serve_prompt(fleet, adapter, &id).await?;
+            let response = serve_prompt(fleet, adapter, &id).await?;
             assert!(
-                answer.status == 200 && answer.is_complete,
+                response.status == 200 && response.is_complete,
                 "{:?}",
-                answer.head
+                response.head
             );
         }
     }
@@ -50,7 +49,7 @@
         ..FleetSettings::default()
     })
     .await?;
-    serves_all(&fleet, 0).await
+    check_all_served(&fleet, 0).await
 }
 
 #[tokio::test]
@@ -63,12 +62,12 @@
         ..FleetSettings::default()
     })
     .await?;
-    serves_all(&fleet, 0).await
+    check_all_served(&fleet, 0).await
 }
 
-/// the same by a relay, which is one of the sidecars
+/// The same with a relay, which is one of the sidecars.
 #[tokio::test]
-async fn relays_of_one_build_stand_between_ends_of_another() -> Result<()> {
+async fn relays_of_one_build_connect_processes_of_another() -> Result<()> {
     let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
@@ -84,14 +83,14 @@
             ..FleetSettings::default()
         })
         .await?;
-        serves_all(&fleet, 0).await?;
+        check_all_served(&fleet, 0).await?;
     }
     Ok(())
 }
 
-/// one process after the other: older, this one, older again, this one again
+/// Replaces one process after the other: older, this build, older again, this build again.
 #[tokio::test]
-async fn processes_are_replaced_one_after_the_other_and_back() -> Result<()> {
+async fn processes_are_upgraded_and_downgraded_one_by_one() -> Result<()> {
     let Some(other) = Binaries::from_other_build() else {
         return Ok(());
     };
@@ -102,7 +101,7 @@
         ..FleetSettings::default()
     })
     .await?;
-    serves_all(&fleet, 0).await?;
+    check_all_served(&fleet, 0).await?;
     let steps = [(None, None), (entry, sidecar), (None, None)];
     for (round, (entry, sidecar)) in (1..).zip(steps) {
         fleet.set_programs(entry, sidecar);
@@ -110,12 +109,12 @@
             let at = usize::from(number);
             fleet.sidecars[at].kill()?;
             fleet.sidecars[at] = fleet.start_sidecar(number)?;
-            serves_all(&fleet, round * 10 + u32::from(number)).await?;
+            check_all_served(&fleet, round * 10 + u32::from(number)).await?;
         }
         fleet.ingress.kill()?;
         fleet.restart_ingress()?;
         until_async("the ingress is ready", || fleet.is_ready()).await;
-        serves_all(&fleet, round * 10 + 5).await?;
+        check_all_served(&fleet, round * 10 + 5).await?;
     }
     Ok(())
 }
--- a/testkit/tests/one_clock.rs
+++ b/testkit/tests/one_clock.rs
@@ -1,6 +1,5 @@
-//! All that is believed is dated and judged by one clock, which counts the time for which a
-//! machine was suspended. The steady clock of the standard library does not: a file that
-//! reads it would believe for too long what it knew before.
+//! All decisions use the clock that includes the time during which a machine was suspended.
+//! The standard library's monotonic clock doesn't, so state dated by it would expire too late.
 
 use {
     anyhow::{Context, Result},
@@ -10,7 +9,7 @@
     },
 };
 
-/// packages whose decisions have a time
+/// Packages with time-dependent decisions.
 const PACKAGES: [&str; 6] = [
     "coordination",
     "transport",
@@ -19,16 +18,16 @@
     "entry",
     "sidecar",
 ];
-/// what reads the steady clock
-const STEADY: [&str; 3] = ["Instant::now()", ".elapsed()", "timeout_at("];
-/// the clock itself, and the bound on lines of the log, which concerns nobody's beliefs
+/// Calls that read the standard library's monotonic clock.
+const MONOTONIC_READS: [&str; 3] = ["Instant::now()", ".elapsed()", "timeout_at("];
+/// The clock itself, and the rate limit of log lines.
 const ALLOWED: [&str; 2] = ["transport/src/clock", "node/src/logging"];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
+fn find_sources(folder: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         match path.is_dir() {
-            true => sources(&path, found)?,
+            true => find_sources(&path, found)?,
             false => found.push(path),
         }
     }
@@ -36,14 +35,14 @@
 }
 
 #[test]
-fn no_decision_is_dated_by_the_steady_clock() -> Result<()> {
+fn no_decision_reads_the_monotonic_clock() -> Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = root.parent().context("the workspace's folder")?;
     let mut found = Vec::new();
     for package in PACKAGES {
-        sources(&root.join(package).join("src"), &mut found)?;
+        find_sources(&root.join(package).join("src"), &mut found)?;
     }
-    assert!(found.len() > 100, "the sources are there");
+    assert!(found.len() > 100, "too few source files were found");
     for path in found {
         let name = path.strip_prefix(root)?.display().to_string();
         if ALLOWED.iter().any(|allowed| name.starts_with(allowed)) {
@@ -51,9 +50,13 @@
         }
         let text = fs::read_to_string(&path)?;
         for (number, line) in text.lines().enumerate() {
-            let is_steady = STEADY.iter().any(|read| line.contains(read));
+            let is_monotonic_read = MONOTONIC_READS.iter().any(|read| line.contains(read));
             let is_timer = line.contains("Deadline::now()") || line.contains("Timer::now()");
-            assert!(!is_steady || is_timer, "{name}:{}: {line}", number + 1);
+            assert!(
+                !is_monotonic_read || is_timer,
+                "{name}:{}: {line}",
+                number + 1
+            );
         }
     }
     Ok(())
--- a/testkit/tests/operator_commands.rs
+++ b/testkit/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! the operators' commands against a running fleet
+//! Operator commands against a running fleet.
 
 use {
     anyhow::Result,
@@ -9,19 +9,19 @@
     },
 };
 
-fn command(cluster: &Cluster, word: &str, rest: &[&str]) -> Result<ProgramOutput> {
+fn command(cluster: &Cluster, name: &str, args: &[&str]) -> Result<ProgramOutput> {
     let addr = cluster.entries[0].listen.to_string();
-    let mut args = vec![word];
-    let options = rest.iter().take_while(|arg| arg.starts_with("--"));
+    let mut all_args = vec![name];
+    let options = args.iter().take_while(|arg| arg.starts_with("--"));
     let count = options.count();
-    args.extend(&rest[..count]);
-    args.push(&addr);
-    args.extend(&rest[count..]);
-    run_program(&Binaries::get()?.entry, &args)
+    all_args.extend(&args[..count]);
+    all_args.push(&addr);
+    all_args.extend(&args[count..]);
+    run_program(&Binaries::get()?.entry, &all_args)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_command_does_what_its_help_says() -> Result<()> {
+async fn each_command_prints_its_result() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let status = command(&cluster, "status", &[])?;
     assert_eq!(status.code, Some(0), "{}", status.stderr);
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_command_that_fails_ends_with_1_and_says_why() -> Result<()> {
+async fn a_failing_command_exits_with_1_and_prints_the_reason() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let missing = command(&cluster, "wait", &["--timeout-ms=10", "9"])?;
     assert_eq!(missing.code, Some(1));
--- a/testkit/tests/planned_stops.rs
+++ b/testkit/tests/planned_stops.rs
@@ -1,5 +1,5 @@
-//! a planned stop of any part cuts off no request in flight and doubles
-//! none; a leaving target gets nothing new although the list lags
+//! A planned stop of any process interrupts no request and runs none twice, and a leaving target
+//! receives no new requests even if the list lags.
 
 use {
     anyhow::Result,
@@ -19,7 +19,7 @@
 
 const TOKENS: u32 = 80;
 const EXIT_LIMIT: Duration = Duration::from_secs(30);
-/// longer than any test
+/// Longer than any test.
 const LONG_LAG: Duration = Duration::from_secs(600);
 
 type Generated = Result<Completion, Box<Failure>>;
@@ -61,17 +61,17 @@
     Ok(numbers.map(spawn).collect())
 }
 
-/// all answers are whole, and no prompt was run twice
-async fn expect_whole_and_single(
+/// Checks that all responses are complete and that each prompt ran once.
+async fn expect_complete_and_run_once(
     cluster: &Cluster,
     running: Vec<(usize, JoinHandle<Generated>)>,
 ) -> Result<()> {
-    for (number, answer) in running {
-        let answer = answer
+    for (number, response) in running {
+        let response = response
             .await?
             .unwrap_or_else(|e| panic!("{number}: {}", e.status));
         assert_eq!(
-            check_completion(&prompt(number), &answer),
+            check_completion(&prompt(number), &response),
             CompletionCheck::Correct,
             "{number}"
         );
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_stops_ends_its_streams_first() -> Result<()> {
+async fn a_stopping_entry_completes_its_streams() -> Result<()> {
     let mut cluster = Cluster::start(slow_engines()).await?;
     let running = spawn_at(&cluster, 0, 0..8).await?;
     wait_running(&cluster, 0, 1).await;
@@ -100,14 +100,14 @@
         "{status}; log:\n{}",
         cluster.entries[0].log()
     );
-    expect_whole_and_single(&cluster, running).await?;
-    expect_whole_and_single(&cluster, others).await
+    expect_complete_and_run_once(&cluster, running).await?;
+    expect_complete_and_run_once(&cluster, others).await
 }
 
 #[tokio::test]
-async fn a_sidecar_that_stops_hands_back_what_waits_and_ends_what_runs() -> Result<()> {
+async fn a_stopping_sidecar_returns_waiting_requests_and_completes_running_ones() -> Result<()> {
     let mut cluster = Cluster::start(slow_engines()).await?;
-    // more than both engines take at once, so that some requests wait
+    // more than both engines run at a time, so that some requests wait
     let running = spawn_at(&cluster, 0, 0..40).await?;
     wait_running(&cluster, 0, 4).await;
     cluster.engines[0].sidecar.process.terminate()?;
@@ -117,11 +117,11 @@
         "{status}; log:\n{}",
         cluster.engines[0].sidecar.log()
     );
-    expect_whole_and_single(&cluster, running).await
+    expect_complete_and_run_once(&cluster, running).await
 }
 
 #[tokio::test]
-async fn a_service_sidecar_that_stops_ends_its_unrepeatable_calls() -> Result<()> {
+async fn a_stopping_service_sidecar_completes_its_unrepeatable_calls() -> Result<()> {
     let mut cluster = Cluster::start(slow_engines()).await?;
     let mut client = cluster.client(0).await?;
     let ids = reserve_for_service(&mut client, "fee-table", 4).await?;
@@ -137,7 +137,7 @@
     cluster.services[0].service.wait_for_runs(3).await;
     cluster.services[0].sidecar.process.terminate()?;
     let sidecar = &cluster.services[0].sidecar;
-    until_async("it leaves", || async { !sidecar.is_ready().await }).await;
+    until_async("it is leaving", || async { !sidecar.is_ready().await }).await;
     let late = call_once(&mut client, "fee-table", b"late", &ids[3], 0).await;
     assert_eq!(late.expect_err("leaving").reason, "LEAVING");
     cluster.services[0].service.set_paused(false);
@@ -151,33 +151,33 @@
 }
 
 #[tokio::test]
-async fn a_target_that_says_it_leaves_gets_nothing_new_though_the_list_lags() -> Result<()> {
+async fn a_leaving_target_receives_no_new_requests_while_the_list_lags() -> Result<()> {
     let cluster = Cluster::start(slow_engines()).await?;
     cluster.platform.set_list_lag(LONG_LAG);
     let first = spawn_at(&cluster, 0, 0..10).await?;
     wait_running(&cluster, 0, 1).await;
     cluster.engines[0].sidecar.process.terminate()?;
     let sidecar = &cluster.engines[0].sidecar;
-    until_async("it leaves", || async { !sidecar.is_ready().await }).await;
+    until_async("it is leaving", || async { !sidecar.is_ready().await }).await;
     let later = spawn_at(&cluster, 1, 50..70).await?;
-    expect_whole_and_single(&cluster, later).await?;
+    expect_complete_and_run_once(&cluster, later).await?;
     for number in 50..70 {
         let text = prompt(number).prompt;
         assert_eq!(cluster.engines[0].engine.runs(&text), 0, "{number}");
     }
-    expect_whole_and_single(&cluster, first).await
+    expect_complete_and_run_once(&cluster, first).await
 }
 
 #[tokio::test]
-async fn a_target_listed_as_leaving_gets_nothing_new() -> Result<()> {
+async fn a_target_listed_as_leaving_receives_no_new_requests() -> Result<()> {
     let cluster = Cluster::start(slow_engines()).await?;
     cluster.platform.set_leaving("engine-0");
-    let mark = format!("fleet: list {} ", cluster.platform.list().version);
+    let list_line = format!("fleet: list {} ", cluster.platform.list().version);
     for entry in &cluster.entries {
-        until(&mark, || entry.has_logged(&mark)).await;
+        until(&list_line, || entry.has_logged(&list_line)).await;
     }
     let later = spawn_at(&cluster, 0, 0..10).await?;
-    expect_whole_and_single(&cluster, later).await?;
+    expect_complete_and_run_once(&cluster, later).await?;
     for number in 0..10 {
         assert_eq!(cluster.engines[0].engine.runs(&prompt(number).prompt), 0);
     }
@@ -185,27 +185,27 @@
 }
 
 #[tokio::test]
-async fn every_part_stops_and_starts_in_turn_under_load() -> Result<()> {
+async fn every_process_restarts_in_turn_under_load() -> Result<()> {
     let mut cluster = Cluster::start(slow_engines()).await?;
     let mut running = Vec::new();
-    for part in 0..2 {
-        let first = part * 20;
-        // callers hold to the entry that does not stop in this turn
-        running.extend(spawn_at(&cluster, 1 - part, first..first + 20).await?);
-        wait_running(&cluster, part, 1).await;
-        cluster.engines[part].sidecar.process.terminate()?;
-        cluster.entries[part].process.terminate()?;
-        let status = cluster.engines[part]
+    for index in 0..2 {
+        let first = index * 20;
+        // requests go to the entry that does not stop in this round
+        running.extend(spawn_at(&cluster, 1 - index, first..first + 20).await?);
+        wait_running(&cluster, index, 1).await;
+        cluster.engines[index].sidecar.process.terminate()?;
+        cluster.entries[index].process.terminate()?;
+        let status = cluster.engines[index]
             .sidecar
             .process
             .wait(EXIT_LIMIT)
             .await?;
         assert!(status.success(), "{status}");
-        let status = cluster.entries[part].process.wait(EXIT_LIMIT).await?;
+        let status = cluster.entries[index].process.wait(EXIT_LIMIT).await?;
         assert!(status.success(), "{status}");
-        cluster.engines[part].sidecar.respawn()?;
-        cluster.entries[part].respawn()?;
+        cluster.engines[index].sidecar.respawn()?;
+        cluster.entries[index].respawn()?;
         cluster.wait_ready().await?;
     }
-    expect_whole_and_single(&cluster, running).await
+    expect_complete_and_run_once(&cluster, running).await
 }
--- a/testkit/tests/processes.rs
+++ b/testkit/tests/processes.rs
@@ -1,4 +1,4 @@
-//! what tests do to processes is done when the call returns
+//! Process control of the testkit takes effect before its calls return.
 
 use {
     anyhow::Result,
@@ -6,11 +6,11 @@
     std::{env, path::Path},
 };
 
-/// often enough that a signal which is not waited for is seen on a busy machine
+/// Enough rounds to detect a pause that returns before the process has stopped.
 const ROUNDS: usize = 60;
 
 #[test]
-fn a_frozen_process_runs_no_more() -> Result<()> {
+fn a_paused_process_is_stopped() -> Result<()> {
     let log = env::temp_dir().join(format!("chalkcart-freeze-{}.log", std::process::id()));
     let mut process = Process::spawn(Path::new("/bin/sh"), &["-c", "while :; do :; done"], &log)?;
     for _ in 0..ROUNDS {
