--- a/testkit/tests/reborn_engines.rs
+++ b/testkit/tests/reborn_engines.rs
@@ -1,5 +1,4 @@
-//! engines that start again under their name, and records of other writers, over real
-//! processes
+//! Engines that restart under the same name, and records written by others, over real processes.
 
 use {
     anyhow::Result,
@@ -21,8 +20,8 @@
     }
 }
 
-/// records that could not be read, by the metrics page
-async fn unreadable(fleet: &Fleet) -> u64 {
+/// Returns the number of unreadable records on the metrics page.
+async fn unreadable_records(fleet: &Fleet) -> u64 {
     let text = fleet.metrics_text().await;
     let rows = text
         .lines()
@@ -39,30 +38,30 @@
     .await
 }
 
-/// the list shows the former life all the while
+/// The list has the previous incarnation throughout.
 #[tokio::test]
-async fn an_engine_that_starts_again_is_given_all_anew_once() -> Result<()> {
+async fn a_restarted_engine_loads_each_model_once() -> Result<()> {
     let fleet = start(1).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     let engine = &fleet.engines[0];
-    for life in 1..=3 {
-        // the weight store is asked for a base model once in a while only
-        engine.restart(FIRST_START_TIME_MS + life);
-        engine.state().orders.is_base_model_missing = life == 1;
-        let id = format!("of-{life}");
+    for incarnation in 1..=3 {
+        // the base model is missing only once, since base models are seldom loaded
+        engine.restart(FIRST_START_TIME_MS + incarnation);
+        engine.state().orders.is_base_model_missing = incarnation == 1;
+        let id = format!("of-{incarnation}");
         assert_eq!(serve_prompt(&fleet, "a", &id).await?.status, 200);
         assert_eq!(engine_runs(&fleet, &id), 1);
         let orders = engine.orders();
         let loads = |adapter: &str| orders.iter().filter(|o| o.adapter == adapter).count();
-        assert_eq!(loads(""), usize::from(life == 1), "{orders:?}");
+        assert_eq!(loads(""), usize::from(incarnation == 1), "{orders:?}");
         assert_eq!(loads("a"), 1, "{orders:?}");
     }
     Ok(())
 }
 
-/// a stream that broke with the former life may have run, and is not run again
+/// A stream that ended with the previous incarnation may have run, so it is not run again.
 #[tokio::test]
-async fn what_ran_in_the_former_life_is_not_repeated() -> Result<()> {
+async fn requests_of_a_previous_incarnation_are_not_run_again() -> Result<()> {
     let fleet = start(2).await?;
     serve_prompt(&fleet, "a", "r1").await?;
     for engine in &fleet.engines {
@@ -88,32 +87,32 @@
 }
 
 #[tokio::test]
-async fn a_record_of_another_writer_names_no_back_end_to_use() -> Result<()> {
+async fn a_back_end_with_an_unreadable_record_is_not_used() -> Result<()> {
     let fleet = Fleet::start(FleetSettings {
         plain: 2,
         ..FleetSettings::default()
     })
     .await?;
     let runs = |number: usize| fleet.plain[number].runs().len();
-    let bad: [&dyn Fn(); 3] = [
+    let unreadable_writes: [&dyn Fn(); 3] = [
         &|| fleet.store.put_bytes("servers/p-0", b"\xff\xfe"),
         &|| fleet.store.put_text("servers/p-0", "no base64!"),
         &|| {
-            let row = json!({"Service": 4, "Address": fleet.plain[0].addr});
-            fleet.store.put("servers/p-0", row);
+            let record = json!({"Service": 4, "Address": fleet.plain[0].addr});
+            fleet.store.put("servers/p-0", record);
         },
     ];
-    for (number, spoil) in bad.into_iter().enumerate() {
-        spoil();
-        until_async("it is noticed", || async {
-            unreadable(&fleet).await > number as u64
+    for (number, make_unreadable) in unreadable_writes.into_iter().enumerate() {
+        make_unreadable();
+        until_async("the unreadable record is counted", || async {
+            unreadable_records(&fleet).await > number as u64
         })
         .await;
-        until_async("nothing more goes there", || async {
+        until_async("the back end receives no requests", || async {
             let before = runs(0);
             for _ in 0..4 {
-                let answer = request(fleet.clients, &plain("/safe/")).await;
-                if !answer.is_ok_and(|a| a.status == 200) {
+                let response = request(fleet.clients, &plain("/safe/")).await;
+                if !response.is_ok_and(|a| a.status == 200) {
                     return false;
                 }
             }
@@ -123,8 +122,8 @@
         fleet.publish_plain(0, "ready");
         until_async("it is used again", || async {
             let before = runs(0);
-            let answer = request(fleet.clients, &plain("/safe/")).await;
-            answer.is_ok() && runs(0) > before
+            let response = request(fleet.clients, &plain("/safe/")).await;
+            response.is_ok() && runs(0) > before
         })
         .await;
     }
--- a/testkit/tests/relays.rs
+++ b/testkit/tests/relays.rs
@@ -1,4 +1,4 @@
-//! entries that hear the sidecars by a relay, over real processes
+//! Entries that receive sidecar views through a relay, over real processes.
 
 use {
     anyhow::Result,
@@ -22,11 +22,14 @@
         ..FleetSettings::default()
     })
     .await?;
-    until("a relay is taken", || fleet.log().contains("relay taken")).await;
+    until("a relay is selected", || {
+        fleet.log().contains("relay taken")
+    })
+    .await;
     Ok(fleet)
 }
 
-async fn ask(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
+async fn send_prompt(fleet: &Fleet, adapter: &str, id: &str) -> Result<ClientResponse> {
     let prompt = ClientRequest {
         target: "/stream/".to_string(),
         id: id.to_string(),
@@ -36,16 +39,16 @@
     request(fleet.clients, &prompt).await
 }
 
-async fn until_served(fleet: &Fleet, adapter: &str, id: &str) {
+async fn wait_until_served(fleet: &Fleet, adapter: &str, id: &str) {
     until_async("it is served", || async {
-        let answer = ask(fleet, adapter, id).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = send_prompt(fleet, adapter, id).await;
+        response.is_ok_and(|response| response.status == 200)
     })
     .await;
 }
 
-/// the relay that the ingress took last, by its log
-fn relay_of(fleet: &Fleet) -> Option<SocketAddr> {
+/// Returns the relay that the ingress selected last, from its log.
+fn current_relay(fleet: &Fleet) -> Option<SocketAddr> {
     let log = fleet.log();
     let line = log.lines().rfind(|line| line.contains("relay taken"))?;
     let line: Value = serde_json::from_str(line).ok()?;
@@ -53,54 +56,57 @@
 }
 
 #[tokio::test]
-async fn adapters_are_loaded_by_what_a_relay_passes_on() -> Result<()> {
+async fn adapters_are_loaded_with_views_through_a_relay() -> Result<()> {
     let fleet = start(3).await?;
     for adapter in ["a", "b", "c", "d"] {
-        until_served(&fleet, adapter, adapter).await;
+        wait_until_served(&fleet, adapter, adapter).await;
     }
     for engine in &fleet.engines {
-        assert!(engine.state().orders.max_adapters <= 2, "places");
+        assert!(
+            engine.state().orders.max_adapters <= 2,
+            "adapter slots exceeded"
+        );
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn another_relay_is_taken_when_one_dies() -> Result<()> {
+async fn another_relay_is_selected_when_one_is_killed() -> Result<()> {
     let mut fleet = start(3).await?;
-    until_served(&fleet, "a", "r1").await;
-    let relay = relay_of(&fleet).expect("a relay in the log");
-    let number = (0..3).find(|n| fleet.sidecar_addr(*n) == relay);
-    let number = number.expect("a sidecar of the fleet");
-    fleet.sidecars[number].kill()?;
-    until("another is taken", || {
-        relay_of(&fleet).is_some_and(|taken| taken != relay)
+    wait_until_served(&fleet, "a", "r1").await;
+    let relay = current_relay(&fleet).expect("a relay in the log");
+    let index = (0..3).find(|n| fleet.sidecar_addr(*n) == relay);
+    let index = index.expect("a sidecar of the fleet");
+    fleet.sidecars[index].kill()?;
+    until("another relay is selected", || {
+        current_relay(&fleet).is_some_and(|current| current != relay)
     })
     .await;
     for adapter in ["b", "c"] {
-        until_served(&fleet, adapter, adapter).await;
+        wait_until_served(&fleet, adapter, adapter).await;
     }
     Ok(())
 }
 
-/// publish a configuration that has the plain route at another prefix, and wait
-/// until it is in force
+/// Publishes a configuration with another prefix for the plain route and waits until it is in
+/// force.
 async fn move_route(fleet: &mut Fleet, prefix: &str) {
     fleet.configure(|document| document["Routes"][0]["PathPrefix"] = json!(prefix));
     until_async("the route is moved", || async {
-        let to = ClientRequest {
+        let probe = ClientRequest {
             target: prefix.to_string(),
             ..ClientRequest::default()
         };
-        let answer = request(fleet.clients, &to).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = request(fleet.clients, &probe).await;
+        response.is_ok_and(|response| response.status == 200)
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_configuration_comes_by_the_relay() -> Result<()> {
+async fn a_configuration_is_received_through_the_relay() -> Result<()> {
     let mut fleet = start(2).await?;
-    until("the relay tells the store", || {
+    until("the relay forwards store updates", || {
         fleet.log().contains("\"by_relay\":true")
     })
     .await;
@@ -109,27 +115,27 @@
 }
 
 #[tokio::test]
-async fn an_entry_reads_the_store_itself_while_its_relay_does_not() -> Result<()> {
+async fn an_entry_reads_the_store_directly_while_its_relay_cannot() -> Result<()> {
     let mut fleet = start_with(2, false).await?;
     move_route(&mut fleet, "/moved/").await;
     assert!(!fleet.log().contains("\"by_relay\":true"));
-    until_served(&fleet, "a", "r1").await;
+    wait_until_served(&fleet, "a", "r1").await;
     Ok(())
 }
 
-/// what the relay knew before it died is no older than what the entry knows after
+/// The configuration in force must not revert to an earlier one.
 #[tokio::test]
-async fn no_configuration_is_lost_when_the_relay_dies() -> Result<()> {
+async fn the_configuration_does_not_revert_when_the_relay_is_killed() -> Result<()> {
     let mut fleet = start(3).await?;
     move_route(&mut fleet, "/first/").await;
     for sidecar in &mut fleet.sidecars {
         sidecar.kill()?;
     }
     move_route(&mut fleet, "/second/").await;
-    let to = ClientRequest {
+    let probe = ClientRequest {
         target: "/first/".to_string(),
         ..ClientRequest::default()
     };
-    assert_eq!(request(fleet.clients, &to).await?.status, 404);
+    assert_eq!(request(fleet.clients, &probe).await?.status, 404);
     Ok(())
 }
--- a/testkit/tests/rpc_contract.rs
+++ b/testkit/tests/rpc_contract.rs
@@ -1,5 +1,5 @@
-//! the contract of each RPC over a real socket: bad input names the field,
-//! good input does what the schema says, pages answer
+//! The contract of each RPC over a real socket: invalid input is rejected naming its field, valid
+//! input has the effect that the schema states, and the HTTP pages respond.
 
 use {
     anyhow::Result,
@@ -25,7 +25,7 @@
 
 type Admin = AdminClient<Channel>;
 
-fn good_prompt() -> GenerateRequest {
+fn valid_prompt() -> GenerateRequest {
     GenerateRequest {
         group: "branches".to_string(),
         class: "counter".to_string(),
@@ -37,7 +37,7 @@
     }
 }
 
-fn good_call() -> CallRequest {
+fn valid_call() -> CallRequest {
     CallRequest {
         group: "branches".to_string(),
         class: "counter".to_string(),
@@ -49,75 +49,75 @@
     }
 }
 
-/// the field that a status complains of
-fn bad_field(status: &Status) -> Option<String> {
+/// Returns the field that a status reports as invalid.
+fn invalid_field(status: &Status) -> Option<String> {
     let details = status.get_details_bad_request()?;
     details.field_violations.first().map(|v| v.field.clone())
 }
 
-fn expect_field(refused: Result<(), Status>, field: &str) {
-    let status = refused.expect_err(field);
+fn expect_field_rejected(rejected: Result<(), Status>, field: &str) {
+    let status = rejected.expect_err(field);
     assert_eq!(status.code(), Code::InvalidArgument, "{field}");
-    assert_eq!(bad_field(&status).as_deref(), Some(field), "{status}");
+    assert_eq!(invalid_field(&status).as_deref(), Some(field), "{status}");
 }
 
-async fn prompt_is_refused(
+async fn expect_prompt_rejected(
     client: &mut InferenceClient<Channel>,
     change: impl FnOnce(&mut GenerateRequest),
     field: &str,
 ) {
-    let mut req = good_prompt();
+    let mut req = valid_prompt();
     change(&mut req);
-    let refused = client.generate(req).await.map(|_| ());
-    expect_field(refused, field);
+    let rejected = client.generate(req).await.map(|_| ());
+    expect_field_rejected(rejected, field);
 }
 
-async fn call_is_refused(
+async fn expect_call_rejected(
     client: &mut InferenceClient<Channel>,
     change: impl FnOnce(&mut CallRequest),
     field: &str,
 ) {
-    let mut req = good_call();
+    let mut req = valid_call();
     change(&mut req);
-    expect_field(client.call(req).await.map(|_| ()), field);
+    expect_field_rejected(client.call(req).await.map(|_| ()), field);
 }
 
 #[tokio::test]
-async fn callers_rpcs_refuse_bad_input_by_its_field() -> Result<()> {
+async fn inference_rpcs_reject_invalid_input_naming_its_field() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let mut client = cluster.client(0).await?;
-    prompt_is_refused(&mut client, |r| r.group = "nobody".into(), "group").await;
-    prompt_is_refused(&mut client, |r| r.class = "never".into(), "class").await;
-    prompt_is_refused(&mut client, |r| r.adapter = "none".into(), "adapter").await;
-    prompt_is_refused(&mut client, |r| r.version = 9, "version").await;
-    prompt_is_refused(&mut client, |r| r.prompt.clear(), "prompt").await;
-    prompt_is_refused(&mut client, |r| r.prompt = "x".repeat(2 << 20), "prompt").await;
-    prompt_is_refused(&mut client, |r| r.max_tokens = 0, "max_tokens").await;
-    prompt_is_refused(&mut client, |r| r.max_tokens = 1 << 20, "max_tokens").await;
-    prompt_is_refused(&mut client, |r| r.not_repeatable = true, "reserved_id").await;
-    prompt_is_refused(
+    expect_prompt_rejected(&mut client, |r| r.group = "nobody".into(), "group").await;
+    expect_prompt_rejected(&mut client, |r| r.class = "never".into(), "class").await;
+    expect_prompt_rejected(&mut client, |r| r.adapter = "none".into(), "adapter").await;
+    expect_prompt_rejected(&mut client, |r| r.version = 9, "version").await;
+    expect_prompt_rejected(&mut client, |r| r.prompt.clear(), "prompt").await;
+    expect_prompt_rejected(&mut client, |r| r.prompt = "x".repeat(2 << 20), "prompt").await;
+    expect_prompt_rejected(&mut client, |r| r.max_tokens = 0, "max_tokens").await;
+    expect_prompt_rejected(&mut client, |r| r.max_tokens = 1 << 20, "max_tokens").await;
+    expect_prompt_rejected(&mut client, |r| r.not_repeatable = true, "reserved_id").await;
+    expect_prompt_rejected(
         &mut client,
         |r| r.reserved_id = "a.1.2.3".into(),
         "not_repeatable",
     )
     .await;
-    call_is_refused(&mut client, |r| r.group = "nobody".into(), "group").await;
-    call_is_refused(&mut client, |r| r.class = "never".into(), "class").await;
-    call_is_refused(&mut client, |r| r.service = "none".into(), "service").await;
-    call_is_refused(&mut client, |r| r.body = vec![0; 2 << 20], "body").await;
-    call_is_refused(
+    expect_call_rejected(&mut client, |r| r.group = "nobody".into(), "group").await;
+    expect_call_rejected(&mut client, |r| r.class = "never".into(), "class").await;
+    expect_call_rejected(&mut client, |r| r.service = "none".into(), "service").await;
+    expect_call_rejected(&mut client, |r| r.body = vec![0; 2 << 20], "body").await;
+    expect_call_rejected(
         &mut client,
         |r| r.reserved_id = "what".into(),
         "reserved_id",
     )
     .await;
-    call_is_refused(
+    expect_call_rejected(
         &mut client,
         |r| r.reserved_id = "engine-0.1.2.3".into(),
         "reserved_id",
     )
     .await;
-    call_is_refused(&mut client, |r| r.reserved_id.clear(), "reserved_id").await;
+    expect_call_rejected(&mut client, |r| r.reserved_id.clear(), "reserved_id").await;
     let reserve = |work, count| ReserveRequest {
         group: "branches".to_string(),
         count,
@@ -134,21 +134,24 @@
         ),
     ];
     for (req, field) in cases {
-        expect_field(client.reserve(req).await.map(|_| ()), field);
+        expect_field_rejected(client.reserve(req).await.map(|_| ()), field);
     }
     let cancel = CancelRequest {
         reserved_id: "what".to_string(),
     };
-    expect_field(client.cancel(cancel).await.map(|_| ()), "reserved_id");
-    // a guessed id of the right target
-    let guessed = client.call(good_call()).await.expect_err("guessed");
-    assert_eq!(outcome_of(&guessed), Outcome::MayHaveRun);
+    expect_field_rejected(client.cancel(cancel).await.map(|_| ()), "reserved_id");
+    // an id of the right target that was never reserved
+    let unreserved = client
+        .call(valid_call())
+        .await
+        .expect_err("the id was never reserved");
+    assert_eq!(outcome_of(&unreserved), Outcome::MayHaveRun);
     assert_eq!(cluster.services[0].service.total_runs(), 0);
     Ok(())
 }
 
 #[tokio::test]
-async fn operators_rpcs_refuse_bad_input_by_its_field() -> Result<()> {
+async fn admin_rpcs_reject_invalid_input_naming_its_field() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let mut admin: Admin = AdminClient::new(cluster.channel(0).await?);
     let group = |group: &str, share| CreateGroupRequest {
@@ -161,14 +164,14 @@
         (group("branches", 1), "groups"),
         (group("new", 0), "groups.new.share"),
     ] {
-        expect_field(admin.create_group(req).await.map(|_| ()), field);
+        expect_field_rejected(admin.create_group(req).await.map(|_| ()), field);
     }
     let share = SetShareRequest {
         base_generation: 1,
         group: "nobody".to_string(),
         share: 1,
     };
-    expect_field(admin.set_share(share).await.map(|_| ()), "group");
+    expect_field_rejected(admin.set_share(share).await.map(|_| ()), "group");
     let digest = WeightsDigest::of(b"d").to_string();
     let register = |adapter: &str, digest: &str| RegisterAdapterRequest {
         base_generation: 1,
@@ -183,35 +186,35 @@
         (register("new", ""), "digest"),
         (register("new", "short"), "digest"),
     ] {
-        expect_field(admin.register_adapter(req).await.map(|_| ()), field);
+        expect_field_rejected(admin.register_adapter(req).await.map(|_| ()), field);
     }
     let version = AddVersionRequest {
         base_generation: 1,
         adapter: "none".to_string(),
         digest: WeightsDigest::of(b"d").to_string(),
     };
-    expect_field(admin.add_version(version).await.map(|_| ()), "adapter");
+    expect_field_rejected(admin.add_version(version).await.map(|_| ()), "adapter");
     let retire = RetireVersionRequest {
         base_generation: 1,
         adapter: "loan-1".to_string(),
         version: 9,
     };
-    expect_field(admin.retire_version(retire).await.map(|_| ()), "version");
+    expect_field_rejected(admin.retire_version(retire).await.map(|_| ()), "version");
     let plan = PlanRequest {
         adapter: "none".to_string(),
         version: 1,
     };
-    expect_field(admin.plan(plan).await.map(|_| ()), "adapter");
+    expect_field_rejected(admin.plan(plan).await.map(|_| ()), "adapter");
     Ok(())
 }
 
 #[tokio::test]
-async fn a_prompt_is_planned_run_and_seen_in_status_and_metrics() -> Result<()> {
+async fn a_prompt_is_planned_run_and_shown_in_status_and_metrics() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let mut client = cluster.client(0).await?;
-    let answer = generate(&mut client, good_prompt()).await.expect("served");
+    let response = generate(&mut client, valid_prompt()).await.expect("served");
     assert_eq!(
-        check_completion(&good_prompt(), &answer),
+        check_completion(&valid_prompt(), &response),
         CompletionCheck::Correct
     );
     let mut admin: Admin = AdminClient::new(cluster.channel(0).await?);
@@ -253,15 +256,15 @@
 }
 
 #[tokio::test]
-async fn a_generation_that_nobody_published_is_reported_missing() -> Result<()> {
+async fn an_unpublished_generation_is_reported_missing() -> Result<()> {
     let cluster = Cluster::start(ClusterSettings::default()).await?;
     let mut admin: Admin = AdminClient::new(cluster.channel(0).await?);
     let req = WaitInForceRequest {
         generation: 7,
         timeout_ms: 10,
     };
-    let answer = admin.wait_in_force(req).await?.into_inner();
-    assert!(!answer.in_force);
-    assert_eq!(answer.missing.len(), cluster.nodes().count());
+    let response = admin.wait_in_force(req).await?.into_inner();
+    assert!(!response.in_force);
+    assert_eq!(response.missing.len(), cluster.nodes().count());
     Ok(())
 }
--- a/testkit/tests/silent_sidecars.rs
+++ b/testkit/tests/silent_sidecars.rs
@@ -1,7 +1,6 @@
-//! Entries whose sidecars are gone, over real processes
+//! Entries without reachable sidecars, over real processes.
 //!
-//! Seen: with all links to sidecars cut, requests were held to their deadline for adapters that
-//! nobody was to load; that the calls to sidecars had failed was known only to the links.
+//! Guards against: requests held until their deadline for adapters that no sidecar can load.
 
 use {
     anyhow::Result,
@@ -12,23 +11,23 @@
     serde_json::Value,
 };
 
-/// how often the log has this part of a message
-fn count(fleet: &Fleet, message: &str) -> usize {
+/// Returns how often the log contains this text.
+fn count_in_log(fleet: &Fleet, message: &str) -> usize {
     fleet.log().matches(message).count()
 }
 
-/// lines of the log about a request that say this
-fn lines_about(fleet: &Fleet, request: &str, message: &str) -> Vec<Value> {
+/// Returns the log lines of a request with this message.
+fn log_lines_of(fleet: &Fleet, request: &str, message: &str) -> Vec<Value> {
     let log = fleet.log();
     let lines = log
         .lines()
         .filter_map(|line| serde_json::from_str(line).ok());
-    let is_meant = |line: &Value| line["message"] == message && line["request"] == request;
-    lines.filter(is_meant).collect()
+    let is_match = |line: &Value| line["message"] == message && line["request"] == request;
+    lines.filter(is_match).collect()
 }
 
 #[tokio::test]
-async fn what_was_loaded_is_served_and_the_rest_refused_at_once() -> Result<()> {
+async fn loaded_adapters_are_served_and_others_rejected_at_once() -> Result<()> {
     let mut fleet = Fleet::start(FleetSettings {
         engines: 1,
         plain: 0,
@@ -37,25 +36,25 @@
     .await?;
     assert_eq!(serve_prompt(&fleet, "a", "before").await?.status, 200);
     fleet.sidecars[0].kill()?;
-    until("its word is missed", || {
-        count(&fleet, "takes no demands") == 1 && count(&fleet, "lost") == 1
+    until("the loss of the sidecar is logged", || {
+        count_in_log(&fleet, "takes no demands") == 1 && count_in_log(&fleet, "lost") == 1
     })
     .await;
-    // its engine lives, and what the sidecar said last holds
+    // the engine is up, and the last report of its sidecar is still used
     assert_eq!(serve_prompt(&fleet, "a", "after").await?.status, 200);
-    let answer = request(fleet.clients, &prompt("b", "unknown")).await?;
-    assert_eq!((answer.status, engine_runs(&fleet, "unknown")), (503, 0));
-    // the last line about the request
-    until("the answer is logged", || {
-        !lines_about(&fleet, "unknown", "answered").is_empty()
+    let response = request(fleet.clients, &prompt("b", "unknown")).await?;
+    assert_eq!((response.status, engine_runs(&fleet, "unknown")), (503, 0));
+    // this is the last line about the request
+    until("the response is logged", || {
+        !log_lines_of(&fleet, "unknown", "answered").is_empty()
     })
     .await;
-    let causes: Vec<Value> = lines_about(&fleet, "unknown", "refused");
+    let causes: Vec<Value> = log_lines_of(&fleet, "unknown", "refused");
     let causes: Vec<&Value> = causes.iter().map(|line| &line["cause"]).collect();
     assert_eq!(causes, ["unheard"]);
     fleet.sidecars[0] = fleet.start_sidecar(0)?;
-    until("it is asked again", || {
-        count(&fleet, "takes demands again") == 1
+    until("the sidecar accepts demands again", || {
+        count_in_log(&fleet, "takes demands again") == 1
     })
     .await;
     assert_eq!(serve_prompt(&fleet, "b", "again").await?.status, 200);
--- a/testkit/tests/soak.rs
+++ b/testkit/tests/soak.rs
@@ -1,4 +1,4 @@
-//! a short soak, and its checks against planted faults
+//! Short soak runs, and the soak checks against records with one violation each.
 
 use {
     anyhow::Result,
@@ -12,15 +12,15 @@
     std::time::{Duration, Instant},
 };
 
-/// seeds of the short soak, each with the gap between faults in ms; others are played by
-/// hand. 102 ended an ingress by SIGHUP, which had just been started.
+/// Seeds, each with the mean interval between faults in ms. Seed 102 sends SIGHUP to an ingress
+/// that is starting.
 const SEEDS: [(u64, u64); 4] = [(1, 500), (2, 500), (3, 250), (102, 250)];
-const SPAN: Duration = Duration::from_secs(6);
-/// a limit binds 3 s after it was named, and windows of 4 s are looked at
-const LIMITED_SPAN: Duration = Duration::from_secs(12);
+const FAULT_PERIOD: Duration = Duration::from_secs(6);
+/// Longer, since limits are enforced 3 s after they are advertised and checked over 4 s windows.
+const RATE_LIMIT_FAULT_PERIOD: Duration = Duration::from_secs(12);
 
-/// play a short soak in which all promises must be kept
-async fn play_clean(settings: SoakSettings) -> Result<()> {
+/// Runs a soak that must end without violations.
+async fn run_without_violations(settings: SoakSettings) -> Result<()> {
     let report = run_soak(&settings).await?;
     let seed = settings.seed;
     assert!(report.served > 0, "seed {seed}: {:?}", report.outcomes);
@@ -35,12 +35,12 @@
 }
 
 #[tokio::test]
-async fn promises_hold_under_faults_that_overlap() -> Result<()> {
-    for (seed, gap_ms) in SEEDS {
-        play_clean(SoakSettings {
+async fn no_violations_under_overlapping_faults() -> Result<()> {
+    for (seed, interval_ms) in SEEDS {
+        run_without_violations(SoakSettings {
             seed,
-            mean_fault_interval: Duration::from_millis(gap_ms),
-            fault_period: SPAN,
+            mean_fault_interval: Duration::from_millis(interval_ms),
+            fault_period: FAULT_PERIOD,
             ..SoakSettings::default()
         })
         .await?;
@@ -48,17 +48,17 @@
     Ok(())
 }
 
-/// The same with a client whose request ends each engine that runs it. 338 and 344 had an
-/// engine ordered beyond its places by a sidecar that had just begun; 439 had engines of the
-/// next life load a former version.
+/// The same with a client whose request crashes each engine that runs it. Seeds 338 and 344 guard
+/// against a restarted sidecar that exceeds the adapter slots, 439 against a restarted engine
+/// that loads an earlier version.
 #[tokio::test]
-async fn promises_hold_while_a_request_ends_engines() -> Result<()> {
-    for (seed, gap_ms) in [(11, 500), (12, 500), (338, 300), (344, 300), (439, 300)] {
-        play_clean(SoakSettings {
+async fn no_violations_while_a_request_crashes_engines() -> Result<()> {
+    for (seed, interval_ms) in [(11, 500), (12, 500), (338, 300), (344, 300), (439, 300)] {
+        run_without_violations(SoakSettings {
             seed,
             crashing_requests: true,
-            mean_fault_interval: Duration::from_millis(gap_ms),
-            fault_period: SPAN,
+            mean_fault_interval: Duration::from_millis(interval_ms),
+            fault_period: FAULT_PERIOD,
             ..SoakSettings::default()
         })
         .await?;
@@ -66,15 +66,15 @@
     Ok(())
 }
 
-/// the same with engines that say of themselves that they leave or want rest
+/// The same with engines that announce leaving or request back-off.
 #[tokio::test]
-async fn promises_hold_while_engines_leave_and_rest() -> Result<()> {
+async fn no_violations_while_engines_leave_and_request_backoff() -> Result<()> {
     for seed in [21, 22, 23] {
-        play_clean(SoakSettings {
+        run_without_violations(SoakSettings {
             seed,
             backend_signals: true,
             mean_fault_interval: Duration::from_millis(300),
-            fault_period: SPAN,
+            fault_period: FAULT_PERIOD,
             ..SoakSettings::default()
         })
         .await?;
@@ -82,15 +82,15 @@
     Ok(())
 }
 
-/// the same with back ends that name how many requests they take
+/// The same with back ends that advertise rate limits.
 #[tokio::test]
-async fn promises_hold_while_back_ends_name_limits() -> Result<()> {
+async fn no_violations_while_back_ends_advertise_limits() -> Result<()> {
     for seed in [31, 32] {
-        play_clean(SoakSettings {
+        run_without_violations(SoakSettings {
             seed,
             rate_limits: true,
             mean_fault_interval: Duration::from_millis(700),
-            fault_period: LIMITED_SPAN,
+            fault_period: RATE_LIMIT_FAULT_PERIOD,
             ..SoakSettings::default()
         })
         .await?;
@@ -99,18 +99,18 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_each_time() {
+fn a_seed_always_schedules_the_same_faults() {
     let settings = SoakSettings::default();
-    let drawn = |settings: &SoakSettings| format!("{:?}", schedule_faults(settings));
-    assert_eq!(drawn(&settings), drawn(&settings));
+    let schedule = |settings: &SoakSettings| format!("{:?}", schedule_faults(settings));
+    assert_eq!(schedule(&settings), schedule(&settings));
     let other = SoakSettings {
         seed: 2,
         ..settings.clone()
     };
-    assert_ne!(drawn(&settings), drawn(&other));
+    assert_ne!(schedule(&settings), schedule(&other));
 }
 
-fn answered(kind: RequestKind, status: u16, body: &str) -> RequestRecord {
+fn response_to(kind: RequestKind, status: u16, body: &str) -> RequestRecord {
     RequestRecord {
         id: "r".to_string(),
         kind,
@@ -131,14 +131,14 @@
     request
 }
 
-fn unsigned(mut request: RequestRecord) -> RequestRecord {
+fn without_stamp(mut request: RequestRecord) -> RequestRecord {
     if let Outcome::Responded { has_stamp, .. } = &mut request.outcome {
         *has_stamp = false;
     }
     request
 }
 
-fn ledger(requests: Vec<RequestRecord>, runs: usize) -> SoakRecord {
+fn record(requests: Vec<RequestRecord>, runs: usize) -> SoakRecord {
     SoakRecord {
         requests,
         backends: vec![BackendRecord {
@@ -163,103 +163,109 @@
     }
 }
 
-const WHOLE: &str = "the whole answer";
+const COMPLETE_BODY: &str = "the whole answer";
 const EVENTS: &str = "id: 0\ndata: x\n\nid: 1\ndata: x\n\n";
 
 #[test]
-fn what_is_sound_is_not_found_fault_with() {
-    let sound = [
-        ledger(vec![answered(RequestKind::Unsafe, 200, WHOLE)], 1),
-        ledger(vec![answered(RequestKind::Safe, 200, WHOLE)], 2),
-        ledger(vec![answered(RequestKind::Stream, 200, EVENTS)], 1),
-        ledger(vec![answered(RequestKind::Unsafe, 503, "")], 0),
-        ledger(vec![answered(RequestKind::Unsafe, 502, "")], 1),
+fn valid_records_have_no_violations() {
+    let valid_records = [
+        record(
+            vec![response_to(RequestKind::Unsafe, 200, COMPLETE_BODY)],
+            1,
+        ),
+        record(vec![response_to(RequestKind::Safe, 200, COMPLETE_BODY)], 2),
+        record(vec![response_to(RequestKind::Stream, 200, EVENTS)], 1),
+        record(vec![response_to(RequestKind::Unsafe, 503, "")], 0),
+        record(vec![response_to(RequestKind::Unsafe, 502, "")], 1),
     ];
-    for ledger in sound {
-        assert_eq!(violations(&ledger), [], "{ledger:?}");
+    for record in valid_records {
+        assert_eq!(violations(&record), [], "{record:?}");
     }
 }
 
 #[test]
-fn each_planted_fault_is_found() {
+fn each_kind_of_violation_is_reported() {
     let id = || "r".to_string();
     let engine = || "e".to_string();
-    let mut two_holders = ledger(Vec::new(), 0);
+    let mut two_holders = record(Vec::new(), 0);
     two_holders.backends[0].orders = vec![order("x", 1), order("y", 2)];
-    let mut fence_fell = ledger(Vec::new(), 0);
-    fence_fell.backends[0].orders = vec![order("x", 2), order("x", 1)];
-    let mut too_many = ledger(Vec::new(), 0);
-    too_many.backends[0].most_adapters = ADAPTER_SLOTS + 1;
-    let mut leaving = ledger(Vec::new(), 0);
+    let mut fence_decreased = record(Vec::new(), 0);
+    fence_decreased.backends[0].orders = vec![order("x", 2), order("x", 1)];
+    let mut too_many_adapters = record(Vec::new(), 0);
+    too_many_adapters.backends[0].most_adapters = ADAPTER_SLOTS + 1;
+    let mut leaving = record(Vec::new(), 0);
     leaving.backends[0].requests_while_leaving = 1;
-    let mut resting = ledger(Vec::new(), 0);
-    resting.backends[0].max_requests_in_backoff = 3;
-    let mut limited = ledger(Vec::new(), 0);
-    limited.backends[0].requests_over_limit = 2;
-    let mut back = ledger(Vec::new(), 0);
-    back.configurations = ConfigurationHistory {
+    let mut in_backoff = record(Vec::new(), 0);
+    in_backoff.backends[0].max_requests_in_backoff = 3;
+    let mut over_limit = record(Vec::new(), 0);
+    over_limit.backends[0].requests_over_limit = 2;
+    let mut config_regressed = record(Vec::new(), 0);
+    config_regressed.configurations = ConfigurationHistory {
         incarnations: vec![vec![3, 5], vec![4, 6, 2]],
     };
-    let mut repeats = ledger(vec![answered(RequestKind::Safe, 503, "")], 0);
+    let mut retries = record(vec![response_to(RequestKind::Safe, 503, "")], 0);
     let now = Instant::now();
-    repeats.backends[0].arrivals = vec![(now, id()); 52];
-    let mut crashing_requests = ledger(Vec::new(), 0);
+    retries.backends[0].arrivals = vec![(now, id()); 52];
+    let mut crashing_requests = record(Vec::new(), 0);
     (
         crashing_requests.crashes,
         crashing_requests.crash_registry_losses,
     ) = (10, 1);
-    let mut ended = ledger(Vec::new(), 0);
-    ended.exited_processes = vec!["ingress".to_string()];
-    let mut missing = ledger(Vec::new(), 0);
-    missing.not_recovered = vec!["/safe/".to_string()];
-    let unsafe_ok = || answered(RequestKind::Unsafe, 200, WHOLE);
+    let mut exited = record(Vec::new(), 0);
+    exited.exited_processes = vec!["ingress".to_string()];
+    let mut not_recovered = record(Vec::new(), 0);
+    not_recovered.not_recovered = vec!["/safe/".to_string()];
+    let unsafe_ok = || response_to(RequestKind::Unsafe, 200, COMPLETE_BODY);
     let cases = [
         (
-            ledger(vec![unsafe_ok()], 2),
+            record(vec![unsafe_ok()], 2),
             Violation::TooManyRuns { id: id(), runs: 2 },
         ),
         (
-            ledger(vec![answered(RequestKind::Safe, 200, WHOLE)], 3),
+            record(vec![response_to(RequestKind::Safe, 200, COMPLETE_BODY)], 3),
             Violation::TooManyRuns { id: id(), runs: 3 },
         ),
         (
-            ledger(vec![answered(RequestKind::Stream, 429, "")], 1),
+            record(vec![response_to(RequestKind::Stream, 429, "")], 1),
             Violation::RejectedButRun {
                 id: id(),
                 status: 429,
             },
         ),
         (
-            ledger(vec![with_id(unsafe_ok(), "other")], 1),
+            record(vec![with_id(unsafe_ok(), "other")], 1),
             Violation::WrongRequestId { id: id() },
         ),
         (
-            ledger(vec![unsigned(unsafe_ok())], 1),
+            record(vec![without_stamp(unsafe_ok())], 1),
             Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(vec![answered(RequestKind::Unsafe, 200, "the whole")], 1),
+            record(vec![response_to(RequestKind::Unsafe, 200, "the whole")], 1),
             Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(
-                vec![answered(RequestKind::Stream, 200, "id: 0\nid: 2\n")],
+            record(
+                vec![response_to(RequestKind::Stream, 200, "id: 0\nid: 2\n")],
                 1,
             ),
             Violation::CorruptResponse { id: id() },
         ),
         (
-            ledger(vec![answered(RequestKind::Safe, 404, "")], 0),
+            record(vec![response_to(RequestKind::Safe, 404, "")], 0),
             Violation::UnexpectedNotFound { id: id() },
         ),
         (
-            ledger(Vec::new(), 1),
+            record(Vec::new(), 1),
             Violation::UnknownRequestRun { id: id() },
         ),
         (two_holders, Violation::MultipleHolders { engine: engine() }),
-        (fence_fell, Violation::FenceDecreased { engine: engine() }),
         (
-            too_many,
+            fence_decreased,
+            Violation::FenceDecreased { engine: engine() },
+        ),
+        (
+            too_many_adapters,
             Violation::TooManyAdapters {
                 engine: engine(),
                 most: ADAPTER_SLOTS + 1,
@@ -273,22 +279,25 @@
             },
         ),
         (
-            resting,
+            in_backoff,
             Violation::BackoffNotHonored {
                 engine: engine(),
                 requests: 3,
             },
         ),
         (
-            limited,
+            over_limit,
             Violation::LimitNotHonored {
                 engine: engine(),
                 over: 2,
             },
         ),
-        (back, Violation::ConfigurationRegressed { from: 6, to: 2 }),
         (
-            repeats,
+            config_regressed,
+            Violation::ConfigurationRegressed { from: 6, to: 2 },
+        ),
+        (
+            retries,
             Violation::RetryBudgetExceeded {
                 repeats: 51,
                 allowed: 50,
@@ -302,19 +311,19 @@
             },
         ),
         (
-            ended,
+            exited,
             Violation::UnexpectedExit {
                 process: "ingress".to_string(),
             },
         ),
         (
-            missing,
+            not_recovered,
             Violation::NotRecovered {
                 what: "/safe/".to_string(),
             },
         ),
     ];
-    for (ledger, planted) in cases {
-        assert_eq!(violations(&ledger), [planted]);
+    for (record, expected) in cases {
+        assert_eq!(violations(&record), [expected]);
     }
 }
--- a/testkit/tests/unknown_headers.rs
+++ b/testkit/tests/unknown_headers.rs
@@ -1,7 +1,6 @@
-//! Headers of back ends' answers that this build does not know.
+//! Response headers of back ends that this build does not know.
 //!
-//! Seen: three times engines began to say something of themselves in a new header, and nobody knew
-//! until it was an incident.
+//! Guards against: new header names of back ends that appear in no metric and no log line.
 
 use {
     anyhow::Result,
@@ -11,8 +10,8 @@
     },
 };
 
-/// names that are counted one by one
-const MOST: usize = 32;
+/// Header names with a counter of their own.
+const MAX_COUNTED_NAMES: usize = 32;
 const VALUE: &str = "value-that-no-process-writes";
 const NAMES: [&str; 40] = [
     "X-A00", "X-A01", "X-A02", "X-A03", "X-A04", "X-A05", "X-A06", "X-A07", "X-A08", "X-A09",
@@ -21,7 +20,7 @@
     "X-A30", "X-A31", "X-A32", "X-A33", "X-A34", "X-A35", "X-A36", "X-A37", "X-A38", "X-A39",
 ];
 
-fn safe(id: &str) -> ClientRequest {
+fn safe_request(id: &str) -> ClientRequest {
     ClientRequest {
         target: "/safe/".to_string(),
         id: id.to_string(),
@@ -29,21 +28,21 @@
     }
 }
 
-/// Guards against: a new word of back ends that no page of metrics and no line names.
+/// Guards against: an unknown header that is not counted and logged, or whose value is written.
 #[tokio::test]
-async fn a_new_header_is_counted_by_name_and_logged_once() -> Result<()> {
+async fn an_unknown_header_is_counted_by_name_and_logged_once() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    let odd = ("Server-Mood", VALUE.to_string());
-    fleet.plain[0].state().extra_headers = vec![odd];
+    let unknown = ("Server-Mood", VALUE.to_string());
+    fleet.plain[0].state().extra_headers = vec![unknown];
     for number in 0..3 {
-        let answer = request(fleet.clients, &safe(&format!("r-{number}"))).await?;
-        assert_eq!(answer.head.get("server-mood"), Some(VALUE));
+        let response = request(fleet.clients, &safe_request(&format!("r-{number}"))).await?;
+        assert_eq!(response.head.get("server-mood"), Some(VALUE));
     }
     let page = fleet.metrics_text().await;
     let row = "chalkcart_ingress_unknown_headers_total{header=\"server-mood\"} 3";
     assert!(page.contains(row), "{page}");
-    // the last line about these requests
-    until("the last answer is logged", || {
+    // this is the last line about these requests
+    until("the last response is logged", || {
         let log = fleet.log();
         let mut lines = log.lines();
         lines.any(|line| line.contains("answered") && line.contains("\"r-2\""))
@@ -58,25 +57,25 @@
     Ok(())
 }
 
-/// Guards against: a page that grows with what a back end writes.
+/// Guards against: a metrics page that grows with the number of header names.
 #[tokio::test]
-async fn many_names_count_together_beyond_the_first() -> Result<()> {
+async fn names_beyond_the_maximum_share_one_counter() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    let odd = NAMES.map(|name| (name, VALUE.to_string()));
-    fleet.plain[0].state().extra_headers = odd.to_vec();
-    request(fleet.clients, &safe("r")).await?;
+    let unknown = NAMES.map(|name| (name, VALUE.to_string()));
+    fleet.plain[0].state().extra_headers = unknown.to_vec();
+    request(fleet.clients, &safe_request("r")).await?;
     let page = fleet.metrics_text().await;
     let rows = page.matches("unknown_headers_total{").count();
-    assert_eq!(rows, MOST + 1);
+    assert_eq!(rows, MAX_COUNTED_NAMES + 1);
     Ok(())
 }
 
-/// Guards against: words that this build reads, or that any server writes, which are counted.
+/// Guards against: counting headers that this build reads or that are standard.
 #[tokio::test]
-async fn what_is_known_is_not_counted() -> Result<()> {
+async fn known_headers_are_not_counted() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
     fleet.plain[0].state().advertised_limit = Some(1_000.0);
-    request(fleet.clients, &safe("r")).await?;
+    request(fleet.clients, &safe_request("r")).await?;
     let page = fleet.metrics_text().await;
     assert_eq!(page.matches("unknown_headers_total{").count(), 0);
     Ok(())
--- a/testkit/tests/whole_answers.rs
+++ b/testkit/tests/whole_answers.rs
@@ -1,5 +1,5 @@
-//! every caller gets the whole answer to its own request, though events come
-//! late, twice or out of order, streams break, and processes end
+//! Every caller gets the complete response to its own request, although events are delayed,
+//! duplicated or reordered, streams break, and processes end.
 
 use {
     anyhow::Result,
@@ -19,7 +19,6 @@
 };
 
 const TOKENS: u32 = 60;
-/// adapters of the prompts
 const ADAPTERS: usize = 4;
 
 fn engines_only() -> ClusterSettings {
@@ -30,7 +29,7 @@
     }
 }
 
-/// slow enough that a test meets a request while it runs
+/// Settings of an engine that is slow enough for a test to act while requests run.
 fn slow_engine() -> EngineSettings {
     EngineSettings {
         step: Duration::from_millis(20),
@@ -64,12 +63,12 @@
     Ok(running)
 }
 
-async fn expect_all_whole(running: Vec<JoinHandle<Generated>>, case: &str) -> Result<()> {
-    for (number, answer) in running.into_iter().enumerate() {
-        let answer = answer.await?;
-        let answer = answer.unwrap_or_else(|e| panic!("{case}: {number}: {}", e.status));
+async fn expect_all_complete(running: Vec<JoinHandle<Generated>>, case: &str) -> Result<()> {
+    for (number, response) in running.into_iter().enumerate() {
+        let response = response.await?;
+        let response = response.unwrap_or_else(|e| panic!("{case}: {number}: {}", e.status));
         assert_eq!(
-            check_completion(&prompt(number), &answer),
+            check_completion(&prompt(number), &response),
             CompletionCheck::Correct,
             "{case}: {number}"
         );
@@ -77,14 +76,14 @@
     Ok(())
 }
 
-/// wait until so many requests run on the engines
+/// Waits until at least `count` requests run on the engines.
 async fn wait_running(cluster: &Cluster, count: usize) {
     let running = || -> usize { cluster.engines.iter().map(|e| e.engine.running()).sum() };
     until("requests run", || running() >= count).await;
 }
 
 #[tokio::test]
-async fn answers_are_whole_whatever_the_engines_streams_do() -> Result<()> {
+async fn responses_are_complete_despite_stream_faults() -> Result<()> {
     let cases = [
         ("none", EngineFaults::default()),
         (
@@ -125,13 +124,13 @@
             .iter()
             .for_each(|e| e.engine.set_faults(faults));
         let running = spawn_all(&cluster, 8).await?;
-        expect_all_whole(running, case).await?;
+        expect_all_complete(running, case).await?;
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn an_answer_of_another_version_is_an_error_and_never_an_answer() -> Result<()> {
+async fn a_response_of_another_version_is_an_error() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let faults = EngineFaults {
         wrong_version: true,
@@ -144,15 +143,15 @@
     let mut client = cluster.client(0).await?;
     let failure = generate(&mut client, prompt(1))
         .await
-        .expect_err("not an answer");
+        .expect_err("a response of another version");
     assert_eq!(failure.reason, "WRONG_VERSION");
     assert_eq!(failure.outcome, Outcome::MayHaveRun);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_stream_cut_between_entry_and_sidecar_is_resumed() -> Result<()> {
-    for cut in [
+async fn a_stream_interrupted_between_entry_and_sidecar_is_resumed() -> Result<()> {
+    for fault in [
         LinkFault::Closed,
         LinkFault::ResponsesLost,
         LinkFault::Blackhole,
@@ -164,49 +163,49 @@
         let cluster = Cluster::start(settings).await?;
         let running = spawn_all(&cluster, 6).await?;
         wait_running(&cluster, 3).await;
-        let set = |cut| {
+        let set = |fault| {
             for node in &cluster.engines {
                 node.sidecar
                     .forwarder
                     .as_ref()
                     .expect("a forwarder")
-                    .set_fault(cut);
+                    .set_fault(fault);
             }
         };
-        set(cut);
+        set(fault);
         sleep(Duration::from_millis(150)).await;
         set(LinkFault::None);
-        expect_all_whole(running, &format!("{cut:?}")).await?;
+        expect_all_complete(running, &format!("{fault:?}")).await?;
         for number in 0..6 {
             let text = prompt(number).prompt;
             let runs: u32 = cluster.engines.iter().map(|e| e.engine.runs(&text)).sum();
-            assert_eq!(runs, 1, "{cut:?}: {number} was run again");
+            assert_eq!(runs, 1, "{fault:?}: {number} did not run exactly once");
         }
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn repeatable_work_goes_on_elsewhere_when_its_sidecar_is_killed() -> Result<()> {
+async fn repeatable_requests_continue_elsewhere_when_their_sidecar_is_killed() -> Result<()> {
     let mut cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
     wait_running(&cluster, 4).await;
     cluster.engines[0].sidecar.process.kill()?;
-    expect_all_whole(running, "killed").await
+    expect_all_complete(running, "killed").await
 }
 
 #[tokio::test]
-async fn repeatable_work_goes_on_elsewhere_when_its_sidecar_freezes() -> Result<()> {
+async fn repeatable_requests_continue_elsewhere_when_their_sidecar_is_paused() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
     wait_running(&cluster, 4).await;
     cluster.engines[0].sidecar.process.pause()?;
-    expect_all_whole(running, "frozen").await?;
-    // woken, it serves again
+    expect_all_complete(running, "paused").await?;
+    // the resumed sidecar serves again
     cluster.engines[0].sidecar.process.resume()?;
     cluster.engines[0].sidecar.wait_ready().await?;
     let running = spawn_all(&cluster, 8).await?;
-    expect_all_whole(running, "woken").await?;
+    expect_all_complete(running, "resumed").await?;
     let unloaded: u32 = cluster
         .engines
         .iter()
@@ -217,34 +216,34 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_restarts_empty_under_load_loses_no_answer() -> Result<()> {
+async fn restarts_of_engines_under_load_lose_no_response() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 10).await?;
     wait_running(&cluster, 4).await;
     cluster.engines[0].engine.restart();
     sleep(Duration::from_millis(100)).await;
     cluster.engines[1].engine.restart();
-    expect_all_whole(running, "restarted").await
+    expect_all_complete(running, "restarted").await
 }
 
 #[tokio::test]
-async fn loads_that_fail_are_tried_again() -> Result<()> {
+async fn failed_loads_are_retried() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     cluster.store.fail_next(3);
     let running = spawn_all(&cluster, 6).await?;
-    expect_all_whole(running, "failed loads").await
+    expect_all_complete(running, "failed loads").await
 }
 
 #[tokio::test]
-async fn a_replaced_sidecar_and_its_live_predecessor_disturb_no_answer() -> Result<()> {
+async fn a_replaced_sidecar_and_its_live_predecessor_corrupt_no_response() -> Result<()> {
     let mut cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
     wait_running(&cluster, 4).await;
     let old = cluster.replace_engine_sidecar(0).await?;
     cluster.engines[0].sidecar.wait_ready().await?;
-    expect_all_whole(running, "replaced").await?;
+    expect_all_complete(running, "replaced").await?;
     let running = spawn_all(&cluster, 8).await?;
-    expect_all_whole(running, "after").await?;
+    expect_all_complete(running, "after").await?;
     let unloaded: u32 = cluster
         .engines
         .iter()
@@ -256,28 +255,28 @@
 }
 
 #[tokio::test]
-async fn a_slow_caller_gets_it_all_and_holds_nobody_up() -> Result<()> {
+async fn a_slow_caller_gets_everything_and_blocks_no_other_caller() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let mut slow = cluster.client(0).await?;
     let req = prompt(0);
     let mut events = slow.generate(req.clone()).await?.into_inner();
     let running = spawn_all(&cluster, 6).await?;
-    expect_all_whole(running, "beside a slow caller").await?;
-    let mut answer = Completion::default();
+    expect_all_complete(running, "beside a slow caller").await?;
+    let mut response = Completion::default();
     while let Some(event) = events.message().await? {
         match event.event {
-            Some(Event::Token(token)) => answer.tokens.push(token.text),
-            Some(Event::Finished(finished)) => answer.finished = Some(finished),
+            Some(Event::Token(token)) => response.tokens.push(token.text),
+            Some(Event::Finished(finished)) => response.finished = Some(finished),
             None => {}
         }
     }
-    assert_eq!(check_completion(&req, &answer), CompletionCheck::Correct);
+    assert_eq!(check_completion(&req, &response), CompletionCheck::Correct);
     Ok(())
 }
 
-/// the library's own bound of 200 streams once held the others back
+/// Guards against: the HTTP/2 library's default limit of 200 concurrent streams.
 #[tokio::test]
-async fn one_connection_carries_more_streams_than_a_few_hundred() -> Result<()> {
+async fn one_connection_carries_several_hundred_streams() -> Result<()> {
     const STREAMS: usize = 260;
     let engine = EngineSettings {
         max_batch: 512,
@@ -291,14 +290,14 @@
     })
     .await?;
     let client = cluster.client(0).await?;
-    // no stream ends before the last adapter is there
+    // all adapters are loaded before the streams start
     for number in 0..ADAPTERS {
         let short = GenerateRequest {
             max_tokens: 1,
             ..prompt(number)
         };
-        let answer = generate(&mut client.clone(), short).await;
-        assert!(answer.is_ok(), "adapter {number} is loaded");
+        let response = generate(&mut client.clone(), short).await;
+        assert!(response.is_ok(), "adapter {number} is loaded");
     }
     let mut running = Vec::new();
     for number in 0..STREAMS {
@@ -309,11 +308,11 @@
         ));
     }
     wait_running(&cluster, STREAMS).await;
-    expect_all_whole(running, "one connection").await
+    expect_all_complete(running, "one connection").await
 }
 
 #[test]
-fn the_check_catches_one_planted_fault_of_each_kind() {
+fn the_check_reports_each_kind_of_fault() {
     use chalkcart_protocol::v1::Finished;
     use chalkcart_testkit::engine::expected_token;
     let req = GenerateRequest {
@@ -321,7 +320,7 @@
         ..prompt(2)
     };
     let token = |version, index| expected_token(&req.adapter, version, &req.prompt, index);
-    let whole = |version: u32| Completion {
+    let complete = |version: u32| Completion {
         tokens: (0..3).map(|i| token(version, i)).collect(),
         finished: Some(Finished {
             token_count: 3,
@@ -330,22 +329,25 @@
         }),
         ..Completion::default()
     };
-    let good = whole(req.version);
-    assert_eq!(check_completion(&req, &good), CompletionCheck::Correct);
+    let correct = complete(req.version);
+    assert_eq!(check_completion(&req, &correct), CompletionCheck::Correct);
     assert_eq!(
-        check_completion(&req, &whole(9)),
+        check_completion(&req, &complete(9)),
         CompletionCheck::Mismatched
     );
-    let mut cut = good.clone();
-    cut.tokens.pop();
-    assert_eq!(check_completion(&req, &cut), CompletionCheck::Incomplete);
-    let mut doubled = good.clone();
-    doubled.tokens.insert(1, token(req.version, 0));
+    let mut truncated = correct.clone();
+    truncated.tokens.pop();
     assert_eq!(
-        check_completion(&req, &doubled),
+        check_completion(&req, &truncated),
         CompletionCheck::Incomplete
     );
-    let mut unfinished = good;
+    let mut duplicated = correct.clone();
+    duplicated.tokens.insert(1, token(req.version, 0));
+    assert_eq!(
+        check_completion(&req, &duplicated),
+        CompletionCheck::Incomplete
+    );
+    let mut unfinished = correct;
     unfinished.finished = None;
     assert_eq!(
         check_completion(&req, &unfinished),
