--- a/testkit/examples/capacity/decisions.rs
+++ b/testkit/examples/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! time of decisions
+//! Processor time of routing and configuration decisions.
 
 use {
     crate::{
@@ -25,13 +25,13 @@
 
 const ROUTES: u32 = 500;
 const CHANGES: u32 = 20;
-const ASKERS: [usize; 3] = [12, 120, 1_200];
+const REQUESTERS: [usize; 3] = [12, 120, 1_200];
 
 pub fn measure() -> Result<Vec<Slope>> {
     let routes = TARGETS.iter().map(|n| (*n as f64, route_micros(*n)));
     let lists = TARGETS.iter().map(|n| (*n as f64, list_micros(*n)));
-    let parts = TARGETS.iter().map(|n| (*n as f64, parts_micros(*n)));
-    let permits = ASKERS.iter().map(|n| (*n as f64, permit_micros(*n)));
+    let selections = TARGETS.iter().map(|n| (*n as f64, selection_micros(*n)));
+    let permits = REQUESTERS.iter().map(|n| (*n as f64, permit_micros(*n)));
     let mut changes = Vec::new();
     for adapters in ADAPTERS {
         changes.push((adapters as f64, change_micros(adapters)?));
@@ -50,15 +50,15 @@
         Slope::new(
             "watchers and permit giver found",
             "µs a listed box",
-            parts.collect(),
+            selections.collect(),
         ),
         Slope::new("one ask for a permit", "µs an asker", permits.collect()),
         Slope::new("one change of an adapter applied", "µs an adapter", changes),
     ])
 }
 
-fn micros(span: Duration, count: u32) -> f64 {
-    span.as_secs_f64() * 1e6 / f64::from(count)
+fn micros(duration: Duration, count: u32) -> f64 {
+    duration.as_secs_f64() * 1e6 / f64::from(count)
 }
 
 fn route_micros(targets: usize) -> f64 {
@@ -66,7 +66,7 @@
     let now = Instant::now();
     let started = Instant::now();
     for number in 0..ROUTES {
-        let ask = RouteRequest {
+        let request = RouteRequest {
             requirement: TargetRequirement::Adapter {
                 adapter: format!("adapter-{number}"),
                 version: 1,
@@ -75,7 +75,7 @@
             tokens: 50,
             excluded: Vec::new(),
         };
-        black_box(table.route(&ask, now));
+        black_box(table.route(&request, now));
     }
     micros(started.elapsed(), ROUTES)
 }
@@ -90,7 +90,7 @@
     micros(started.elapsed(), CHANGES)
 }
 
-fn parts_micros(targets: usize) -> f64 {
+fn selection_micros(targets: usize) -> f64 {
     let list = list(targets);
     let started = Instant::now();
     for _ in 0..CHANGES {
@@ -100,28 +100,28 @@
     micros(started.elapsed(), CHANGES)
 }
 
-fn permit_micros(askers: usize) -> f64 {
+fn permit_micros(requesters: usize) -> f64 {
     let now = Instant::now();
-    let mut giver = LoadPermitIssuer::new(LoadPermitSettings::default(), now);
+    let mut issuer = LoadPermitIssuer::new(LoadPermitSettings::default(), now);
     let started = Instant::now();
-    for number in 0..askers {
-        let ask = PermitRequest {
+    for number in 0..requesters {
+        let request = PermitRequest {
             purpose: PermitPurpose::Ask,
             target: format!("engine-{number}"),
             adapter: "a".to_string(),
             priority: 1,
             waited: Duration::from_millis(number as u64),
         };
-        black_box(giver.request(&ask, now));
+        black_box(issuer.request(&request, now));
     }
-    micros(started.elapsed(), askers as u32)
+    micros(started.elapsed(), requesters as u32)
 }
 
 fn change_micros(adapters: usize) -> Result<f64> {
     let documents = documents(adapters);
     let shards = documents.plain_shards();
     let mut cfg = Configuration::new(Arc::new(documents.root), shards)?;
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for number in 0..CHANGES {
         let change = Change::AddVersion {
             adapter: format!("adapter-1-{number}"),
@@ -134,7 +134,7 @@
         let missing = cfg.missing_shards(&root);
         let shard = serde_json::from_str(&shards[0].content)?;
         cfg = cfg.advance(Arc::new(root), vec![(missing[0], shard)])?;
-        spent += started.elapsed();
+        elapsed += started.elapsed();
     }
-    Ok(micros(spent, CHANGES))
+    Ok(micros(elapsed, CHANGES))
 }
--- a/testkit/examples/capacity/dispatch.rs
+++ b/testkit/examples/capacity/dispatch.rs
@@ -1,4 +1,4 @@
-//! time of the ingress's decisions
+//! Processor time of the ingress's dispatch decisions.
 
 use {
     crate::fit::Slope,
@@ -19,22 +19,22 @@
 };
 
 const ENGINES: [usize; 3] = [12, 58, 400];
-const HELD: usize = 19;
+const ADAPTERS_PER_ENGINE: usize = 19;
 const ROUNDS: u32 = 200;
 const SERVICE: &str = "engines";
-/// requests that wait for an adapter while views come in
-const WAITING: u64 = 4;
+/// Requests that wait for an adapter while views are received.
+const WAITING_REQUESTS: u64 = 4;
 
 pub fn measure() -> Vec<Slope> {
     let views = ENGINES.map(|n| (n as f64, view_micros(n)));
-    let asks = ENGINES.map(|n| (n as f64, ask_micros(n)));
+    let requests = ENGINES.map(|n| (n as f64, request_micros(n)));
     vec![
         Slope::new(
             "one view while 4 requests wait",
             "µs an engine",
             views.to_vec(),
         ),
-        Slope::new("one request sent", "µs an engine", asks.to_vec()),
+        Slope::new("one request sent", "µs an engine", requests.to_vec()),
     ]
 }
 
@@ -50,8 +50,8 @@
 }
 
 fn view(number: usize, running: u32) -> EngineView {
-    let held = (0..HELD).map(|n| HeldAdapter {
-        adapter: adapter(number * HELD + n),
+    let held = (0..ADAPTERS_PER_ENGINE).map(|n| HeldAdapter {
+        adapter: adapter(number * ADAPTERS_PER_ENGINE + n),
         version: 1,
     });
     EngineView {
@@ -77,7 +77,7 @@
     let mut dispatcher = Dispatcher::new(settings);
     let spec = EngineSpec {
         slots: 48,
-        adapter_slots: HELD as u32,
+        adapter_slots: ADAPTERS_PER_ENGINE as u32,
         weights_mb: 45_000.0,
         kv_capacity: 119_405,
         models: vec![BaseModel {
@@ -122,7 +122,7 @@
     dispatcher.handle(DispatchEvent::ViewReceived { addr, view }, now);
 }
 
-fn ask(number: usize, now: Instant) -> DispatchRequest {
+fn new_request(number: usize, now: Instant) -> DispatchRequest {
     let body = number.to_le_bytes();
     DispatchRequest {
         digest: RequestDigest::of("POST", "/", "", &body),
@@ -149,15 +149,9 @@
 fn view_micros(engines: usize) -> f64 {
     let now = Instant::now();
     let mut dispatcher = dispatcher(engines, now);
-    for ticket in 0..WAITING {
-        let ask = ask(1_000_000 + ticket as usize, now);
-        dispatcher.handle(
-            DispatchEvent::RequestArrived {
-                ticket,
-                request: ask,
-            },
-            now,
-        );
+    for ticket in 0..WAITING_REQUESTS {
+        let request = new_request(1_000_000 + ticket as usize, now);
+        dispatcher.handle(DispatchEvent::RequestArrived { ticket, request }, now);
     }
     let started = Instant::now();
     for round in 0..ROUNDS {
@@ -166,19 +160,13 @@
     started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-fn ask_micros(engines: usize) -> f64 {
+fn request_micros(engines: usize) -> f64 {
     let now = Instant::now();
     let mut dispatcher = dispatcher(engines, now);
     let started = Instant::now();
     for ticket in 0..u64::from(ROUNDS) {
-        let ask = ask(ticket as usize * 7 % (engines * HELD), now);
-        dispatcher.handle(
-            DispatchEvent::RequestArrived {
-                ticket,
-                request: ask,
-            },
-            now,
-        );
+        let request = new_request(ticket as usize * 7 % (engines * ADAPTERS_PER_ENGINE), now);
+        dispatcher.handle(DispatchEvent::RequestArrived { ticket, request }, now);
     }
     started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
--- a/testkit/examples/capacity/main.rs
+++ b/testkit/examples/capacity/main.rs
@@ -1,5 +1,4 @@
-//! measures the slopes behind docs/CAPACITY.md:
-//! `cargo run --release --example capacity`
+//! Measures the slopes of docs/CAPACITY.md: `cargo run --release --example capacity`.
 
 mod decisions;
 mod dispatch;
@@ -17,7 +16,7 @@
     std::alloc::System,
 };
 
-/// counts the bytes that the measured structures hold
+/// Counts the bytes that the measured structures allocate.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
@@ -28,7 +27,7 @@
     options.optflag(
         "",
         "no-processes",
-        "leave out what needs a fleet of processes",
+        "leave out measurements that need a fleet of processes",
     );
     let matches = options.parse(std::env::args().skip(1))?;
     if matches.opt_present("help") {
--- a/testkit/examples/capacity/memory.rs
+++ b/testkit/examples/capacity/memory.rs
@@ -1,4 +1,4 @@
-//! bytes that the tables hold
+//! Heap memory of tables and buffers.
 
 use {
     crate::{fit::Slope, ALLOCATOR},
@@ -45,10 +45,10 @@
     ])
 }
 
-/// bytes that a value holds, its making not counted
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
+/// Returns the bytes that a value occupies, without temporary allocations during its creation.
+fn retained_bytes<T>(create: impl FnOnce() -> T) -> f64 {
     let region = Region::new(ALLOCATOR);
-    let value = make();
+    let value = create();
     let change = region.change();
     let bytes = change.bytes_allocated as i64 - change.bytes_deallocated as i64;
     drop(value);
@@ -69,7 +69,7 @@
 
 fn table_bytes(adapters: usize) -> f64 {
     let documents = documents(adapters);
-    // read as a process reads it: from JSON
+    // decoded from JSON, as in a process
     let root = serde_json::to_vec(&documents.root).expect("encodes");
     let shards: Vec<Vec<u8>> = documents
         .shards
@@ -77,13 +77,13 @@
         .map(|s| serde_json::to_vec(s.as_ref()).expect("encodes"))
         .collect();
     drop(documents);
-    held(|| {
+    retained_bytes(|| {
         let shards = shards
             .iter()
             .map(|s| serde_json::from_slice(s).expect("decodes"))
             .collect();
         let root = serde_json::from_slice(&root).expect("decodes");
-        Configuration::new(Arc::new(root), shards).expect("is good")
+        Configuration::new(Arc::new(root), shards).expect("a valid configuration")
     })
 }
 
@@ -134,7 +134,7 @@
 }
 
 fn target_bytes(targets: usize) -> f64 {
-    held(|| {
+    retained_bytes(|| {
         let list = list(targets);
         let table = table(&list, PolicyName::LeastExpectedWait);
         (list, table)
@@ -142,19 +142,19 @@
 }
 
 fn id_bytes(ids: usize) -> f64 {
-    held(|| {
+    retained_bytes(|| {
         let mut table = RunOnceTable::new(RunOnceSettings {
             capacity: ids,
             ..RunOnceSettings::default()
         });
-        let given = table.reserve(ids as u32, Instant::now(), || 1);
-        drop(given);
+        let reserved_ids = table.reserve(ids as u32, Instant::now(), || 1);
+        drop(reserved_ids);
         table
     })
 }
 
 fn buffer_bytes(tokens: usize) -> f64 {
-    held(|| {
+    retained_bytes(|| {
         let mut buffer = StreamBuffer::new();
         for number in 0..tokens {
             buffer.push(FrameBody::Token(format!("tok{number}")));
--- a/testkit/examples/capacity/processes.rs
+++ b/testkit/examples/capacity/processes.rs
@@ -1,4 +1,4 @@
-//! processor time and memory of the real processes
+//! Processor time and memory of real processes.
 
 use {
     crate::fit::Slope,
@@ -15,13 +15,13 @@
     tokio::{runtime::Runtime, time::sleep},
 };
 
-/// ticks of the kernel's clock in a second, as /proc counts
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc`.
+const TICKS_PER_S: f64 = 100.0;
 const IDLE_SIZES: [usize; 3] = [8, 16, 32];
-const IDLE_SPAN: Duration = Duration::from_secs(15);
+const IDLE_DURATION: Duration = Duration::from_secs(15);
 const TOKENS: [u32; 3] = [4, 64, 256];
 const REQUESTS: usize = 600;
-const AT_ONCE: usize = 40;
+const CONCURRENCY: usize = 40;
 const STREAMS: [usize; 3] = [40, 120, 240];
 
 pub fn measure() -> Result<Vec<Slope>> {
@@ -34,16 +34,16 @@
     })
 }
 
-/// processor time of a process so far, in ms
+/// Returns the processor time that a process has used, in ms.
 fn cpu_ms(node: &Node) -> Result<f64> {
     let text = fs::read_to_string(format!("/proc/{}/stat", node.process.id()))?;
     let (_, rest) = text.rsplit_once(')').context("read /proc")?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
     let ticks = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
-    Ok(ticks * 1_000.0 / TICKS)
+    Ok(ticks * 1_000.0 / TICKS_PER_S)
 }
 
-/// memory of a process, in KiB
+/// Returns the resident memory of a process, in KiB.
 fn memory_kib(node: &Node) -> Result<f64> {
     let text = fs::read_to_string(format!("/proc/{}/status", node.process.id()))?;
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
@@ -73,11 +73,14 @@
             cpu_ms(&cluster.entries[0])?,
             cpu_ms(&cluster.engines[0].sidecar)?,
         );
-        sleep(IDLE_SPAN).await;
-        let span = IDLE_SPAN.as_secs_f64();
+        sleep(IDLE_DURATION).await;
+        let seconds = IDLE_DURATION.as_secs_f64();
         let x = size as f64;
-        entry.push((x, (cpu_ms(&cluster.entries[0])? - before.0) / span));
-        sidecar.push((x, (cpu_ms(&cluster.engines[0].sidecar)? - before.1) / span));
+        entry.push((x, (cpu_ms(&cluster.entries[0])? - before.0) / seconds));
+        sidecar.push((
+            x,
+            (cpu_ms(&cluster.engines[0].sidecar)? - before.1) / seconds,
+        ));
         entry_memory.push((x, memory_kib(&cluster.entries[0])?));
         sidecar_memory.push((x, memory_kib(&cluster.engines[0].sidecar)?));
     }
@@ -118,8 +121,8 @@
     }
 }
 
-/// processor time of a request by its tokens: the slope is a token's, the
-/// base a request's
+/// Measures the processor time of requests by their number of tokens: the slope is the time of a
+/// token and the intercept that of a request.
 async fn measure_work() -> Result<Vec<Slope>> {
     let cluster = Cluster::start(fleet(1, 1, fast_engine())).await?;
     let (entry, sidecar) = (&cluster.entries[0], &cluster.engines[0].sidecar);
@@ -144,12 +147,12 @@
 
 async fn run(cluster: &Cluster, requests: usize, tokens: u32) -> Result<()> {
     let client = cluster.client(0).await?;
-    let callers = (0..AT_ONCE).map(|caller| {
+    let callers = (0..CONCURRENCY).map(|caller| {
         let mut client = client.clone();
         async move {
-            for number in (caller..requests).step_by(AT_ONCE) {
-                let answer = generate(&mut client, prompt(number, tokens)).await;
-                answer.map_err(|e| anyhow::anyhow!("{}", e.status))?;
+            for number in (caller..requests).step_by(CONCURRENCY) {
+                let response = generate(&mut client, prompt(number, tokens)).await;
+                response.map_err(|e| anyhow::anyhow!("{}", e.status))?;
             }
             Ok(())
         }
@@ -157,7 +160,7 @@
     join_all(callers).await.into_iter().collect()
 }
 
-/// memory of streams that run
+/// Measures the memory of running streams.
 async fn measure_streams() -> Result<Vec<Slope>> {
     let (mut entry_points, mut sidecar_points) = (Vec::new(), Vec::new());
     let engine = EngineSettings {
--- a/testkit/examples/capacity/wire.rs
+++ b/testkit/examples/capacity/wire.rs
@@ -1,4 +1,4 @@
-//! bytes on the wire, with the heads of HTTP
+//! Bytes on the wire, including HTTP heads.
 
 use {
     crate::{
@@ -22,32 +22,32 @@
     },
 };
 
-/// head of an answer by gotham, as seen on the wire
-const ANSWER_HEAD: f64 = 110.0;
+/// Size of the HTTP response head of a peer, in bytes.
+const RESPONSE_HEAD_BYTES: f64 = 110.0;
 const GROUPS: [usize; 3] = [5, 50, 200];
 const TOKENS: [usize; 3] = [16, 256, 2_048];
 
 pub fn measure() -> Result<Vec<Slope>> {
-    let ask_bytes = ask_bytes()?;
-    let quiet = SyncResponse {
+    let request_bytes = request_bytes()?;
+    let unchanged = SyncResponse {
         generation: 1,
         root: None,
         list: None,
     };
-    let quiet = ask_bytes + ANSWER_HEAD + encode(&quiet)?.len() as f64;
-    let syncs = [1.0, 2.0, 3.0].map(|n| (n, n * quiet));
+    let unchanged = request_bytes + RESPONSE_HEAD_BYTES + encode(&unchanged)?.len() as f64;
+    let syncs = [1.0, 2.0, 3.0].map(|n| (n, n * unchanged));
     let mut changes = Vec::new();
     for adapters in ADAPTERS {
         changes.push((adapters as f64, change_bytes(adapters)?));
     }
     let mut lists = Vec::new();
     for targets in TARGETS {
-        let answer = SyncResponse {
+        let response = SyncResponse {
             generation: 1,
             root: None,
             list: Some(list(targets)),
         };
-        lists.push((targets as f64, encode(&answer)?.len() as f64));
+        lists.push((targets as f64, encode(&response)?.len() as f64));
     }
     let mut streams = Vec::new();
     for tokens in TOKENS {
@@ -88,27 +88,28 @@
     ])
 }
 
-/// what a process sends to ask a peer, as a listener receives it
-fn ask_bytes() -> Result<f64> {
+/// Returns the size of a `sync` request, head included, as a listener receives it.
+fn request_bytes() -> Result<f64> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let ask = SyncRequest {
+        let request = SyncRequest {
             from: "engine-00001".to_string(),
             generation: 1_000_000,
             list_version: 1_000_000,
             from_sidecar: true,
         };
-        let asked = tokio::spawn(async move {
-            let limit = Duration::from_secs(2);
-            let _: Result<SyncResponse, _> =
-                PeerClient::new().call(addr, path::SYNC, &ask, limit).await;
+        let call = tokio::spawn(async move {
+            let timeout = Duration::from_secs(2);
+            let _: Result<SyncResponse, _> = PeerClient::new()
+                .call(addr, path::SYNC, &request, timeout)
+                .await;
         });
         let (mut socket, _) = listener.accept().await?;
         let mut buf = vec![0; 4_096];
         let mut count = 0;
-        // the head and the small body may come in two pieces
+        // the head and the small body may arrive separately
         for _ in 0..2 {
             let next = tokio::time::timeout(Duration::from_millis(200), socket.read(&mut buf));
             count += next.await.unwrap_or(Ok(0))?;
@@ -116,7 +117,7 @@
         socket
             .write_all(b"HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n")
             .await?;
-        asked.await?;
+        call.await?;
         Ok(count as f64)
     })
 }
@@ -134,13 +135,13 @@
     Ok((encode(&root)?.len() + encode(&shard)?.len()) as f64)
 }
 
-/// a sidecar gets no digests of shards
+/// Returns the size of a root for a sidecar, which has no shard digests.
 fn sidecar_root_bytes(groups: usize) -> Result<f64> {
     let mut documents = Documents::new(1).with_base_model("model-0");
     for group in 0..groups {
         documents = documents.with_group(&format!("group-{group}"), 1);
     }
-    let answer = SyncResponse {
+    let response = SyncResponse {
         generation: 1,
         root: Some(Root {
             shards: Vec::new(),
@@ -148,7 +149,7 @@
         }),
         list: None,
     };
-    Ok(encode(&answer)?.len() as f64)
+    Ok(encode(&response)?.len() as f64)
 }
 
 fn stream_bytes(tokens: usize) -> Result<f64> {
--- a/testkit/examples/demo.rs
+++ b/testkit/examples/demo.rs
@@ -1,5 +1,5 @@
-//! starts a small fleet on loopback, sends a short mixed load through it and
-//! prints what each group and class saw: `cargo run --release --example demo`
+//! Starts a small fleet on loopback, sends a short mixed load through it and prints the results of
+//! each group and class: `cargo run --release --example demo`.
 
 use {
     anyhow::{ensure, Result},
@@ -15,14 +15,14 @@
     std::time::Duration,
 };
 
-const SPAN: Duration = Duration::from_secs(6);
+const DURATION: Duration = Duration::from_secs(6);
 const ONCE_CALLS: u32 = 20;
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let mut options = Options::new();
     options.optflag("h", "help", "print this help");
-    options.optflag("", "stay", "stay up and print the addresses to try");
+    options.optflag("", "stay", "keep the fleet running and print its addresses");
     let matches = options.parse(std::env::args().skip(1))?;
     if matches.opt_present("help") {
         print!(
@@ -34,7 +34,7 @@
     println!("starting 3 entries, 4 engines and 1 plain service as separate processes ...");
     let cluster = Cluster::start(fleet()).await?;
     if matches.opt_present("stay") {
-        return stay(&cluster).await;
+        return keep_running(&cluster).await;
     }
     run(&cluster).await
 }
@@ -78,9 +78,9 @@
     for (number, id) in ids.iter().enumerate() {
         let body = format!("fee table {number}");
         let client = &mut clients[number % cluster.entries.len()];
-        let answer = call_once(client, "fee-table", body.as_bytes(), id, 0).await;
+        let response = call_once(client, "fee-table", body.as_bytes(), id, 0).await;
         ensure!(
-            answer.is_ok_and(|a| a == body.as_bytes()),
+            response.is_ok_and(|a| a == body.as_bytes()),
             "call {number} failed"
         );
     }
@@ -89,8 +89,8 @@
             stream("branches", "counter", "counter", 20.0, 16),
             stream("committee", "overnight", "file", 8.0, 48),
         ],
-        span: SPAN,
-        shift: Some(SPAN / 2),
+        span: DURATION,
+        shift: Some(DURATION / 2),
         warm_up: Duration::ZERO,
         seed: 1,
     };
@@ -103,13 +103,16 @@
         service.total_runs()
     );
     println!(
-        "wrong {} cut off {} doubled {}",
+        "mismatched {}, incomplete {}, run twice {}",
         report.mismatched,
         report.incomplete,
         service.duplicate_runs()
     );
-    ensure!(report.mismatched + report.incomplete == 0, "bad answers");
-    ensure!(service.duplicate_runs() == 0, "doubled calls");
+    ensure!(
+        report.mismatched + report.incomplete == 0,
+        "mismatched or incomplete responses"
+    );
+    ensure!(service.duplicate_runs() == 0, "calls ran twice");
     Ok(())
 }
 
@@ -127,7 +130,7 @@
     }
 }
 
-async fn stay(cluster: &Cluster) -> Result<()> {
+async fn keep_running(cluster: &Cluster) -> Result<()> {
     for entry in &cluster.entries {
         println!(
             "{}: {}  (gRPC, /metrics, /readyz)",
--- a/testkit/examples/experiment/fleet.rs
+++ b/testkit/examples/experiment/fleet.rs
@@ -1,4 +1,4 @@
-//! what the experiments have in common
+//! Fleet settings, load and checks shared by the experiments.
 
 use {
     anyhow::{ensure, Result},
@@ -15,27 +15,27 @@
     tonic::transport::Channel,
 };
 
-/// tokens of one answer
+/// Tokens of one response.
 pub const TOKENS: u32 = 48;
-/// callers' patience
+/// Timeout of requests.
 pub const TIMEOUT_MS: u32 = 8_000;
-/// skew of the adapters' popularity
+/// Zipf exponent of the adapters' popularity.
 pub const EXPONENT: f64 = 1.3;
 
-/// how long and how often
+/// Number of runs of each variant and their duration.
 #[derive(Debug)]
 pub struct Plan {
     pub seeds: u64,
-    pub span: u64,
+    pub span_s: u64,
 }
 
 impl Plan {
     pub fn span(&self) -> Duration {
-        Duration::from_secs(self.span)
+        Duration::from_secs(self.span_s)
     }
 }
 
-/// an engine in which a full batch makes about 330 tokens a second
+/// Returns settings of an engine whose full batch generates about 330 tokens per second.
 pub fn engine(base_model: &str) -> EngineSettings {
     EngineSettings {
         base_model: base_model.to_string(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// one user's fleet at its size of today, without plain services
+/// Returns the fleet of one user at its present size, without plain services.
 pub fn user_fleet(user: &UserSize) -> ClusterSettings {
     let engines = user
         .engines
@@ -68,7 +68,7 @@
     }
 }
 
-/// the user's main class at a rate
+/// Returns requests of the user's main class at a rate per second.
 pub fn user_stream(user: &UserSize, rate: f64) -> RequestStream {
     RequestStream {
         group: user.group.to_string(),
@@ -91,20 +91,25 @@
     Ok(clients)
 }
 
-/// bad outcomes over the whole run must be zero
+/// Fails if the run had wrong, incomplete or unfinished responses or unloaded an adapter in use;
+/// returns their number.
 pub fn check(cluster: &Cluster, report: &LoadReport) -> Result<u64> {
     let unloaded: u32 = cluster
         .engines
         .iter()
         .map(|e| e.engine.unloaded_in_use())
         .sum();
-    let bad = report.mismatched + report.incomplete + report.unfinished + u64::from(unloaded);
-    ensure!(bad == 0, "bad outcomes: {report:?}");
-    Ok(bad)
+    let violations =
+        report.mismatched + report.incomplete + report.unfinished + u64::from(unloaded);
+    ensure!(
+        violations == 0,
+        "wrong, incomplete or unfinished responses, or adapters unloaded in use: {report:?}"
+    );
+    Ok(violations)
 }
 
-/// show a row as soon as it is measured
-pub fn noted(row: Value) -> Value {
+/// Prints a row to standard error and returns it.
+pub fn print_row(row: Value) -> Value {
     eprintln!("{row}");
     row
 }
--- a/testkit/examples/experiment/main.rs
+++ b/testkit/examples/experiment/main.rs
@@ -1,5 +1,5 @@
-//! experiments that choose between ways, all variants in one run:
-//! `cargo run --release --example experiment -- NAME`
+//! Experiments that compare variants in one run:
+//! `cargo run --release --example experiment -- NAME`.
 
 mod fleet;
 mod overhead;
@@ -31,14 +31,14 @@
     );
     options.optopt("", "json", "write the rows to a file as well", "FILE");
     let matches = options.parse(std::env::args().skip(1))?;
-    let brief = format!("Usage: experiment [OPTIONS] NAME\n\nNAME is one of: {NAMES}");
+    let usage = format!("Usage: experiment [OPTIONS] NAME\n\nNAME is one of: {NAMES}");
     if matches.opt_present("help") {
-        print!("{}", options.usage(&brief));
+        print!("{}", options.usage(&usage));
         return Ok(());
     }
     let plan = fleet::Plan {
         seeds: matches.opt_get_default("seeds", 3)?,
-        span: matches.opt_get_default("span", 16)?,
+        span_s: matches.opt_get_default("span", 16)?,
     };
     let name = matches.free.first().map(String::as_str);
     let rows = match name {
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// rows as a Markdown table, their keys as the head
+/// Prints rows as a Markdown table with their keys as its head.
 fn print_table(rows: &[Value]) {
     let Some(Value::Object(first)) = rows.first() else {
         return;
--- a/testkit/examples/experiment/overhead.rs
+++ b/testkit/examples/experiment/overhead.rs
@@ -1,5 +1,5 @@
-//! what entry and sidecar add to a request, beside the same load sent
-//! straight to the engine stand-in, in one run
+//! Latency that entry and sidecar add to a request, compared with the same requests sent directly
+//! to an engine stand-in in the same run.
 
 use {
     crate::fleet::{clients, Plan},
@@ -24,7 +24,7 @@
 };
 
 const TOKENS: u32 = 16;
-/// requests one after the other, each way in turn
+/// Pairs of sequential requests, one through the fleet and one direct.
 const PAIRS: u64 = 400;
 const FENCE: u64 = 1;
 
@@ -50,22 +50,22 @@
     })
     .await?;
     let store = Arc::new(WeightStore::new(StoreSettings::default()));
-    let bare = EngineStandIn::start(engine_settings(), store).await?;
-    let direct = Direct::start(&bare, &documents).await?;
+    let stand_in = EngineStandIn::start(engine_settings(), store).await?;
+    let direct = DirectClient::start(&stand_in, &documents).await?;
     let mut client = clients(&cluster).await?.remove(0);
-    let mut through = Figures::new()?;
-    let mut straight = Figures::new()?;
+    let mut proxied = LatencyHistograms::new()?;
+    let mut unproxied = LatencyHistograms::new()?;
     for number in 0..PAIRS {
         let req = prompt(number);
-        let answer = generate(&mut client, req.clone()).await;
-        let answer = answer.map_err(|e| anyhow::anyhow!("{}", e.status))?;
-        through.add(answer.time_to_first_token, answer.duration)?;
-        let (first, took) = direct.generate(&req).await?;
-        straight.add(first, took)?;
+        let response = generate(&mut client, req.clone()).await;
+        let response = response.map_err(|e| anyhow::anyhow!("{}", e.status))?;
+        proxied.add(response.time_to_first_token, response.duration)?;
+        let (first_token, duration) = direct.generate(&req).await?;
+        unproxied.add(first_token, duration)?;
     }
     Ok(vec![
-        through.row("through entry and sidecar"),
-        straight.row("straight"),
+        proxied.row("through entry and sidecar"),
+        unproxied.row("straight"),
     ])
 }
 
@@ -81,14 +81,14 @@
     }
 }
 
-/// a caller of the engine stand-in itself
-struct Direct {
+/// A client that calls an engine stand-in directly.
+struct DirectClient {
     engine: HttpEngine,
     order: OrderFence,
     adapter: AdapterKey,
 }
 
-impl Direct {
+impl DirectClient {
     async fn start(stand_in: &EngineStandIn, documents: &Documents) -> Result<Self> {
         let engine = HttpEngine::new(stand_in.addr());
         let incarnation = engine.status().await?.incarnation;
@@ -141,12 +141,12 @@
     }
 }
 
-struct Figures {
+struct LatencyHistograms {
     first: Histogram<u64>,
     total: Histogram<u64>,
 }
 
-impl Figures {
+impl LatencyHistograms {
     fn new() -> Result<Self> {
         Ok(Self {
             first: Histogram::new(3)?,
@@ -158,12 +158,12 @@
         self.total.record(total.as_micros() as u64)?;
         Ok(())
     }
-    fn row(&self, way: &str) -> Value {
+    fn row(&self, path: &str) -> Value {
         let ms = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1e3
         };
         json!({
-            "way": way,
+            "way": path,
             "requests": self.first.len(),
             "first token p50 ms": ms(&self.first, 0.5),
             "first token p99 ms": ms(&self.first, 0.99),
--- a/testkit/examples/experiment/overload.rs
+++ b/testkit/examples/experiment/overload.rs
@@ -1,7 +1,7 @@
-//! goodput at and above capacity, and what refusals look like
+//! Goodput below, at and above capacity, and the latency of rejections.
 
 use {
-    crate::fleet::{check, clients, engine, noted, Plan, TOKENS},
+    crate::fleet::{check, clients, engine, print_row, Plan, TOKENS},
     anyhow::Result,
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
@@ -13,7 +13,7 @@
 };
 
 const ADAPTERS: usize = 4;
-/// what two engines carry, in requests a second
+/// Requests per second that two engines can serve.
 const CAPACITY: f64 = 13.0;
 const FACTORS: [f64; 4] = [0.5, 1.0, 2.0, 4.0];
 const TIMEOUT_MS: u32 = 6_000;
@@ -58,10 +58,10 @@
         seed,
     };
     let report = run_load(&clients(&cluster).await?, &load).await;
-    let bad = check(&cluster, &report)?;
+    let violations = check(&cluster, &report)?;
     let class = &report.classes["clients/sameday"];
     let window = (plan.span() * 3 / 4).as_secs_f64();
-    Ok(noted(json!({
+    Ok(print_row(json!({
         "load": format!("{factor}x"),
         "seed": seed,
         "sent": class.sent,
@@ -74,6 +74,6 @@
         "refused p99 ms": class.rejected_ms(0.99),
         "ttft p99 ms": class.first_token_ms(0.99),
         "reasons": format!("{:?}", class.reasons),
-        "bad": bad,
+        "bad": violations,
     })))
 }
--- a/testkit/examples/experiment/permits.rs
+++ b/testkit/examples/experiment/permits.rs
@@ -1,7 +1,7 @@
-//! load permits against each for itself and a static share
+//! Load permits compared with unlimited loading and with a static share.
 
 use {
-    crate::fleet::{check, clients, noted, user_fleet, user_stream, Plan},
+    crate::fleet::{check, clients, print_row, user_fleet, user_stream, Plan},
     anyhow::Result,
     chalkcart_coordination::membership::select_permit_issuer,
     chalkcart_testkit::{
@@ -14,16 +14,17 @@
     tokio::time::sleep,
 };
 
-/// the urgent class and the one that can wait, in requests a second
+/// Requests per second of the urgent class.
 const URGENT_RATE: f64 = 7.0;
-const PATIENT_RATE: f64 = 9.0;
-const FAILING: u32 = 8;
+/// Requests per second of the class with a relaxed target.
+const RELAXED_RATE: f64 = 9.0;
+const FAILING_LOADS: u32 = 8;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
     FailingLoads,
-    GiverKilled,
+    IssuerKilled,
 }
 
 pub async fn run(plan: &Plan) -> Result<Vec<Value>> {
@@ -45,7 +46,7 @@
         }
         for (fault, label) in [
             (Fault::FailingLoads, "permits, loads fail"),
-            (Fault::GiverKilled, "permits, giver killed"),
+            (Fault::IssuerKilled, "permits, giver killed"),
         ] {
             for seed in 1..=plan.seeds {
                 rows.push(measure(&user, label, &json!("given"), fault, plan, seed).await?);
@@ -60,13 +61,13 @@
         class: "counter".to_string(),
         ..user_stream(user, URGENT_RATE)
     };
-    let patient = RequestStream {
+    let relaxed = RequestStream {
         class: "overnight".to_string(),
         first_token_target: Duration::from_secs(20),
         timeout_ms: 20_000,
-        ..user_stream(user, PATIENT_RATE)
+        ..user_stream(user, RELAXED_RATE)
     };
-    vec![urgent, patient]
+    vec![urgent, relaxed]
 }
 
 async fn measure(
@@ -82,15 +83,15 @@
         .sidecar_settings
         .insert("permits".to_string(), permits.clone());
     let mut cluster = Cluster::start(settings).await?;
-    // callers hold to entries that are not killed
-    let giver = select_permit_issuer(&cluster.platform.list()).map(|b| b.name.clone());
-    let giver = cluster
+    // no requests are sent to the entry that may be killed
+    let issuer = select_permit_issuer(&cluster.platform.list()).map(|b| b.name.clone());
+    let issuer = cluster
         .entries
         .iter()
-        .position(|e| Some(&e.name) == giver.as_ref());
+        .position(|e| Some(&e.name) == issuer.as_ref());
     let mut clients = clients(&cluster).await?;
-    if let Some(giver) = giver {
-        clients.remove(giver);
+    if let Some(issuer) = issuer {
+        clients.remove(issuer);
     }
     let load = LoadSettings {
         streams: streams(user),
@@ -101,16 +102,16 @@
     };
     let running = tokio::spawn(async move { run_load(&clients, &load).await });
     sleep(plan.span() / 3).await;
-    match (fault, giver) {
-        (Fault::FailingLoads, _) => cluster.store.fail_next(FAILING),
-        (Fault::GiverKilled, Some(giver)) => cluster.entries[giver].process.kill()?,
+    match (fault, issuer) {
+        (Fault::FailingLoads, _) => cluster.store.fail_next(FAILING_LOADS),
+        (Fault::IssuerKilled, Some(issuer)) => cluster.entries[issuer].process.kill()?,
         _ => {}
     }
     let report = running.await?;
-    let bad = check(&cluster, &report)?;
+    let violations = check(&cluster, &report)?;
     let class = |name: &str| &report.classes[&format!("{}/{name}", user.group)];
-    let (urgent, patient) = (class("counter"), class("overnight"));
-    Ok(noted(json!({
+    let (urgent, relaxed) = (class("counter"), class("overnight"));
+    Ok(print_row(json!({
         "user": user.name,
         "variant": variant,
         "seed": seed,
@@ -118,10 +119,10 @@
         "counter in time %": 100.0 * urgent.within_target as f64 / urgent.sent as f64,
         "counter ttft p50 ms": urgent.first_token_ms(0.5),
         "counter ttft p99 ms": urgent.first_token_ms(0.99),
-        "overnight whole %": 100.0 * patient.completed as f64 / patient.sent as f64,
-        "overnight ttft p99 ms": patient.first_token_ms(0.99),
-        "not run": urgent.not_run + patient.not_run,
+        "overnight whole %": 100.0 * relaxed.completed as f64 / relaxed.sent as f64,
+        "overnight ttft p99 ms": relaxed.first_token_ms(0.99),
+        "not run": urgent.not_run + relaxed.not_run,
         "loads": cluster.store.started(),
-        "bad": bad,
+        "bad": violations,
     })))
 }
--- a/testkit/examples/experiment/routing.rs
+++ b/testkit/examples/experiment/routing.rs
@@ -1,8 +1,8 @@
-//! routing and slots against random, least loaded and plain hash; and the
-//! bound of batching ahead, at both ends
+//! Routing by least expected wait compared with random, least loaded and plain hash, and the
+//! effect of the limit of batching ahead.
 
 use {
-    crate::fleet::{check, clients, noted, user_fleet, user_stream, Plan},
+    crate::fleet::{check, clients, print_row, user_fleet, user_stream, Plan},
     anyhow::Result,
     chalkcart_testkit::{
         cluster::{Cluster, ClusterSettings},
@@ -21,31 +21,30 @@
     "plain_hash",
     "random",
 ];
-/// requests a second, near to what the store's three loads a second carry
+/// Requests per second close to what three adapter loads per second can sustain.
 const RATE: f64 = 9.0;
 const BATCH_AHEAD: [u64; 3] = [0, 500, 8_000];
-/// requests a second of few hot adapters, near to what the engines carry
+/// Requests per second close to the capacity of the engines.
 const BUSY_RATE: f64 = 45.0;
-/// the fleet starts empty, and the store fills 96 slots in 32 s
+/// Time to fill the slots of a fleet that starts without adapters.
 const WARM_UP: Duration = Duration::from_secs(30);
 
-/// few adapters, of which the hottest asks for more than one engine
+/// Few adapters, the most popular of which needs more than one engine.
 const HOT_ADAPTERS: usize = 60;
 const HOT_RATE: f64 = 45.0;
 
-/// one variant of a measurement
 struct Variant {
     name: String,
     settings: ClusterSettings,
     stream: RequestStream,
 }
 
-/// many adapters: the weight store is the bottleneck
+/// Compares policies with many adapters, when the weight store is the bottleneck.
 pub async fn run(plan: &Plan) -> Result<Vec<Value>> {
     run_policies(plan, |user| user_stream(user, RATE)).await
 }
 
-/// few hot adapters: the engines are the bottleneck
+/// Compares policies with few popular adapters, when the engines are the bottleneck.
 pub async fn run_hot(plan: &Plan) -> Result<Vec<Value>> {
     let stream = |user: &UserSize| RequestStream {
         adapters: HOT_ADAPTERS,
@@ -63,7 +62,7 @@
         for seed in 1..=plan.seeds {
             let variants = POLICIES.map(|policy| {
                 let mut settings = user_fleet(&user);
-                settings.entry_settings = object(json!({ "routing": policy }));
+                settings.entry_settings = to_object(json!({ "routing": policy }));
                 Variant {
                     name: policy.to_string(),
                     settings,
@@ -95,15 +94,15 @@
     Ok(rows)
 }
 
-/// all variants at the same time, so that the machine treats them alike
+/// Measures all variants at the same time, so that they run under the same conditions.
 async fn measure_together(
     user: &UserSize,
     variants: Vec<Variant>,
     plan: &Plan,
     seed: u64,
 ) -> Result<Vec<Value>> {
-    let measured = variants.into_iter().map(|v| measure(user, v, plan, seed));
-    join_all(measured).await.into_iter().collect()
+    let measurements = variants.into_iter().map(|v| measure(user, v, plan, seed));
+    join_all(measurements).await.into_iter().collect()
 }
 
 async fn measure(user: &UserSize, variant: Variant, plan: &Plan, seed: u64) -> Result<Value> {
@@ -118,12 +117,12 @@
     let clients = clients(&cluster).await?;
     let running = tokio::spawn(async move { run_load(&clients, &load).await });
     sleep(WARM_UP).await;
-    let before = Engines::read(&cluster).await?;
+    let before = EngineCounters::read(&cluster).await?;
     let report = running.await?;
-    let bad = check(&cluster, &report)?;
-    let engines = Engines::read(&cluster).await?.since(&before);
+    let violations = check(&cluster, &report)?;
+    let engines = EngineCounters::read(&cluster).await?.since(&before);
     let class = report.classes.values().next().expect("one stream");
-    Ok(noted(json!({
+    Ok(print_row(json!({
         "user": user.name,
         "variant": variant.name,
         "seed": seed,
@@ -137,21 +136,21 @@
         "ttft p99 ms": class.first_token_ms(0.99),
         "requests a step": engines.requests as f64 / engines.steps.max(1) as f64,
         "loads": engines.loads,
-        "bad": bad,
+        "bad": violations,
     })))
 }
 
-/// what the engines and their sidecars have counted
-struct Engines {
+/// Counters of the engines and their sidecars.
+struct EngineCounters {
     stalls: HistogramTotals,
     waits: HistogramTotals,
     steps: u64,
-    /// requests in the steps
+    /// Requests summed over the steps.
     requests: u64,
     loads: u64,
 }
 
-impl Engines {
+impl EngineCounters {
     async fn read(cluster: &Cluster) -> Result<Self> {
         let steps = cluster.engines.iter().map(|e| e.engine.steps());
         let (steps, requests) = steps.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
@@ -174,6 +173,6 @@
     }
 }
 
-fn object(value: Value) -> Map<String, Value> {
+fn to_object(value: Value) -> Map<String, Value> {
     value.as_object().cloned().unwrap_or_default()
 }
--- a/testkit/examples/experiment/shares.rs
+++ b/testkit/examples/experiment/shares.rs
@@ -1,5 +1,5 @@
-//! three groups at shares 1:2:5, the first flooding; and what the flood does
-//! to another group's counter
+//! Three groups with shares 1:2:5, the first of which overloads the fleet, and the effect of the
+//! overload on another group's urgent class.
 
 use {
     crate::fleet::{check, clients, engine, Plan, TOKENS},
@@ -15,7 +15,7 @@
 
 const SHARES: [(&str, u32); 3] = [("one", 1), ("two", 2), ("five", 5)];
 const ADAPTERS: usize = 2;
-/// what two engines carry, in requests a second
+/// Requests per second that two engines can serve.
 const CAPACITY: f64 = 13.0;
 
 pub async fn run(plan: &Plan) -> Result<Vec<Value>> {
@@ -24,8 +24,8 @@
         rows.extend(measure_shares(plan, seed).await?);
     }
     for seed in 1..=plan.seeds {
-        for flood in [false, true] {
-            rows.push(measure_counter(plan, seed, flood).await?);
+        for is_overloaded in [false, true] {
+            rows.push(measure_counter(plan, seed, is_overloaded).await?);
         }
     }
     Ok(rows)
@@ -70,48 +70,48 @@
         seed,
     };
     let report = run_load(&clients(&cluster).await?, &load).await;
-    let bad = check(&cluster, &report)?;
-    Ok((report, bad))
+    let violations = check(&cluster, &report)?;
+    Ok((report, violations))
 }
 
-/// every group asks for more than its share, the first for far more
+/// Measures the shares when every group exceeds its share, the first one by far.
 async fn measure_shares(plan: &Plan, seed: u64) -> Result<Vec<Value>> {
     let streams = vec![
         stream("one", "sameday", 3.0 * CAPACITY),
         stream("two", "sameday", 0.6 * CAPACITY),
         stream("five", "sameday", 1.2 * CAPACITY),
     ];
-    let (report, bad) = load(streams, plan, seed).await?;
+    let (report, violations) = load(streams, plan, seed).await?;
     let all: u64 = report.classes.values().map(|c| c.window_tokens).sum();
     let sum: u32 = SHARES.iter().map(|(_, share)| share).sum();
     let row = |(group, share): (&str, u32)| {
         let class = &report.classes[&format!("{group}/sameday")];
         let fair = 100.0 * f64::from(share) / f64::from(sum);
-        let got = 100.0 * class.window_tokens as f64 / all.max(1) as f64;
+        let actual = 100.0 * class.window_tokens as f64 / all.max(1) as f64;
         new_row(
             "shares 1:2:5, one floods",
             seed,
             group,
             class,
             fair,
-            got,
-            bad,
+            actual,
+            violations,
         )
     };
     Ok(SHARES.into_iter().map(row).collect())
 }
 
-/// a counter below its share beside a flood
-async fn measure_counter(plan: &Plan, seed: u64, flood: bool) -> Result<Value> {
+/// Measures an urgent class below its share, with and without the overload of another group.
+async fn measure_counter(plan: &Plan, seed: u64, is_overloaded: bool) -> Result<Value> {
     let mut streams = vec![
         stream("five", "counter", 0.3 * CAPACITY),
         stream("two", "overnight", 0.1 * CAPACITY),
     ];
-    if flood {
+    if is_overloaded {
         streams.push(stream("one", "counter", 3.0 * CAPACITY));
     }
-    let (report, bad) = load(streams, plan, seed).await?;
-    let variant = if flood {
+    let (report, violations) = load(streams, plan, seed).await?;
+    let variant = if is_overloaded {
         "counter beside a flood"
     } else {
         "counter alone"
@@ -119,7 +119,7 @@
     let class = &report.classes["five/counter"];
     let overnight = &report.classes["two/overnight"];
     let whole = 100.0 * overnight.completed as f64 / overnight.sent as f64;
-    let mut row = new_row(variant, seed, "five", class, 0.0, 0.0, bad);
+    let mut row = new_row(variant, seed, "five", class, 0.0, 0.0, violations);
     row["overnight whole %"] = json!(whole);
     Ok(row)
 }
@@ -130,8 +130,8 @@
     group: &str,
     class: &chalkcart_testkit::load::ClassReport,
     fair: f64,
-    got: f64,
-    bad: u64,
+    actual: f64,
+    violations: u64,
 ) -> Value {
     json!({
         "variant": variant,
@@ -141,11 +141,11 @@
         "whole": class.completed,
         "not run": class.not_run,
         "fair %": fair,
-        "got %": got,
+        "got %": actual,
         "ttft p50 ms": class.first_token_ms(0.5),
         "ttft p90 ms": class.first_token_ms(0.9),
         "ttft p99 ms": class.first_token_ms(0.99),
         "overnight whole %": "",
-        "bad": bad,
+        "bad": violations,
     })
 }
--- a/testkit/examples/experiment/spread.rs
+++ b/testkit/examples/experiment/spread.rs
@@ -1,5 +1,5 @@
-//! how fast a configuration comes into force, and what the platform's
-//! services are called, as processes grow
+//! Time until a configuration is in force, and the rate of calls to the platform, by the number of
+//! processes.
 
 use {
     anyhow::Result,
@@ -13,10 +13,10 @@
     tokio::time::sleep,
 };
 
-/// entries and engines of each size
+/// Numbers of entries and engines of each fleet.
 const SIZES: [(usize, usize); 4] = [(4, 6), (8, 12), (12, 18), (16, 24)];
 const CHANGES: u32 = 5;
-const QUIET: Duration = Duration::from_secs(8);
+const IDLE_DURATION: Duration = Duration::from_secs(8);
 
 pub async fn run() -> Result<Vec<Value>> {
     let mut rows = Vec::new();
@@ -36,10 +36,10 @@
     .await?;
     let calls = || cluster.platform.state.calls.total();
     let before = calls();
-    sleep(QUIET).await;
-    let quiet = (calls() - before) as f64 / QUIET.as_secs_f64();
+    sleep(IDLE_DURATION).await;
+    let idle_calls_per_s = (calls() - before) as f64 / IDLE_DURATION.as_secs_f64();
     let mut slowest = Duration::ZERO;
-    let mut sum = Duration::ZERO;
+    let mut total = Duration::ZERO;
     for number in 0..CHANGES {
         let change = Change::SetShare {
             group: "branches".to_string(),
@@ -50,16 +50,16 @@
         let published = Instant::now();
         cluster.platform.publish(next);
         cluster.wait_in_force(0, generation).await?;
-        let took = published.elapsed();
-        slowest = slowest.max(took);
-        sum += took;
+        let elapsed = published.elapsed();
+        slowest = slowest.max(elapsed);
+        total += elapsed;
     }
     Ok(json!({
         "processes": entries + engines,
         "entries": entries,
         "zones": 2,
-        "platform calls/s": quiet,
-        "in force mean s": (sum / CHANGES).as_secs_f64(),
+        "platform calls/s": idle_calls_per_s,
+        "in force mean s": (total / CHANGES).as_secs_f64(),
         "in force slowest s": slowest.as_secs_f64(),
     }))
 }
--- a/testkit/examples/soak/main.rs
+++ b/testkit/examples/soak/main.rs
@@ -1,4 +1,4 @@
-//! plays soaks: a fleet among stand-ins under faults that overlap, seed after seed
+//! Runs soak tests: a fleet with stand-ins under overlapping faults, one seed after the other.
 
 use {
     anyhow::{ensure, Result},
@@ -13,25 +13,21 @@
 #[tokio::main]
 async fn main() -> Result<()> {
     let mut opts = Options::new();
-    opts.optopt("", "first", "the first seed", "SEED")
-        .optopt("", "seeds", "seeds to play", "COUNT")
-        .optopt("", "span", "time during which faults strike, in s", "S")
+    opts.optopt("", "first", "first seed", "SEED")
+        .optopt("", "seeds", "number of seeds to run", "COUNT")
+        .optopt("", "span", "duration of the fault period, in s", "S")
         .optopt("", "gap", "mean time between two faults, in ms", "MS")
         .optopt("", "engines", "engines, each with its sidecar", "COUNT")
-        .optopt("", "plain", "copies of the plain service", "COUNT")
+        .optopt("", "plain", "replicas of the plain service", "COUNT")
         .optopt("", "clients", "clients, each with one connection", "COUNT")
-        .optflag("", "crashing", "with a request that ends engines")
+        .optflag("", "crashing", "include a request that crashes engines")
         .optflag(
             "",
             "own-words",
-            "with engines that say that they leave or want rest",
+            "include engines that announce leaving or request back-off",
         )
-        .optflag(
-            "",
-            "limits",
-            "with back ends that name how many requests they take",
-        )
-        .optflag("h", "help", "what can be set");
+        .optflag("", "limits", "include back ends that advertise rate limits")
+        .optflag("h", "help", "print this help");
     let matches = opts.parse(env::args().skip(1))?;
     if matches.opt_present("help") {
         print!("{}", opts.usage("soak [options]"));
@@ -47,10 +43,10 @@
         })
         .await?;
         failed += u64::from(!report.violations.is_empty());
-        print(&report);
+        print_report(&report);
     }
-    println!("{seeds} seeds, {failed} with a promise that was not kept");
-    ensure!(failed == 0, "promises were not kept");
+    println!("{seeds} seeds, {failed} with violations");
+    ensure!(failed == 0, "{failed} seeds with violations");
     Ok(())
 }
 
@@ -81,9 +77,9 @@
     Ok(matches.opt_get_default(name, default)?)
 }
 
-fn print(report: &SoakReport) {
+fn print_report(report: &SoakReport) {
     println!(
-        "seed {}: {} faults, {} asked, {} served, {:?}",
+        "seed {}: {} faults, {} requests, {} served, {:?}",
         report.seed,
         report.faults.len(),
         report.requests,
@@ -93,16 +89,16 @@
     if report.violations.is_empty() {
         return;
     }
-    for planned in &report.faults {
+    for scheduled in &report.faults {
         println!(
             "  {:.2} s for {:.2} s: {:?}",
-            planned.at.as_secs_f64(),
-            planned.duration.as_secs_f64(),
-            planned.fault
+            scheduled.at.as_secs_f64(),
+            scheduled.duration.as_secs_f64(),
+            scheduled.fault
         );
     }
     for violation in &report.violations {
-        println!("  NOT KEPT: {violation}");
+        println!("  violation: {violation}");
     }
     println!("  logs: {}", report.log_folder);
 }
