--- a/testkit/examples/capacity/processes.rs
+++ b/testkit/examples/capacity/processes.rs
@@ -28,7 +28,7 @@
     let runtime = Runtime::new()?;
     runtime.block_on(async {
         let mut slopes = measure_idle().await?;
-        slopes.extend(measure_work().await?);
+        slopes.extend(measure_requests().await?);
         slopes.extend(measure_streams().await?);
         Ok(slopes)
     })
@@ -123,7 +123,7 @@
 
 /// Measures the processor time of requests by their number of tokens: the slope is the time of a
 /// token and the intercept that of a request.
-async fn measure_work() -> Result<Vec<Slope>> {
+async fn measure_requests() -> Result<Vec<Slope>> {
     let cluster = Cluster::start(fleet(1, 1, fast_engine())).await?;
     let (entry, sidecar) = (&cluster.entries[0], &cluster.engines[0].sidecar);
     let (mut entry_points, mut sidecar_points) = (Vec::new(), Vec::new());
--- a/testkit/examples/experiment/fleet.rs
+++ b/testkit/examples/experiment/fleet.rs
@@ -17,7 +17,6 @@
 
 /// Tokens of one response.
 pub const TOKENS: u32 = 48;
-/// Timeout of requests.
 pub const TIMEOUT_MS: u32 = 8_000;
 /// Zipf exponent of the adapters' popularity.
 pub const EXPONENT: f64 = 1.3;
@@ -91,8 +90,8 @@
     Ok(clients)
 }
 
-/// Fails if the run had wrong, incomplete or unfinished responses or unloaded an adapter in use;
-/// returns their number.
+/// Returns the number of wrong, incomplete or unfinished responses and of adapters unloaded in use;
+/// fails if it is not zero.
 pub fn check(cluster: &Cluster, report: &LoadReport) -> Result<u64> {
     let unloaded: u32 = cluster
         .engines
--- a/testkit/examples/experiment/shares.rs
+++ b/testkit/examples/experiment/shares.rs
@@ -118,9 +118,9 @@
     };
     let class = &report.classes["five/counter"];
     let overnight = &report.classes["two/overnight"];
-    let whole = 100.0 * overnight.completed as f64 / overnight.sent as f64;
+    let completed_percent = 100.0 * overnight.completed as f64 / overnight.sent as f64;
     let mut row = new_row(variant, seed, "five", class, 0.0, 0.0, violations);
-    row["overnight whole %"] = json!(whole);
+    row["overnight whole %"] = json!(completed_percent);
     Ok(row)
 }
 
--- a/testkit/tests/adapter_slots.rs
+++ b/testkit/tests/adapter_slots.rs
@@ -26,7 +26,7 @@
 const SEED: u64 = 20_261_202;
 const RUNS: u64 = 800;
 const STEPS: usize = 1_500;
-/// Requests without a result at a time, which keeps the queue short.
+/// Maximum number of unfinished requests, which keeps the queue short.
 const MAX_UNFINISHED: usize = 10;
 const ADAPTERS: u8 = 6;
 const SLOTS: usize = 2;
@@ -188,9 +188,9 @@
             return;
         }
         let index = usize::from(detail) % self.delayed.len();
-        let late = self.delayed.remove(index);
+        let order = self.delayed.remove(index);
         let rejected_before = self.engine.rejected_orders;
-        self.apply_order(&late, false);
+        self.apply_order(&order, false);
         let was_rejected = self.engine.rejected_orders > rejected_before;
         LATE_ORDERS_REJECTED.fetch_add(u64::from(was_rejected), Ordering::Relaxed);
     }
@@ -363,8 +363,8 @@
     /// Steps without faults until all requests have ended; panics if they don't.
     fn run_to_completion(&mut self) {
         self.has_faults = false;
-        for late in std::mem::take(&mut self.delayed) {
-            self.apply_order(&late, false);
+        for order in std::mem::take(&mut self.delayed) {
+            self.apply_order(&order, false);
         }
         for number in 0..FAULT_FREE_STEPS {
             self.step((4 << 8) | (number % 7) as u16);
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -63,7 +63,7 @@
         .generation)
 }
 
-async fn wait_generation(cluster: &Cluster, entry: usize, expected: u64) -> Result<()> {
+async fn wait_for_generation(cluster: &Cluster, entry: usize, expected: u64) -> Result<()> {
     let reached = || async {
         let found = generation(cluster, entry).await;
         found.is_ok_and(|g| g >= expected)
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-async fn wait_log(cluster: &Cluster, entry: usize, text: &str) {
+async fn wait_for_log(cluster: &Cluster, entry: usize, text: &str) {
     until(text, || cluster.entries[entry].has_logged(text)).await;
 }
 
@@ -103,7 +103,7 @@
     }
     let next = cluster.platform.documents().changed(&new_version())?;
     cluster.platform.publish(next);
-    wait_generation(&cluster, 0, 2).await?;
+    wait_for_generation(&cluster, 0, 2).await?;
     cluster.platform.set_down(true);
     for paused in &cluster.entries[1..] {
         paused.process.resume()?;
@@ -154,19 +154,19 @@
     cluster.platform.publish(other);
     let added = cluster.add_entry().await?;
     cluster.entries[added].wait_ready().await?;
-    wait_log(
+    wait_for_log(
         &cluster,
         added,
         "generation 2 rejected: its content differs from the one in force",
     )
     .await;
-    let root = root_of(&cluster, added).await?;
+    let root = planned_root(&cluster, added).await?;
     assert_eq!(root.groups[0].share, 2);
     Ok(())
 }
 
 /// Returns the root in force, taken from the next documents that an entry plans.
-async fn root_of(cluster: &Cluster, entry: usize) -> Result<Root> {
+async fn planned_root(cluster: &Cluster, entry: usize) -> Result<Root> {
     let mut admin = AdminClient::new(cluster.channel(entry).await?);
     let req = RegisterAdapterRequest {
         base_generation: 2,
@@ -222,7 +222,7 @@
     let mut incomplete = next.clone();
     incomplete.shards = first.shards.clone();
     cluster.platform.publish(incomplete);
-    wait_log(&cluster, 0, "generation 2 could not be applied").await;
+    wait_for_log(&cluster, 0, "generation 2 could not be applied").await;
     assert_eq!(generation(&cluster, 0).await?, 1);
     cluster.platform.publish(next);
     cluster.wait_in_force(0, 2).await
@@ -238,7 +238,7 @@
         ..ClusterSettings::default()
     };
     let cluster = Cluster::start(settings).await?;
-    let set = |fault| {
+    let set_link_fault = |fault| {
         for entry in &cluster.entries {
             entry
                 .forwarder
@@ -247,11 +247,11 @@
                 .set_fault(fault);
         }
     };
-    set(LinkFault::Closed);
+    set_link_fault(LinkFault::Closed);
     let next = cluster.platform.documents().changed(&new_version())?;
     cluster.platform.publish(next);
     for entry in 0..5 {
-        wait_generation(&cluster, entry, 2).await?;
+        wait_for_generation(&cluster, entry, 2).await?;
         let mut client = cluster.client(entry).await?;
         let req = prompt_on_new_version(format!("cut off {entry}"));
         let response = generate(&mut client, req.clone()).await;
@@ -260,6 +260,6 @@
             CompletionCheck::Correct
         );
     }
-    set(LinkFault::None);
+    set_link_fault(LinkFault::None);
     cluster.wait_in_force(0, 2).await
 }
--- a/testkit/tests/ingress_answers.rs
+++ b/testkit/tests/ingress_answers.rs
@@ -166,11 +166,11 @@
 #[tokio::test]
 async fn invalid_requests_are_rejected_and_not_forwarded() -> Result<()> {
     let fleet = Fleet::start(FleetSettings::default()).await?;
-    let no_host = ClientRequest {
+    let unknown_host = ClientRequest {
         host: "unknown.example".to_string(),
         ..request_to("/safe/", "r1")
     };
-    let too_large = ClientRequest {
+    let large_body = ClientRequest {
         body: vec![b'x'; 5_000],
         ..request_to("/unsafe/", "r2")
     };
@@ -178,27 +178,27 @@
         headers: vec![("X-Long".to_string(), "x".repeat(20_000))],
         ..request_to("/safe/", "r3")
     };
-    let bad_deadline = ClientRequest {
+    let invalid_deadline = ClientRequest {
         headers: vec![("Chalkcart-Deadline-Ms".to_string(), "soon".to_string())],
         ..request_to("/safe/", "r4")
     };
-    let bad_head = ClientRequest {
+    let malformed_head = ClientRequest {
         headers: vec![("bad name".to_string(), "x".to_string())],
         ..request_to("/safe/", "r5")
     };
     let cases = [
-        ("unknown host", no_host, 404),
+        ("unknown host", unknown_host, 404),
         ("unknown path", request_to("/none/", "r6"), 404),
-        ("body over the limit", too_large, 413),
+        ("body over the limit", large_body, 413),
         ("head over the limit", long_head, 431),
-        ("malformed head", bad_head, 400),
+        ("malformed head", malformed_head, 400),
     ];
     for (name, sent, status) in cases {
         let response = request(fleet.clients, &sent).await?;
         assert_eq!(response.status, status, "{name}");
     }
     // the first of two deadline headers counts, and it is valid
-    assert_eq!(request(fleet.clients, &bad_deadline).await?.status, 200);
+    assert_eq!(request(fleet.clients, &invalid_deadline).await?.status, 200);
     let runs = fleet.plain[0].runs();
     let ids: Vec<&str> = runs.iter().map(|run| run.request.as_str()).collect();
     assert_eq!(ids, ["r4"]);
--- a/testkit/tests/ingress_engines.rs
+++ b/testkit/tests/ingress_engines.rs
@@ -203,7 +203,7 @@
     // each load needs a report that the previous adapter is present
     let adapters: Vec<String> = (0..6).map(|n| format!("a{n}")).collect();
     let requests = adapters.iter().map(|a| serve_prompt(&fleet, a, a));
-    let flood = flood(&fleet);
+    let flood = flood_with_demands(&fleet);
     tokio::select! {
         () = flood => unreachable!("the flood does not end"),
         responses = join_all(requests) => {
@@ -216,7 +216,7 @@
 }
 
 /// Sends demands of another entry in a tight loop.
-async fn flood(fleet: &Fleet) {
+async fn flood_with_demands(fleet: &Fleet) {
     let peers = PeerClient::new();
     let demand = AdapterDemand {
         entry: "another".to_string(),
--- a/testkit/tests/ingress_keys.rs
+++ b/testkit/tests/ingress_keys.rs
@@ -113,14 +113,14 @@
 #[tokio::test]
 async fn requests_without_a_known_key_are_rejected() -> Result<()> {
     let fleet = start(accounts()).await?;
-    let upper = KEY.to_uppercase();
-    let long = "k".repeat(1_000);
+    let uppercase_key = KEY.to_uppercase();
+    let long_key = "k".repeat(1_000);
     let heads: [&[(&str, &str)]; 7] = [
         &[],
         &[("Api-Key", "")],
         &[("Api-Key", "no-such-key")],
-        &[("Api-Key", &upper)],
-        &[("Api-Key", &long)],
+        &[("Api-Key", &uppercase_key)],
+        &[("Api-Key", &long_key)],
         &[("Api-Key", KEY), ("Api-Key", KEY)],
         &[("Chalkcart-Tenant", "acme")],
     ];
--- a/testkit/tests/landed_peers.rs
+++ b/testkit/tests/landed_peers.rs
@@ -92,8 +92,8 @@
     hex::decode(hex).expect("hex")
 }
 
-const OLDEST: &str = include_str!("../../protocol/tests/recorded/2205e90.txt");
-const THIRD: &str = include_str!("../../protocol/tests/recorded/f7a7cb2.txt");
+const OLDEST_BUILD: &str = include_str!("../../protocol/tests/recorded/2205e90.txt");
+const THIRD_BUILD: &str = include_str!("../../protocol/tests/recorded/f7a7cb2.txt");
 
 /// Views for an entry that sends no version have named fields.
 #[tokio::test]
@@ -110,17 +110,17 @@
     Ok(())
 }
 
-/// Its demands show that it encodes incarnations as texts.
+/// The demands of such an entry show that it encodes incarnations as text.
 #[tokio::test]
 async fn an_entry_of_the_oldest_build_reads_the_views_of_a_sidecar() -> Result<()> {
     let fleet = fleet().await?;
     serve_prompt(&fleet, "a", "first").await?;
-    let (status, _) = post(&fleet, "/peer/demand", recorded(OLDEST, "demand")).await?;
+    let (status, _) = post(&fleet, "/peer/demand", recorded(OLDEST_BUILD, "demand")).await?;
     assert_eq!(status, StatusCode::OK);
     let update: Update<String> = rmp_serde::from_slice(&first_frame(&fleet).await?)?;
     assert!(matches!(update, Update::Whole(view) if view.backend == fleet.engines[0].id()));
     // replaced by a newer build on the same machine
-    let (status, _) = post(&fleet, "/peer/demand", recorded(THIRD, "demand")).await?;
+    let (status, _) = post(&fleet, "/peer/demand", recorded(THIRD_BUILD, "demand")).await?;
     assert_eq!(status, StatusCode::OK);
     let update: Update<Incarnation> = rmp_serde::from_slice(&first_frame(&fleet).await?)?;
     assert!(matches!(update, Update::Whole(_)));
@@ -131,10 +131,10 @@
 #[tokio::test]
 async fn an_entry_without_a_version_reads_the_store_directly() -> Result<()> {
     let fleet = fleet().await?;
-    let request_body = recorded(THIRD, "published_ask");
+    let request_body = recorded(THIRD_BUILD, "published_ask");
     let (status, response) = post(&fleet, RELAY_PUBLISHED, request_body).await?;
     assert_eq!(status, StatusCode::OK);
-    assert_eq!(response, recorded(THIRD, "published_stale"));
+    assert_eq!(response, recorded(THIRD_BUILD, "published_stale"));
     Ok(())
 }
 
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// Its record in the store is changed, deleted and published again as `ready`.
+/// The back end's record in the store is changed, deleted and published again as `ready`.
 #[tokio::test]
 async fn a_record_in_the_store_does_not_revoke_the_leaving_signal() -> Result<()> {
     let fleet = plain(2).await?;
@@ -213,7 +213,7 @@
     Ok(())
 }
 
-/// Its sidecar sends it orders, status reads and identification requests.
+/// The sidecar sends the engine orders, status reads and identification requests.
 #[tokio::test]
 async fn a_sidecar_honors_the_backoff_of_an_engine_that_rejects_orders() -> Result<()> {
     let fleet = engines(2).await?;
--- a/testkit/tests/named_limits.rs
+++ b/testkit/tests/named_limits.rs
@@ -124,7 +124,7 @@
 /// Guards against: requests over the limit that are sent, or held until their deadline, when
 /// all replicas are limited.
 #[tokio::test]
-async fn all_entries_together_honor_the_limit_of_a_service_without_other_replicas() -> Result<()> {
+async fn all_entries_together_honor_the_limit_of_the_only_replica() -> Result<()> {
     let fleet = start_one_replica().await?;
     let others = start_two_more(&fleet).await?;
     fleet.plain[0].state().advertised_limit = Some(LIMIT_PER_S);
@@ -154,7 +154,7 @@
 /// Guards against: only an equal share of the limit being used when all requests come to one
 /// entry, because the sidecar issues no permits.
 #[tokio::test]
-async fn one_entry_may_use_most_of_the_limit_of_an_engine() -> Result<()> {
+async fn one_entry_may_exceed_its_equal_share_of_the_limit_of_an_engine() -> Result<()> {
     let fleet = start_one_replica().await?;
     let others = start_two_more(&fleet).await?;
     serve_prompt(&fleet, "a", "first").await?;
@@ -184,13 +184,13 @@
     // only the first entry receives this response
     serve_prompt(&fleet, "a", "told").await?;
     sleep(LIMIT_GRACE).await;
-    let simultaneous = RetryingClients {
+    let burst = RetryingClients {
         requests: 20,
         gap: Duration::ZERO,
         ..OVERLOAD
     };
     let before = fleet.engines[0].state().arrivals.len();
-    send_with_retries(others[0].clients, &prompt("a", "not-told"), &simultaneous).await?;
+    send_with_retries(others[0].clients, &prompt("a", "not-told"), &burst).await?;
     let arrived = fleet.engines[0].state().arrivals.len() - before;
     let allowed = max_requests_in_window(0.0);
     assert!(arrived <= allowed, "{arrived} arrived, {allowed} allowed");
--- a/testkit/tests/planned_stops.rs
+++ b/testkit/tests/planned_stops.rs
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-async fn wait_running(cluster: &Cluster, engine: usize, count: usize) {
+async fn wait_until_running(cluster: &Cluster, engine: usize, count: usize) {
     let running = || cluster.engines[engine].engine.running();
     until("requests run", || running() >= count).await;
 }
@@ -91,7 +91,7 @@
 async fn a_stopping_entry_completes_its_streams() -> Result<()> {
     let mut cluster = Cluster::start(slow_engines()).await?;
     let running = spawn_at(&cluster, 0, 0..8).await?;
-    wait_running(&cluster, 0, 1).await;
+    wait_until_running(&cluster, 0, 1).await;
     cluster.entries[0].process.terminate()?;
     let others = spawn_at(&cluster, 1, 100..104).await?;
     let status = cluster.entries[0].process.wait(EXIT_LIMIT).await?;
@@ -109,7 +109,7 @@
     let mut cluster = Cluster::start(slow_engines()).await?;
     // more than both engines run at a time, so that some requests wait
     let running = spawn_at(&cluster, 0, 0..40).await?;
-    wait_running(&cluster, 0, 4).await;
+    wait_until_running(&cluster, 0, 4).await;
     cluster.engines[0].sidecar.process.terminate()?;
     let status = cluster.engines[0].sidecar.process.wait(EXIT_LIMIT).await?;
     assert!(
@@ -155,7 +155,7 @@
     let cluster = Cluster::start(slow_engines()).await?;
     cluster.platform.set_list_lag(LONG_LAG);
     let first = spawn_at(&cluster, 0, 0..10).await?;
-    wait_running(&cluster, 0, 1).await;
+    wait_until_running(&cluster, 0, 1).await;
     cluster.engines[0].sidecar.process.terminate()?;
     let sidecar = &cluster.engines[0].sidecar;
     until_async("it is leaving", || async { !sidecar.is_ready().await }).await;
@@ -192,7 +192,7 @@
         let first = index * 20;
         // requests go to the entry that does not stop in this round
         running.extend(spawn_at(&cluster, 1 - index, first..first + 20).await?);
-        wait_running(&cluster, index, 1).await;
+        wait_until_running(&cluster, index, 1).await;
         cluster.engines[index].sidecar.process.terminate()?;
         cluster.entries[index].process.terminate()?;
         let status = cluster.engines[index]
--- a/testkit/tests/reborn_engines.rs
+++ b/testkit/tests/reborn_engines.rs
@@ -13,7 +13,7 @@
     std::time::Duration,
 };
 
-fn plain(target: &str) -> ClientRequest {
+fn request_to(target: &str) -> ClientRequest {
     ClientRequest {
         target: target.to_string(),
         ..ClientRequest::default()
@@ -111,7 +111,7 @@
         until_async("the back end receives no requests", || async {
             let before = runs(0);
             for _ in 0..4 {
-                let response = request(fleet.clients, &plain("/safe/")).await;
+                let response = request(fleet.clients, &request_to("/safe/")).await;
                 if !response.is_ok_and(|a| a.status == 200) {
                     return false;
                 }
@@ -122,7 +122,7 @@
         fleet.publish_plain(0, "ready");
         until_async("it is used again", || async {
             let before = runs(0);
-            let response = request(fleet.clients, &plain("/safe/")).await;
+            let response = request(fleet.clients, &request_to("/safe/")).await;
             response.is_ok() && runs(0) > before
         })
         .await;
--- a/testkit/tests/whole_answers.rs
+++ b/testkit/tests/whole_answers.rs
@@ -77,7 +77,7 @@
 }
 
 /// Waits until at least `count` requests run on the engines.
-async fn wait_running(cluster: &Cluster, count: usize) {
+async fn wait_until_running(cluster: &Cluster, count: usize) {
     let running = || -> usize { cluster.engines.iter().map(|e| e.engine.running()).sum() };
     until("requests run", || running() >= count).await;
 }
@@ -162,8 +162,8 @@
         };
         let cluster = Cluster::start(settings).await?;
         let running = spawn_all(&cluster, 6).await?;
-        wait_running(&cluster, 3).await;
-        let set = |fault| {
+        wait_until_running(&cluster, 3).await;
+        let set_link_fault = |fault| {
             for node in &cluster.engines {
                 node.sidecar
                     .forwarder
@@ -172,9 +172,9 @@
                     .set_fault(fault);
             }
         };
-        set(fault);
+        set_link_fault(fault);
         sleep(Duration::from_millis(150)).await;
-        set(LinkFault::None);
+        set_link_fault(LinkFault::None);
         expect_all_complete(running, &format!("{fault:?}")).await?;
         for number in 0..6 {
             let text = prompt(number).prompt;
@@ -189,7 +189,7 @@
 async fn repeatable_requests_continue_elsewhere_when_their_sidecar_is_killed() -> Result<()> {
     let mut cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
-    wait_running(&cluster, 4).await;
+    wait_until_running(&cluster, 4).await;
     cluster.engines[0].sidecar.process.kill()?;
     expect_all_complete(running, "killed").await
 }
@@ -198,7 +198,7 @@
 async fn repeatable_requests_continue_elsewhere_when_their_sidecar_is_paused() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
-    wait_running(&cluster, 4).await;
+    wait_until_running(&cluster, 4).await;
     cluster.engines[0].sidecar.process.pause()?;
     expect_all_complete(running, "paused").await?;
     // the resumed sidecar serves again
@@ -219,7 +219,7 @@
 async fn restarts_of_engines_under_load_lose_no_response() -> Result<()> {
     let cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 10).await?;
-    wait_running(&cluster, 4).await;
+    wait_until_running(&cluster, 4).await;
     cluster.engines[0].engine.restart();
     sleep(Duration::from_millis(100)).await;
     cluster.engines[1].engine.restart();
@@ -238,7 +238,7 @@
 async fn a_replaced_sidecar_and_its_live_predecessor_corrupt_no_response() -> Result<()> {
     let mut cluster = Cluster::start(engines_only()).await?;
     let running = spawn_all(&cluster, 8).await?;
-    wait_running(&cluster, 4).await;
+    wait_until_running(&cluster, 4).await;
     let old = cluster.replace_engine_sidecar(0).await?;
     cluster.engines[0].sidecar.wait_ready().await?;
     expect_all_complete(running, "replaced").await?;
@@ -307,7 +307,7 @@
             async move { generate(&mut client, req).await },
         ));
     }
-    wait_running(&cluster, STREAMS).await;
+    wait_until_running(&cluster, STREAMS).await;
     expect_all_complete(running, "one connection").await
 }
 
