--- a/entry/src/ingress/mod.rs
+++ b/entry/src/ingress/mod.rs
@@ -1,24 +1,24 @@
-//! the ingress: clients' HTTP requests on routes of the configuration, sent on
-//! to the back ends that the control thread chooses
+//! The ingress proxy: matches clients' HTTP requests against the configured routes and
+//! forwards them to the back ends that the control thread selects.
 
 mod admission;
-mod answers;
+mod admission_exchange;
 mod control;
 mod crash_exchange;
-mod crashes;
-mod exchange;
-mod exchange_log;
-mod figures_board;
+mod engine_stats_buffer;
 mod fleet_links;
-mod intake_exchange;
+mod local_response;
 mod observers;
 mod operator_pages;
 mod records;
 mod relay_link;
 mod relay_outbox;
+mod request_exchange;
+mod request_exchange_log;
 mod serve;
 mod service;
 mod shared;
+mod shared_crash_registry;
 mod store_relays;
 mod unknown_headers;
 mod unreadable_records;
--- /dev/null
+++ b/entry/src/ingress/shared_crash_registry.rs
@@ -0,0 +1,118 @@
+use {
+    chalkcart_coordination::{
+        crashes::{CrashRegistry, EngineCrash, RequestVerdict},
+        membership::stable_hash,
+    },
+    chalkcart_protocol::peer::CrashReport,
+    chalkcart_state::ingress::RequestDigest,
+    chalkcart_transport::{clock, metrics::CrashMetrics},
+    std::{
+        sync::{Mutex, MutexGuard},
+        time::Instant,
+    },
+    tokio::sync::watch,
+};
+
+/// Maximum number of digests in one log line.
+const MAX_DIGESTS_LOGGED: usize = 8;
+
+/// The entry's registry of requests that were running when engines crashed.
+pub struct SharedCrashRegistry {
+    registry: Mutex<CrashRegistry>,
+    /// Notifies subscribers of the registry's revision.
+    revision: watch::Sender<u64>,
+    pub metrics: CrashMetrics,
+}
+
+impl Default for SharedCrashRegistry {
+    fn default() -> Self {
+        Self {
+            registry: Mutex::default(),
+            revision: watch::Sender::new(0),
+            metrics: CrashMetrics::default(),
+        }
+    }
+}
+
+impl SharedCrashRegistry {
+    pub fn verdict(&self, digest: &RequestDigest) -> RequestVerdict {
+        self.registry().verdict(digest, clock::now())
+    }
+
+    /// Records requests that ran to completion.
+    pub fn on_completed(&self, digests: Vec<RequestDigest>) {
+        let now = clock::now();
+        let mut registry = self.registry();
+        let changes = digests
+            .into_iter()
+            .filter(|d| registry.on_completed(*d, now));
+        if changes.count() > 0 {
+            self.publish(&registry);
+        }
+    }
+
+    /// Records engine crashes with the requests that were running.
+    pub fn on_engine_crashes(&self, crashes: Vec<EngineCrash>) {
+        let now = clock::now();
+        for crash in crashes {
+            let mut registry = self.registry();
+            let incarnation = stable_hash(&crash.backend.to_string());
+            for run in &crash.runs {
+                registry.on_engine_ended(run.digest, incarnation, run.at, now);
+            }
+            self.publish(&registry);
+            drop(registry);
+            self.metrics.ended.inc();
+            log_crash(&crash, now);
+        }
+    }
+
+    /// Merges the reports that an aggregator received from other entries.
+    ///
+    /// `sent_revision` is the revision up to which the aggregator has this registry; returns the
+    /// one up to which it has it after the merge.
+    pub fn merge(&self, reports: &[CrashReport], sent_revision: u64) -> u64 {
+        let mut registry = self.registry();
+        let before = registry.revision();
+        if registry.merge(reports, clock::now()) {
+            self.publish(&registry);
+        }
+        match sent_revision == before {
+            true => registry.revision(),
+            false => sent_revision,
+        }
+    }
+
+    /// Returns the reports after `revision`, and the revision that they lead to.
+    pub fn reports_since(&self, revision: u64) -> (Vec<CrashReport>, u64) {
+        self.registry().reports_since(revision, clock::now())
+    }
+
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.revision.subscribe()
+    }
+
+    fn publish(&self, registry: &CrashRegistry) {
+        self.metrics.remembered.set(registry.len() as i64);
+        self.revision.send_replace(registry.revision());
+    }
+
+    fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
+        // No holder panics in the middle of an update.
+        self.registry.lock().unwrap_or_else(|e| e.into_inner())
+    }
+}
+
+fn log_crash(crash: &EngineCrash, now: Instant) {
+    let digests = crash.runs.iter().take(MAX_DIGESTS_LOGGED);
+    let digests: Vec<String> = digests.map(|run| run.digest.to_string()).collect();
+    let first = crash.runs.iter().map(|run| run.at).min().unwrap_or(now);
+    log::warn!(
+        backend = crash.backend.as_str(),
+        born = crash.backend.start_time_ms,
+        runs = crash.runs.len(),
+        digests = digests.join(",").as_str(),
+        age_ms = now.saturating_duration_since(first).as_millis() as u64;
+        "crashes: engine ended"
+    );
+}
