--- a/entry/src/ingress/crash_exchange.rs
+++ b/entry/src/ingress/crash_exchange.rs
@@ -155,7 +155,7 @@
             cause = e.to_string().as_str(); "crashes: exchange failed");
         let now = clock::now();
         match current.cursor {
-            _ if e.proves_other_build() => self.selector().on_unsupported(current.engine, now),
+            _ if e.is_unsupported_by_peer() => self.selector().on_unsupported(current.engine, now),
             Some(_) => self.selector().on_timeout(current.engine, now),
             None => self.selector().on_failure(current.engine, now),
         }
--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -9,7 +9,7 @@
     },
     chalkcart_transport::{
         clock,
-        metadata::{Heard, RecordSink},
+        metadata::{RecordSink, WatchUpdate},
     },
     std::{
         collections::{BTreeMap, HashSet},
@@ -220,7 +220,7 @@
 }
 
 impl RecordSink for EntryRecords {
-    fn take_in(&self, topic: Topic, update: Heard, is_complete: bool) {
+    fn apply(&self, topic: Topic, update: WatchUpdate, is_complete: bool) {
         match topic {
             Topic::Backends => self.apply_backends(update.snapshot, is_complete),
             Topic::Configuration => {
@@ -232,7 +232,7 @@
         }
     }
 
-    fn pause(&self, topic: Topic) -> Duration {
+    fn pause_after_change(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Configuration => Duration::ZERO,
             Topic::Backends if self.source.is_relayed() => RELAYED_LIST_DELAY,
--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -208,7 +208,7 @@
             EngineViewState::View(ViewUpdate::Figures(mut stats)) => {
                 stats.age_ms = age_ms;
                 if let Some(view) = self.views.get(&engine) {
-                    self.control.on_figures(engine, &view.backend, stats);
+                    self.control.on_stats(engine, &view.backend, stats);
                 }
             }
             EngineViewState::View(update) => {
@@ -233,7 +233,7 @@
 
     fn forget(&mut self, engine: SocketAddr) {
         if let Some(view) = self.views.remove(&engine) {
-            self.control.on_silent(engine, &view.backend);
+            self.control.on_unresponsive(engine, &view.backend);
         }
     }
 }
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -137,7 +137,7 @@
             return Ok(None);
         };
         let (config_age, level_age) = self.shared.admission.ages(account.fingerprint);
-        self.shared.metrics.on_judged(config_age, level_age);
+        self.shared.metrics.on_decision_inputs(config_age, level_age);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
@@ -163,7 +163,7 @@
 
     /// Logs headers that clients may not set; they were removed from the request.
     fn record_withheld_headers(&self, request: &str, names: &[HeaderName]) {
-        self.shared.metrics.on_withheld(names.len());
+        self.shared.metrics.on_headers_removed(names.len());
         let names = names.iter().take(MAX_NAMES_LOGGED);
         let names: Vec<&str> = names.map(HeaderName::as_str).collect();
         log::info!(
@@ -187,7 +187,7 @@
             return Err(self.reject(&local, status, "no configuration yet", &parts));
         };
         let key = table.accounts.as_ref();
-        let key = key.map(|_| self.shared.dialect.take_key(&mut parts.headers));
+        let key = key.map(|_| self.shared.dialect.take_api_key(&mut parts.headers));
         let Some(route) = find_route(&table, &parts) else {
             // The route may be too new to be known here.
             let (status, line) = match self.shared.admission.is_config_current() {
@@ -219,8 +219,11 @@
         let charge = self
             .charge(caller.as_ref(), &head)
             .map_err(|over| local.too_many_requests("over limit", over.retry_after))?;
-        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end());
-        let withheld = self.shared.dialect.withhold(&mut parts.headers);
+        remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
+        let withheld = self
+            .shared
+            .dialect
+            .remove_reserved_headers(&mut parts.headers);
         if !withheld.is_empty() {
             self.record_withheld_headers(&head.id, &withheld);
         }
@@ -241,7 +244,7 @@
 
 #[async_trait]
 impl IngressService for RoutedIngress {
-    async fn answer(&self, req: ClientRequest) -> ClientResponse {
+    async fn respond(&self, req: ClientRequest) -> ClientResponse {
         let mut response = match self.accept(req).await {
             Ok(accepted) => self.process(accepted).await,
             Err(response) => response,
--- a/entry/src/ingress/usage_reports.rs
+++ b/entry/src/ingress/usage_reports.rs
@@ -63,7 +63,7 @@
             limits.on_response(&report, &response, now);
             shared
                 .metrics
-                .on_usage_answer(response.entries, report.entries);
+                .on_usage_response(response.entries, report.entries);
             Some(true)
         }
         Err(e) => {
--- a/entry/src/ingress/zone_source.rs
+++ b/entry/src/ingress/zone_source.rs
@@ -13,7 +13,7 @@
     chalkcart_transport::{
         client::PeerClient,
         clock,
-        metadata::{Heard, MetadataSource, SourceError, Watched},
+        metadata::{MetadataSource, SourceError, WatchOutcome, WatchUpdate},
     },
     std::{
         future::Future,
@@ -38,7 +38,7 @@
 
 /// The outcome of a call to a relay.
 enum RelayResult {
-    Received(Watched),
+    Received(WatchOutcome),
     /// The relay has no recent state of the store, or is of an older build.
     Stale,
     NoResponse,
@@ -115,7 +115,7 @@
         topic: Topic,
         after: Option<u64>,
         wait: Duration,
-    ) -> Option<Watched> {
+    ) -> Option<WatchOutcome> {
         for relay in self.relays.available(clock::now()) {
             match self.call_relay(relay, topic, after, wait).await {
                 RelayResult::Received(update) => return Some(update),
@@ -167,7 +167,7 @@
             }) => {
                 let current_at = offset(sent_at, current_ms);
                 let received = current_at.map(|current_at| {
-                    RelayResult::Received(Watched::Records(Heard {
+                    RelayResult::Received(WatchOutcome::Records(WatchUpdate {
                         snapshot,
                         current_at,
                     }))
@@ -175,7 +175,7 @@
                 ("heard".to_string(), received.unwrap_or(RelayResult::Stale))
             }
             Ok(PublishedResponse::HistoryLost) => {
-                let lost = RelayResult::Received(Watched::HistoryLost);
+                let lost = RelayResult::Received(WatchOutcome::HistoryLost);
                 ("history lost".to_string(), lost)
             }
             Ok(PublishedResponse::Stale) => ("stale".to_string(), RelayResult::Stale),
@@ -213,10 +213,10 @@
         self.store.set_addr(addr);
     }
 
-    async fn snapshot(&self, topic: Topic) -> Result<Heard, SourceError> {
+    async fn snapshot(&self, topic: Topic) -> Result<WatchUpdate, SourceError> {
         match self.call_relays(topic, None, Duration::ZERO).await {
-            Some(Watched::Records(records)) => Ok(records),
-            Some(Watched::HistoryLost) | None => {
+            Some(WatchOutcome::Records(records)) => Ok(records),
+            Some(WatchOutcome::HistoryLost) | None => {
                 self.call_store(topic, self.store.snapshot(topic)).await
             }
         }
@@ -227,7 +227,7 @@
         topic: Topic,
         after: u64,
         times: WatchTimes,
-    ) -> Result<Watched, SourceError> {
+    ) -> Result<WatchOutcome, SourceError> {
         let relayed = times.with_max_hold(MAX_RELAY_HOLD);
         match self.call_relays(topic, Some(after), relayed.hold).await {
             Some(update) => Ok(update),
--- a/transport/src/backend/mod.rs
+++ b/transport/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! requests to back ends, one connection each
+//! Requests to back ends, each on its own connection.
 
 mod sender;
 
-pub use sender::{send, BackendAnswer, Connection, SendError};
+pub use sender::{send, BackendResponse, BackendSendError, Connection};
--- a/transport/src/ingress/pass_body.rs
+++ b/transport/src/ingress/proxy_body.rs
@@ -15,78 +15,77 @@
     },
 };
 
-/// how a body that was passed on ended
+/// How a proxied body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PassEnd {
-    Whole,
-    /// the back end broke it off
+pub enum ProxyBodyEnd {
+    Complete,
+    /// The connection to the back end failed.
     Broken,
-    /// its time ran out
+    /// The deadline passed.
     TimedOut,
-    /// the client left
-    Left,
+    ClientDisconnected,
 }
 
-/// is told how a body goes
-pub trait PassObserver: Send + Sync {
-    /// the first part came
-    fn on_first(&mut self);
-    /// called once, with the longest pause between two parts
-    fn on_end(&mut self, end: PassEnd, longest_pause: Duration);
+/// Observes the progress of a proxied body.
+pub trait ProxyBodyObserver: Send + Sync {
+    /// The first frame has arrived.
+    fn on_first_frame(&mut self);
+    /// The body has ended; called once, with the longest pause between two frames.
+    fn on_end(&mut self, end: ProxyBodyEnd, longest_pause: Duration);
 }
 
-/// a back end's body on its way to the client, part by part.
+/// A back end's response body that is forwarded to the client frame by frame.
 ///
-/// When it is dropped, the connection to the back end is closed.
-pub struct PassBody {
+/// Dropping it closes the connection to the back end.
+pub struct ProxyBody {
     body: Incoming,
     _connection: Connection,
     deadline: Instant,
     timer: Pin<Box<dyn Future<Output = ()> + Send + Sync>>,
-    last: Option<Instant>,
+    last_frame_at: Option<Instant>,
     longest_pause: Duration,
-    observer: Box<dyn PassObserver>,
+    observer: Box<dyn ProxyBodyObserver>,
     has_ended: bool,
 }
 
-impl PassBody {
+impl ProxyBody {
     pub fn new(
         body: Incoming,
         connection: Connection,
         deadline: Instant,
-        observer: Box<dyn PassObserver>,
+        observer: Box<dyn ProxyBodyObserver>,
     ) -> Self {
         Self {
             body,
             _connection: connection,
             deadline,
             timer: Box::pin(sleep_until_deadline(deadline)),
-            last: None,
+            last_frame_at: None,
             longest_pause: Duration::ZERO,
             observer,
             has_ended: false,
         }
     }
 
-    fn end(&mut self, end: PassEnd) {
+    fn end(&mut self, end: ProxyBodyEnd) {
         if !self.has_ended {
             self.has_ended = true;
             self.observer.on_end(end, self.longest_pause);
         }
     }
-    fn on_part(&mut self) {
+    fn on_frame(&mut self) {
         let now = clock::now();
-        match self.last {
+        match self.last_frame_at {
             Some(last) => {
                 self.longest_pause = self.longest_pause.max(now.saturating_duration_since(last))
             }
-            None => self.observer.on_first(),
+            None => self.observer.on_first_frame(),
         }
-        self.last = Some(now);
+        self.last_frame_at = Some(now);
     }
 }
 
-impl Body for PassBody {
+impl Body for ProxyBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -94,25 +93,25 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let is_over = clock::now() >= self.deadline;
-        if is_over || self.timer.as_mut().poll(cx).is_ready() {
-            self.end(PassEnd::TimedOut);
+        let is_past_deadline = clock::now() >= self.deadline;
+        if is_past_deadline || self.timer.as_mut().poll(cx).is_ready() {
+            self.end(ProxyBodyEnd::TimedOut);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
             Some(Ok(frame)) => {
-                self.on_part();
+                self.on_frame();
                 if self.body.is_end_stream() {
-                    self.end(PassEnd::Whole);
+                    self.end(ProxyBodyEnd::Complete);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(e)) => {
-                self.end(PassEnd::Broken);
+                self.end(ProxyBodyEnd::Broken);
                 Poll::Ready(Some(Err(io::Error::other(e))))
             }
             None => {
-                self.end(PassEnd::Whole);
+                self.end(ProxyBodyEnd::Complete);
                 Poll::Ready(None)
             }
         }
@@ -125,8 +124,8 @@
     }
 }
 
-impl Drop for PassBody {
+impl Drop for ProxyBody {
     fn drop(&mut self) {
-        self.end(PassEnd::Left);
+        self.end(ProxyBodyEnd::ClientDisconnected);
     }
 }
