--- a/testkit/src/cluster/fleet.rs
+++ b/testkit/src/cluster/fleet.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         next_addr,
-        node::{Node, NodeStart},
+        node::{Node, NodeOptions},
         ClusterSettings, ServiceSettings,
     },
     crate::{
@@ -33,19 +33,19 @@
     tonic::transport::{Channel, Endpoint},
 };
 
-const LOOK: Duration = Duration::from_millis(50);
-const IN_FORCE_LIMIT_MS: u32 = 30_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const IN_FORCE_TIMEOUT_MS: u32 = 30_000;
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// an engine and the sidecar in its slot
+/// Engine and the sidecar in its slot.
 #[derive(Debug)]
 pub struct EngineNode {
     pub engine: EngineStandIn,
     pub sidecar: Node,
 }
 
-/// a plain service and the sidecar in its slot
+/// Plain service and the sidecar in its slot.
 #[derive(Debug)]
 pub struct ServiceNode {
     pub service: ServiceStandIn,
@@ -53,7 +53,7 @@
     pub settings: ServiceSettings,
 }
 
-/// entries and sidecars as separate processes, the rest as stand-ins
+/// Entries and sidecars as separate processes, with stand-ins for the rest.
 #[derive(Debug)]
 pub struct Cluster {
     pub platform: PlatformStandIn,
@@ -66,7 +66,7 @@
 }
 
 impl Cluster {
-    /// start everything and wait until it is ready
+    /// Starts all processes and waits until they are ready.
     pub async fn start(settings: ClusterSettings) -> Result<Self> {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder = env::temp_dir().join(format!("chalkcart-{}-{number}", process::id()));
@@ -104,14 +104,14 @@
         }
         let generation = self.platform.documents().root.generation;
         for entry in 0..self.entries.len() {
-            self.wait_known(entry).await?;
+            self.wait_for_targets(entry).await?;
             self.wait_in_force(entry, generation).await?;
         }
         Ok(())
     }
 
-    /// wait until an entry knows as many targets as the platform lists
-    pub async fn wait_known(&self, entry: usize) -> Result<()> {
+    /// Waits until an entry knows as many targets as the platform lists.
+    pub async fn wait_for_targets(&self, entry: usize) -> Result<()> {
         let listed = self.platform.list().targets().count();
         let mut admin = AdminClient::new(self.channel(entry).await?);
         loop {
@@ -119,40 +119,40 @@
             if status.targets.len() == listed {
                 return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// wait until every box has a generation in force
+    /// Waits until a generation is in force on every box.
     pub async fn wait_in_force(&self, entry: usize, generation: Generation) -> Result<()> {
         let mut admin = AdminClient::new(self.channel(entry).await?);
         let req = WaitInForceRequest {
             generation,
-            timeout_ms: IN_FORCE_LIMIT_MS,
+            timeout_ms: IN_FORCE_TIMEOUT_MS,
         };
-        let answer = admin.wait_in_force(req).await?.into_inner();
+        let response = admin.wait_in_force(req).await?.into_inner();
         ensure!(
-            answer.in_force,
+            response.in_force,
             "generation {generation} is missing on {:?}",
-            answer.missing
+            response.missing
         );
         Ok(())
     }
 
-    /// all processes
+    /// Iterates over all processes.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         let engines = self.engines.iter().map(|e| &e.sidecar);
         let services = self.services.iter().map(|s| &s.sidecar);
         self.entries.iter().chain(engines).chain(services)
     }
 
-    /// start one more entry; give its index
+    /// Starts another entry and returns its index.
     pub async fn add_entry(&mut self) -> Result<usize> {
         let index = self.entries.len();
         let name = format!("entry-{index}");
         let zone = self.zone(index);
         let listen = next_addr();
-        let peers: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed).collect();
+        let peers: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed_addr).collect();
         let mut settings = object(json!({
             "name": name,
             "zone": zone,
@@ -161,7 +161,7 @@
             "peers": peers,
         }));
         settings.extend(self.settings.entry_settings.clone());
-        let node = Node::start(NodeStart {
+        let node = Node::start(NodeOptions {
             name: &name,
             zone: &zone,
             role: Role::Entry,
@@ -170,12 +170,12 @@
             settings,
             folder: &self.folder,
         })?;
-        self.platform.add_box(node.row());
+        self.platform.add_box(node.list_entry());
         self.entries.push(node);
         Ok(index)
     }
 
-    /// start one more engine with its sidecar
+    /// Starts another engine with its sidecar and returns its index.
     pub async fn add_engine(&mut self, settings: EngineSettings) -> Result<usize> {
         let index = self.engines.len();
         let name = format!("engine-{index}");
@@ -189,7 +189,7 @@
         Ok(index)
     }
 
-    /// start one more service with its sidecar
+    /// Starts another service with its sidecar and returns its index.
     pub async fn add_service(&mut self, settings: ServiceSettings) -> Result<usize> {
         let index = self.services.len();
         let name = format!("service-{index}");
@@ -207,8 +207,8 @@
         Ok(index)
     }
 
-    /// put a new process into an engine's slot, at a new address, and give
-    /// the old one, which may still live
+    /// Starts a new sidecar process in an engine's slot, at a new address, and returns the
+    /// previous one, which may still run.
     pub async fn replace_engine_sidecar(&mut self, index: usize) -> Result<Node> {
         let name = self.engines[index].sidecar.name.clone();
         let role = self.engines[index].sidecar.role.clone();
@@ -218,7 +218,7 @@
         Ok(std::mem::replace(&mut self.engines[index].sidecar, sidecar))
     }
 
-    /// the same for a service's slot
+    /// Starts a new sidecar process in a service's slot and returns the previous one.
     pub async fn replace_service_sidecar(&mut self, index: usize) -> Result<Node> {
         let node = &self.services[index];
         let name = node.sidecar.name.clone();
@@ -231,7 +231,7 @@
         ))
     }
 
-    /// a caller's connection to an entry
+    /// Returns a client connected to an entry.
     pub async fn client(&self, entry: usize) -> Result<InferenceClient<Channel>> {
         let channel = self.channel(entry).await?;
         Ok(InferenceClient::new(channel))
@@ -251,7 +251,7 @@
     ) -> Result<Node> {
         let zone = self.zone(index);
         let listen = next_addr();
-        let entries: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed).collect();
+        let entries: Vec<SocketAddr> = self.entries.iter().map(|e| e.listed_addr).collect();
         let mut settings = object(json!({
             "name": name,
             "zone": zone,
@@ -260,7 +260,7 @@
             "target": target,
         }));
         settings.extend(self.settings.sidecar_settings.clone());
-        let node = Node::start(NodeStart {
+        let node = Node::start(NodeOptions {
             name,
             zone: &zone,
             role,
@@ -269,7 +269,7 @@
             settings,
             folder: &self.folder,
         })?;
-        self.platform.add_box(node.row());
+        self.platform.add_box(node.list_entry());
         Ok(node)
     }
 
@@ -287,8 +287,8 @@
     }
 }
 
-async fn forwarder(wanted: bool, listen: SocketAddr) -> Result<Option<TcpForwarder>> {
-    match wanted {
+async fn forwarder(is_enabled: bool, listen: SocketAddr) -> Result<Option<TcpForwarder>> {
+    match is_enabled {
         true => Ok(Some(TcpForwarder::start(listen, Duration::ZERO).await?)),
         false => Ok(None),
     }
--- a/testkit/src/engine/errors.rs
+++ b/testkit/src/engine/order_error.rs
@@ -6,9 +6,9 @@
     http::StatusCode,
 };
 
-/// why an engine does not obey
+/// Reason why an engine rejects an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Disobedience {
+pub enum OrderError {
     OtherIncarnation,
     OtherFence,
     NoFreeSlot,
@@ -17,7 +17,7 @@
     UnknownRequest,
 }
 
-impl Disobedience {
+impl OrderError {
     pub fn reply(self) -> Reply {
         let status = match self {
             Self::OtherIncarnation | Self::OtherFence => StatusCode::CONFLICT,
--- a/testkit/src/forwarder/mod.rs
+++ b/testkit/src/forwarder/mod.rs
@@ -1,5 +1,5 @@
-//! connections that can be cut
+//! TCP forwarder that injects network faults.
 
 mod tcp_forwarder;
 
-pub use tcp_forwarder::{Cut, TcpForwarder};
+pub use tcp_forwarder::{LinkFault, TcpForwarder};
--- /dev/null
+++ b/testkit/src/soak/fault_schedule.rs
@@ -0,0 +1,129 @@
+use {
+    super::SoakSettings,
+    rand::{rngs::StdRng, RngExt, SeedableRng},
+    std::time::Duration,
+};
+
+/// Fault injected into the fleet.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Fault {
+    /// Sends SIGKILL; the ingress is started again when the fault ends.
+    KillIngress,
+    /// Sends SIGTERM; the ingress is started again once it has exited.
+    TerminateIngress,
+    PauseIngress,
+    /// Sends SIGHUP, which reloads the settings file.
+    ReloadIngress,
+    KillSidecar(u8),
+    PauseSidecar(u8),
+    /// The engine restarts under the same id and holds nothing.
+    EngineRestarts(u8),
+    /// The engine restarts with a clock that went back.
+    EngineRestartsWithEarlierClock(u8),
+    /// The engine rejects requests as overloaded.
+    EngineOverloaded(u8),
+    /// The engine announces in its responses that it leaves while its record says that it is
+    /// ready; then another incarnation replaces it.
+    EngineLeaves(u8),
+    /// The engine rejects requests and asks for a back-off.
+    EngineRequestsBackoff(u8),
+    /// The engine announces a rate limit in its responses.
+    EngineLimited(u8),
+    PlainLimited(u8),
+    EngineTruncatesStreams(u8),
+    EngineFails(u8),
+    PlainUnresponsive(u8),
+    PlainClosesWithoutResponse(u8),
+    PlainOverloaded(u8),
+    /// The plain back end is listed as draining.
+    PlainDrains(u8),
+    /// The record of the plain back end is replaced by an unreadable one.
+    PlainRecordUnreadable(u8),
+    StoreUnresponsive,
+    StoreReturnsErrors,
+    StoreResetsConnections,
+    StoreCompacts,
+    /// The store never responds again on its open connections.
+    StoreConnectionsUnresponsive,
+    Configuration,
+    AdapterVersion(u8),
+}
+
+/// Fault with its start time and duration.
+#[derive(Debug, Clone, Copy)]
+pub struct ScheduledFault {
+    pub at: Duration,
+    pub duration: Duration,
+    pub fault: Fault,
+}
+
+/// Limited faults last longer, since a limit is enforced only seconds after its announcement.
+const LIMIT_DURATION_FACTOR: u32 = 8;
+
+/// Generates a random schedule of overlapping faults from the seed.
+pub fn schedule_faults(settings: &SoakSettings) -> Vec<ScheduledFault> {
+    let mut rng = StdRng::seed_from_u64(settings.seed);
+    let mut at = Duration::ZERO;
+    let mut faults = Vec::new();
+    while at < settings.fault_period {
+        let duration = settings
+            .mean_fault_interval
+            .mul_f64(0.5 + 3.0 * rng.random::<f64>());
+        let fault = random_fault(&mut rng, settings);
+        let duration = match fault {
+            Fault::EngineLimited(_) | Fault::PlainLimited(_) => duration * LIMIT_DURATION_FACTOR,
+            _ => duration,
+        };
+        faults.push(ScheduledFault {
+            at,
+            duration,
+            fault,
+        });
+        at += settings
+            .mean_fault_interval
+            .mul_f64(2.0 * rng.random::<f64>());
+    }
+    faults
+}
+
+fn random_fault(rng: &mut StdRng, settings: &SoakSettings) -> Fault {
+    let engine = rng.random_range(0..settings.engines);
+    let plain = rng.random_range(0..settings.plain);
+    let mut all = vec![
+        Fault::KillIngress,
+        Fault::TerminateIngress,
+        Fault::PauseIngress,
+        Fault::ReloadIngress,
+        Fault::KillSidecar(engine),
+        Fault::PauseSidecar(engine),
+        Fault::EngineRestarts(engine),
+        Fault::EngineRestartsWithEarlierClock(engine),
+        Fault::EngineOverloaded(engine),
+        Fault::EngineTruncatesStreams(engine),
+        Fault::EngineFails(engine),
+        Fault::PlainUnresponsive(plain),
+        Fault::PlainClosesWithoutResponse(plain),
+        Fault::PlainOverloaded(plain),
+        Fault::PlainDrains(plain),
+        Fault::PlainRecordUnreadable(plain),
+        Fault::StoreUnresponsive,
+        Fault::StoreReturnsErrors,
+        Fault::StoreResetsConnections,
+        Fault::StoreCompacts,
+        Fault::StoreConnectionsUnresponsive,
+        Fault::Configuration,
+        Fault::AdapterVersion(rng.random_range(0..4)),
+    ];
+    if settings.backend_signals {
+        all.extend([
+            Fault::EngineLeaves(engine),
+            Fault::EngineRequestsBackoff(engine),
+        ]);
+    }
+    if settings.rate_limits {
+        all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
+        // twice as likely, so that a limit is enforced even in a short soak
+        all.extend([Fault::EngineLimited(engine), Fault::PlainLimited(plain)]);
+    }
+    all[rng.random_range(0..all.len())]
+}
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,17 +1,19 @@
-//! A soak: a fleet of processes among stand-ins, clients on kept connections, and faults in
-//! series that overlap. What callers and back ends saw is checked against the promises.
+//! Soak tests: a fleet of real processes between stand-ins, clients on keep-alive connections,
+//! and overlapping faults. The responses and runs are checked against the service's guarantees.
 
 mod checks;
-mod faults;
-mod kept_client;
-mod ledger;
-mod play;
+mod fault_schedule;
+mod keep_alive_client;
+mod record;
+mod runner;
 mod settings;
 
 pub use {
     checks::{violations, Violation},
-    faults::{draw, Fault, PlannedFault},
-    ledger::{AskKind, Asked, BackendRecord, ConfigurationSeen, Outcome, SoakLedger},
-    play::{play, SoakReport},
+    fault_schedule::{schedule_faults, Fault, ScheduledFault},
+    record::{
+        BackendRecord, ConfigurationHistory, Outcome, RequestKind, RequestRecord, SoakRecord,
+    },
+    runner::{run_soak, SoakReport},
     settings::SoakSettings,
 };
--- a/testkit/src/users_platform/backend_stand_in.rs
+++ b/testkit/src/users_platform/backend_stand_in.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        backend_answers::answer_request,
-        engine_orders::{EngineOrders, TakenOrder},
-        wire::{read_body, read_head, write_answer, Head},
+        backend_responses::respond,
+        engine_orders::{AcceptedOrder, EngineOrders},
+        wire::{read_body, read_head, write_response, Head},
     },
     crate::serving::lock,
     anyhow::Result,
@@ -20,57 +20,56 @@
     },
 };
 
-/// Unix ms at which back ends were started first
-pub const FIRST_BORN: u64 = 1_700_000_000_000;
-/// of the settings of the fleet: a back end that leaves gets nothing after it
+/// Start time of the first incarnation of each back end, in Unix milliseconds.
+pub const FIRST_START_TIME_MS: u64 = 1_700_000_000_000;
+/// Same as `drain_ms` of the ingress settings: a leaving back end receives no request after it.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
-/// a limit binds this long after it was first named
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// a caller is bound by a limit this long after an answer named it
-const LIMIT_KNOWN_AFTER: Duration = Duration::from_millis(500);
-/// time over which requests are counted against a limit
+/// Time from the first announcement of a limit until it is enforced.
+pub const LIMIT_GRACE: Duration = Duration::from_secs(3);
+/// Time from the first announcement until requests count against the limit.
+const LIMIT_PROPAGATION_DELAY: Duration = Duration::from_millis(500);
+/// Window over which requests are counted against a limit.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 pub const HEALTH_PATH: &str = "/health";
 
-/// what a back end is
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendKind {
     Engine,
     Plain,
 }
 
-/// how a back end misbehaves
+/// Fault that a back end injects into its responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BackendFault {
     #[default]
     None,
-    /// runs the request and closes with no answer
-    CutBeforeAnswer,
-    /// breaks off within the body
-    CutInBody,
-    /// no length: the end of the connection ends the body
-    Unframed,
-    /// a second answer behind the first
-    Surplus,
-    /// the answer to another request
-    OtherId,
-    /// a success without its signature
-    Unsigned,
-    /// a body that something on the way has encoded
-    Encoded,
-    /// runs it, and answers with this status
+    /// Runs the request and closes the connection without a response.
+    CloseBeforeResponse,
+    /// Closes the connection in the middle of the body.
+    TruncateBody,
+    /// Sends no `Content-Length`; the end of the connection ends the body.
+    DelimitBodyByClose,
+    /// Sends a second response right after the first one.
+    ExtraResponse,
+    /// Sends a response with the id of another request.
+    WrongRequestId,
+    /// Sends a successful response without the response stamp.
+    WithoutStamp,
+    /// Declares a content encoding, as if an intermediary had encoded the body.
+    EncodeBody,
+    /// Runs the request and responds with this status.
     Status(u16),
-    /// says that it is full, and runs nothing
-    Shed,
-    /// answers, and answers once more a while later
-    LateSurplus,
-    /// runs it and says nothing
-    Silent,
-    /// runs it and sends bytes that are no answer
-    Garbled,
+    /// Responds with 503 and does not run the request.
+    Overloaded,
+    /// Sends a second response some time after the first one.
+    LateExtraResponse,
+    /// Runs the request and sends nothing.
+    Unresponsive,
+    /// Runs the request and sends bytes that are not HTTP.
+    InvalidBytes,
 }
 
-/// one request that a back end ran
+/// A request that a back end ran.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub request: String,
@@ -78,166 +77,181 @@
     pub target: String,
     pub body: Vec<u8>,
     pub headers: std::collections::HashMap<String, String>,
-    /// its caller closed the connection before the end
-    pub was_left: bool,
+    /// Whether the caller closed the connection before the end.
+    pub client_disconnected: bool,
 }
 
-/// what a stand-in's tests look at and change
+/// State of a back end that tests inspect and change.
 #[derive(Debug)]
 pub struct BackendState {
     pub id: String,
-    /// Unix ms of its start
-    pub born: u64,
+    /// Start time of this incarnation, in Unix milliseconds.
+    pub start_time_ms: u64,
     pub kind: BackendKind,
     pub fault: BackendFault,
-    /// requests that the fault still strikes
-    pub fault_left: u32,
+    /// Number of further requests that the fault affects.
+    pub fault_requests_left: u32,
     pub runs: Vec<Run>,
-    /// requests that arrived, also those that were refused
+    /// Time and id of all requests received, including rejected ones.
     pub arrivals: Vec<(Instant, String)>,
-    /// orders taken in all lives
-    pub all_orders: Vec<TakenOrder>,
+    /// Orders accepted by all incarnations.
+    pub all_orders: Vec<AcceptedOrder>,
     pub orders: EngineOrders,
-    /// requests that run at once; more are refused as not run
+    /// Maximum number of concurrent requests; further ones are rejected as not run.
     pub slots: u32,
     pub running: u32,
-    /// time that a plain request runs
+    /// Time that a request to a plain back end takes.
     pub delay: Duration,
-    /// parts of a stream, and the time between two
-    pub parts: u32,
-    pub pause: Duration,
-    /// added to that time for each request that runs in the batch
-    pub pause_per_run: Duration,
-    /// a run of a request with this body ends the back end
-    pub crashed_by: Option<Vec<u8>>,
-    /// it says in all its answers that it leaves
-    pub says_leaving: bool,
-    /// the requests a second that it says, in all its answers, that it takes
-    pub names_limit: Option<f64>,
-    /// when a request was first answered with a limit
-    told_limit: Option<Instant>,
-    /// requests that came beyond its limit in the worst window
-    pub over_limit: usize,
-    /// headers of all its answers that no page names
-    pub odd_headers: Vec<(&'static str, String)>,
-    /// the rest that it asks for when it says that it is full
-    pub asks_rest: Option<Duration>,
-    /// when a request was first answered with the word that it leaves
-    pub told_leaving: Option<Instant>,
-    /// requests that came later than its drain after that
-    pub sent_while_leaving: usize,
-    /// it turns orders away, too, while it asks for rest
-    pub turns_orders_away: bool,
-    /// calls of its sidecar: orders, reports and questions for its identity
-    pub calls: Vec<Instant>,
-    /// when it asked for rest
-    pub rests: Vec<(Instant, Duration)>,
-    /// time after its end until it is back, as another incarnation
-    pub down_for: Duration,
-    /// times that it has ended under a run
+    /// Number of events in a stream and the time between two of them.
+    pub event_count: u32,
+    pub event_interval: Duration,
+    /// Added to `event_interval` for each running request.
+    pub event_interval_per_run: Duration,
+    /// A request with this body crashes the back end.
+    pub crash_body: Option<Vec<u8>>,
+    /// Whether all responses carry the `Server-Leaving` header.
+    pub announces_leaving: bool,
+    /// Limit in requests per second that all responses carry, if any.
+    pub advertised_limit: Option<f64>,
+    /// Time of the first request that was answered with the limit.
+    limit_announced_at: Option<Instant>,
+    /// Maximum number of requests beyond the limit in one window.
+    pub requests_over_limit: usize,
+    /// Headers added to all responses that are not part of the protocol.
+    pub extra_headers: Vec<(&'static str, String)>,
+    /// Back-off requested by responses that reject a request as overloaded.
+    pub requested_backoff: Option<Duration>,
+    /// Time of the first request that was answered with the leaving signal.
+    pub leaving_announced_at: Option<Instant>,
+    /// Number of requests received more than `DRAIN` after that.
+    pub requests_while_leaving: usize,
+    /// Whether orders are rejected too.
+    pub rejects_orders: bool,
+    /// Times of the sidecar's calls: orders, reports and instance id queries; recorded while
+    /// orders are rejected.
+    pub sidecar_calls: Vec<Instant>,
+    /// Start and duration of each requested back-off.
+    pub backoffs: Vec<(Instant, Duration)>,
+    /// Time from a crash until the next incarnation starts.
+    pub restart_delay: Duration,
+    /// Number of crashes caused by a request.
     pub crashes: u32,
     has_crashed: Arc<Notify>,
 }
 
 impl BackendState {
-    /// headers of all its answers
-    pub fn words(&self) -> Vec<(&'static str, String)> {
+    /// Returns the headers with which every response reports the state of the back end.
+    pub fn signal_headers(&self) -> Vec<(&'static str, String)> {
         let leaving = self
-            .says_leaving
+            .announces_leaving
             .then(|| ("Server-Leaving", "1".to_string()));
         let limit = self
-            .names_limit
+            .advertised_limit
             .map(|per_s| ("Server-Limit", per_s.to_string()));
-        let odd = self.odd_headers.iter().cloned();
-        leaving.into_iter().chain(limit).chain(odd).collect()
+        let extra = self.extra_headers.iter().cloned();
+        leaving.into_iter().chain(limit).chain(extra).collect()
     }
-    /// headers of an answer that turns a request away
-    pub fn words_of_refusal(&mut self, now: Instant) -> Vec<(&'static str, String)> {
-        let mut words = self.words();
-        if let Some(rest) = self.asks_rest {
-            self.rests.push((now, rest));
-            words.push(("Retry-After", rest.as_secs_f64().to_string()));
+    /// Returns the headers of a response that rejects a request.
+    pub fn rejection_headers(&mut self, now: Instant) -> Vec<(&'static str, String)> {
+        let mut headers = self.signal_headers();
+        if let Some(backoff) = self.requested_backoff {
+            self.backoffs.push((now, backoff));
+            headers.push(("Retry-After", backoff.as_secs_f64().to_string()));
         }
-        words
+        headers
     }
-    /// a request has come
+    /// Records a received request.
     pub fn on_arrival(&mut self, request: &str, now: Instant) {
         self.arrivals.push((now, request.to_string()));
-        self.judge_limit(now);
-        if self.says_leaving {
-            let told = *self.told_leaving.get_or_insert(now);
-            self.sent_while_leaving += usize::from(now - told > DRAIN);
+        self.check_limit(now);
+        if self.announces_leaving {
+            let announced_at = *self.leaving_announced_at.get_or_insert(now);
+            self.requests_while_leaving += usize::from(now - announced_at > DRAIN);
         }
     }
-    /// it takes so many requests a second from now on, or what comes
+    /// Sets the advertised limit in requests per second; `None` removes it.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
-        self.names_limit = per_s;
-        self.told_limit = None;
+        self.advertised_limit = per_s;
+        self.limit_announced_at = None;
     }
-    fn judge_limit(&mut self, now: Instant) {
-        let Some(per_s) = self.names_limit else {
+    fn check_limit(&mut self, now: Instant) {
+        let Some(per_s) = self.advertised_limit else {
             return;
         };
-        let told = *self.told_limit.get_or_insert(now);
-        if now < told + CONTACT {
+        let announced_at = *self.limit_announced_at.get_or_insert(now);
+        if now < announced_at + LIMIT_GRACE {
             return;
         }
-        let came = self.arrivals.iter().map(|(at, _)| *at);
-        let bound = came.filter(|at| *at >= told + LIMIT_KNOWN_AFTER && now - *at < LIMIT_WINDOW);
-        let over = bound.count().saturating_sub(allowed_by_limit(per_s));
-        self.over_limit = self.over_limit.max(over);
+        let arrival_times = self.arrivals.iter().map(|(at, _)| *at);
+        let counted = arrival_times
+            .filter(|at| *at >= announced_at + LIMIT_PROPAGATION_DELAY && now - *at < LIMIT_WINDOW);
+        let excess = counted
+            .count()
+            .saturating_sub(max_requests_in_window(per_s));
+        self.requests_over_limit = self.requests_over_limit.max(excess);
     }
-    /// nobody is bound any more by what it has said
-    pub fn forget_words(&mut self) {
-        self.told_limit = None;
-        self.told_leaving = None;
-        self.rests.clear();
+    /// Forgets which signals were sent, so that callers are no longer expected to honor them.
+    pub fn reset_signals(&mut self) {
+        self.limit_announced_at = None;
+        self.leaving_announced_at = None;
+        self.backoffs.clear();
     }
-    /// the most requests that came in one of its rests, once the callers could know of it
-    pub fn most_in_a_rest(&self, known_after: Duration) -> usize {
-        let within = |(asked, rest): &(Instant, Duration)| {
+    /// Returns the maximum number of requests and calls received during one back-off, not
+    /// counting the first `known_after` of it.
+    pub fn max_requests_in_backoff(&self, known_after: Duration) -> usize {
+        let requests_in_backoff = |(requested_at, backoff): &(Instant, Duration)| {
             let arrivals = self.arrivals.iter().map(|(at, _)| *at);
-            let all = arrivals.chain(self.calls.iter().copied());
-            all.filter(|at| *at > *asked + known_after && *at < *asked + *rest)
+            let all = arrivals.chain(self.sidecar_calls.iter().copied());
+            all.filter(|at| *at > *requested_at + known_after && *at < *requested_at + *backoff)
                 .count()
         };
-        self.rests.iter().map(within).max().unwrap_or(0)
+        self.backoffs
+            .iter()
+            .map(requests_in_backoff)
+            .max()
+            .unwrap_or(0)
     }
-    /// the most requests that came within some time, of those that came after a moment
-    pub fn most_within(&self, time: Duration, after: Instant) -> usize {
-        let came = self.arrivals.iter().map(|(at, _)| *at);
-        let mut came: Vec<Instant> = came.filter(|at| *at > after).collect();
-        came.sort();
-        let until = |(from, first): (usize, &Instant)| {
-            came[from..].partition_point(|at| *at - *first < time)
+    /// Returns the maximum number of requests received after a moment within any interval of a
+    /// length.
+    pub fn max_arrivals_within(&self, time: Duration, after: Instant) -> usize {
+        let arrival_times = self.arrivals.iter().map(|(at, _)| *at);
+        let mut arrival_times: Vec<Instant> = arrival_times.filter(|at| *at > after).collect();
+        arrival_times.sort();
+        let requests_from = |(from, first): (usize, &Instant)| {
+            arrival_times[from..].partition_point(|at| *at - *first < time)
         };
-        came.iter().enumerate().map(until).max().unwrap_or(0)
+        arrival_times
+            .iter()
+            .enumerate()
+            .map(requests_from)
+            .max()
+            .unwrap_or(0)
     }
-    pub fn is_crashed_by(&self, body: &[u8]) -> bool {
-        self.crashed_by.as_deref() == Some(body)
+    pub fn crashes_on(&self, body: &[u8]) -> bool {
+        self.crash_body.as_deref() == Some(body)
     }
-    /// it ends with all that it runs and holds, and comes back under another name
+    /// Ends the current incarnation; the next one has another id and holds no adapters.
     pub fn crash(&mut self) {
         self.crashes += 1;
-        self.born += 1;
+        self.start_time_ms += 1;
         let name = self.id.split('.').next().unwrap_or_default();
         self.id = format!("{name}.{}", self.crashes);
-        self.orders = self.orders.of_next_life();
+        self.orders = self.orders.next_incarnation();
         self.has_crashed.notify_one();
     }
 }
 
-/// the most requests that may come within a window, where a limit is named
-pub fn allowed_by_limit(per_s: f64) -> usize {
+/// Returns the maximum number of requests that a caller may send within a window.
+pub fn max_requests_in_window(per_s: f64) -> usize {
     (1.5 * per_s * LIMIT_WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// an engine or a copy of a plain service
+/// Stand-in for an engine or for a replica of a plain service.
 pub struct BackendStandIn {
     pub addr: SocketAddr,
     state: Arc<Mutex<BackendState>>,
-    /// changes with each life; connections end with theirs
-    lives: watch::Sender<u64>,
+    /// Changes with each incarnation, which closes the connections of the previous one.
+    incarnations: watch::Sender<u64>,
     server: JoinHandle<()>,
 }
 
@@ -253,10 +267,10 @@
         let has_crashed = Arc::new(Notify::new());
         let state = Arc::new(Mutex::new(BackendState {
             id: id.to_string(),
-            born: FIRST_BORN,
+            start_time_ms: FIRST_START_TIME_MS,
             kind,
             fault: BackendFault::None,
-            fault_left: 0,
+            fault_requests_left: 0,
             runs: Vec::new(),
             arrivals: Vec::new(),
             all_orders: Vec::new(),
@@ -264,39 +278,42 @@
             slots: u32::MAX,
             running: 0,
             delay: Duration::ZERO,
-            parts: 3,
-            pause: Duration::from_millis(5),
-            pause_per_run: Duration::ZERO,
-            crashed_by: None,
-            says_leaving: false,
-            names_limit: None,
-            told_limit: None,
-            over_limit: 0,
-            odd_headers: Vec::new(),
-            asks_rest: None,
-            told_leaving: None,
-            sent_while_leaving: 0,
-            turns_orders_away: false,
-            calls: Vec::new(),
-            rests: Vec::new(),
-            down_for: Duration::from_millis(300),
+            event_count: 3,
+            event_interval: Duration::from_millis(5),
+            event_interval_per_run: Duration::ZERO,
+            crash_body: None,
+            announces_leaving: false,
+            advertised_limit: None,
+            limit_announced_at: None,
+            requests_over_limit: 0,
+            extra_headers: Vec::new(),
+            requested_backoff: None,
+            leaving_announced_at: None,
+            requests_while_leaving: 0,
+            rejects_orders: false,
+            sidecar_calls: Vec::new(),
+            backoffs: Vec::new(),
+            restart_delay: Duration::from_millis(300),
             crashes: 0,
             has_crashed: has_crashed.clone(),
         }));
-        let lives = watch::Sender::new(FIRST_BORN);
-        let (shared, ended) = (state.clone(), lives.clone());
+        let incarnations = watch::Sender::new(FIRST_START_TIME_MS);
+        let (server_state, incarnation_changes) = (state.clone(), incarnations.clone());
         let server = tokio::spawn(async move {
             loop {
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
-                        Ok((socket, _)) => spawn_connection(socket, &shared, ended.subscribe()),
+                        Ok((socket, _)) => {
+                            let incarnation = incarnation_changes.subscribe();
+                            spawn_connection(socket, &server_state, incarnation);
+                        }
                         Err(_) => return,
                     },
                     () = has_crashed.notified() => {
                         drop(listener);
-                        ended.send_modify(|life| *life += 1);
-                        let down_for = lock(&shared).down_for;
-                        sleep(down_for).await;
+                        incarnation_changes.send_modify(|incarnation| *incarnation += 1);
+                        let restart_delay = lock(&server_state).restart_delay;
+                        sleep(restart_delay).await;
                         listener = match TcpListener::bind(addr).await {
                             Ok(listener) => listener,
                             Err(_) => return,
@@ -308,7 +325,7 @@
         Ok(Self {
             addr,
             state,
-            lives,
+            incarnations,
             server,
         })
     }
@@ -322,48 +339,48 @@
     pub fn runs(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
-    pub fn orders(&self) -> Vec<TakenOrder> {
-        self.state().orders.taken.clone()
+    pub fn orders(&self) -> Vec<AcceptedOrder> {
+        self.state().orders.accepted.clone()
     }
-    /// strike the next requests with a fault
+    /// Injects a fault into the next requests.
     pub fn set_fault(&self, fault: BackendFault, requests: u32) {
         let mut state = self.state();
         state.fault = fault;
-        state.fault_left = requests;
+        state.fault_requests_left = requests;
     }
-    /// start again under the same name: it holds nothing, counts anew, and all its
-    /// connections are closed
-    pub fn start_again(&self, born: u64) {
+    /// Restarts under the same id: the engine holds nothing, its sequence numbers start again and
+    /// all connections are closed.
+    pub fn restart(&self, start_time_ms: u64) {
         let mut state = self.state();
-        state.born = born;
+        state.start_time_ms = start_time_ms;
         state.orders = EngineOrders {
-            has_no_model: true,
-            ..state.orders.of_next_life()
+            is_base_model_missing: true,
+            ..state.orders.next_incarnation()
         };
         drop(state);
-        self.lives.send_replace(born);
+        self.incarnations.send_replace(start_time_ms);
     }
-    /// come back as another incarnation that holds nothing
-    pub fn restart_as(&self, id: &str) {
+    /// Continues as another incarnation that holds nothing.
+    pub fn restart_with_id(&self, id: &str) {
         let mut state = self.state();
         state.id = id.to_string();
-        state.says_leaving = false;
-        state.told_leaving = None;
-        state.orders = state.orders.of_next_life();
+        state.announces_leaving = false;
+        state.leaving_announced_at = None;
+        state.orders = state.orders.next_incarnation();
     }
 }
 
-/// serve a connection until it ends, or the life of the back end
+/// Serves a connection until it or the incarnation of the back end ends.
 fn spawn_connection(
     socket: TcpStream,
     state: &Arc<Mutex<BackendState>>,
-    mut life: watch::Receiver<u64>,
+    mut incarnation: watch::Receiver<u64>,
 ) {
-    let served = serve(socket, state.clone());
+    let connection = serve(socket, state.clone());
     tokio::spawn(async move {
         tokio::select! {
-            () = served => {}
-            _ = life.changed() => {}
+            () = connection => {}
+            _ = incarnation.changed() => {}
         }
     });
 }
@@ -387,24 +404,25 @@
 ) -> Result<()> {
     let target = head.line.get(1).cloned().unwrap_or_default();
     let id = lock(state).id.clone();
-    let words = lock(state).words();
-    let mut own_id = words.clone();
-    own_id.push(("Chalkcart-Instance-Id", id.clone()));
-    let is_call = [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
-    if is_call && lock(state).turns_orders_away {
-        lock(state).calls.push(Instant::now());
+    let headers = lock(state).signal_headers();
+    let mut headers_with_id = headers.clone();
+    headers_with_id.push(("Chalkcart-Instance-Id", id.clone()));
+    let is_sidecar_call =
+        [HEALTH_PATH, names::REPORT_PATH, names::ORDER_PATH].contains(&target.as_str());
+    if is_sidecar_call && lock(state).rejects_orders {
+        lock(state).sidecar_calls.push(Instant::now());
     }
     if target == HEALTH_PATH {
-        return write_answer(socket, 200, &own_id, b"").await;
+        return write_response(socket, 200, &headers_with_id, b"").await;
     }
     if target == names::REPORT_PATH {
         let report = {
             let mut state = lock(state);
             let mut report = state.orders.report(Instant::now());
-            report["born"] = state.born.into();
+            report["born"] = state.start_time_ms.into();
             report.to_string()
         };
-        return write_answer(socket, 200, &words, report.as_bytes()).await;
+        return write_response(socket, 200, &headers, report.as_bytes()).await;
     }
     if target != names::ORDER_PATH {
         let request = head.get("chalkcart-request-id").unwrap_or_default();
@@ -412,23 +430,23 @@
     }
     let expected = head.get("chalkcart-expect-instance");
     if expected.is_some_and(|expected| expected != id) {
-        return write_answer(socket, 421, &own_id, b"").await;
+        return write_response(socket, 421, &headers_with_id, b"").await;
     }
-    if target == names::ORDER_PATH && lock(state).turns_orders_away {
-        let words = lock(state).words_of_refusal(Instant::now());
-        return write_answer(socket, 503, &words, b"").await;
+    if target == names::ORDER_PATH && lock(state).rejects_orders {
+        let headers = lock(state).rejection_headers(Instant::now());
+        return write_response(socket, 503, &headers, b"").await;
     }
     if target == names::ORDER_PATH {
         let status = {
             let mut state = lock(state);
             let status = state.orders.order(&body, Instant::now());
             if matches!(status, 200 | 202) {
-                let order = state.orders.taken.last().cloned();
+                let order = state.orders.accepted.last().cloned();
                 state.all_orders.extend(order);
             }
             status
         };
-        return write_answer(socket, status, &words, b"").await;
+        return write_response(socket, status, &headers, b"").await;
     }
-    answer_request(socket, state, head, body).await
+    respond(socket, state, head, body).await
 }
--- a/testkit/src/users_platform/fleet.rs
+++ b/testkit/src/users_platform/fleet.rs
@@ -26,31 +26,30 @@
 pub const HOST: &str = "host.example";
 const ENGINE_SERVICE: &str = "engines";
 const PLAIN_SERVICE: &str = "plain";
-const READY_LIMIT: Duration = Duration::from_secs(1);
-/// last byte of the first engine's address
-const FIRST_HOST: u8 = 10;
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Last octet of the first engine's address.
+const FIRST_ENGINE_HOST: u8 = 10;
 
-/// what a fleet is made of
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
-    /// availability zones and their regions: the first is the ingress's, back ends of each
-    /// kind are in one after the other
-    pub places: Vec<(&'static str, &'static str)>,
+    /// Zones with their regions: the ingress is in the first one, the back ends of each kind are
+    /// distributed round-robin.
+    pub zones: Vec<(&'static str, &'static str)>,
     pub engines: u8,
     pub plain: u8,
-    /// publish a configuration before the start
-    pub configured: bool,
+    /// Whether a configuration is published before the start.
+    pub publish_config: bool,
     pub timeout_ms: u64,
     pub grace_s: f64,
-    /// engines from which on the ingress uses a relay
+    /// Number of engines from which on the ingress uses a relay.
     pub relays_from_engines: usize,
-    /// a key that was taken away is not used after this time, in ms
+    /// Maximum time for which a revoked key is accepted, in ms.
     pub revoke_ms: Option<u64>,
-    /// the ingress reaches the store by a forwarder that can be silenced
-    pub forwarded_store: bool,
-    /// sidecars know an address of the store that answers; else a dead one
-    pub sidecars_reach_store: bool,
-    /// programs that are not those of this build
+    /// Whether the ingress reaches the store through a forwarder that can inject faults.
+    pub has_store_forwarder: bool,
+    /// Whether the sidecars get the address of the store; otherwise nothing listens at theirs.
+    pub can_sidecars_reach_store: bool,
+    /// Programs to start instead of those of this build.
     pub entry_program: Option<PathBuf>,
     pub sidecar_program: Option<PathBuf>,
 }
@@ -58,23 +57,23 @@
 impl Default for FleetSettings {
     fn default() -> Self {
         Self {
-            places: vec![("z", "r")],
+            zones: vec![("z", "r")],
             engines: 0,
             plain: 1,
-            configured: true,
+            publish_config: true,
             timeout_ms: 8_000,
             grace_s: 6.0,
             relays_from_engines: usize::MAX,
             revoke_ms: None,
-            forwarded_store: false,
-            sidecars_reach_store: true,
+            has_store_forwarder: false,
+            can_sidecars_reach_store: true,
             entry_program: None,
             sidecar_program: None,
         }
     }
 }
 
-/// one ingress, and the sidecars of its engines, among stand-ins
+/// An ingress, the sidecars of its engines, and stand-ins for the rest.
 pub struct Fleet {
     pub store: StoreStandIn,
     pub store_forwarder: Option<TcpForwarder>,
@@ -92,7 +91,7 @@
     version: u64,
 }
 
-/// one more ingress of a fleet
+/// Additional ingress of a fleet.
 pub struct OtherIngress {
     pub process: Process,
     pub clients: SocketAddr,
@@ -101,7 +100,7 @@
 }
 
 impl Fleet {
-    /// start everything and wait until the sidecars listen and the ingress is ready
+    /// Starts all processes and waits until the sidecars listen and the ingress is ready.
     pub async fn start(settings: FleetSettings) -> Result<Self> {
         let folder = std::env::temp_dir().join(format!(
             "chalkcart-{}-{}",
@@ -118,9 +117,9 @@
             let id = format!("p-{number}");
             let backend = BackendStandIn::start(&id, BackendKind::Plain, next_addr()).await?;
             fleet.plain.push(backend);
-            fleet.list(PLAIN_SERVICE, fleet.plain.len() - 1, "ready");
+            fleet.publish_backend(PLAIN_SERVICE, fleet.plain.len() - 1, "ready");
         }
-        if fleet.settings.configured {
+        if fleet.settings.publish_config {
             fleet.configure(|_| {});
             fleet.wait_ready().await;
         }
@@ -129,7 +128,7 @@
 
     async fn start_processes(settings: FleetSettings, folder: PathBuf) -> Result<Self> {
         let store = StoreStandIn::start().await?;
-        let store_forwarder = match settings.forwarded_store {
+        let store_forwarder = match settings.has_store_forwarder {
             true => Some(TcpForwarder::start(store.addr, Duration::ZERO).await?),
             false => None,
         };
@@ -138,19 +137,19 @@
         let sidecar_port = next_addr().port();
         let settings_file = folder.join("ingress.json");
         let mut document = json!({
-            "name": "front-1", "zone": settings.places[0].0, "clients": clients, "readiness": readiness,
+            "name": "front-1", "zone": settings.zones[0].0, "clients": clients, "readiness": readiness,
             "metrics": metrics, "store": store_addr, "sidecar_port": sidecar_port,
             "grace_s": settings.grace_s, "retry_ratio": 0.2, "retry_extra": 50,
             "retry_window_s": 10, "version_ms": 5000,
             "drain_ms": 2000, "store_reads_per_s": 2000,
             "relays_from_engines": settings.relays_from_engines,
         });
-        // builds before fc8906b do not know it
+        // older builds reject this key as unknown
         if settings.entry_program.is_none() {
             document["first_start"] = json!(true);
         }
-        if settings.places.len() > 1 {
-            let regions: HashMap<&str, &str> = settings.places.iter().copied().collect();
+        if settings.zones.len() > 1 {
+            let regions: HashMap<&str, &str> = settings.zones.iter().copied().collect();
             document["regions"] = json!(regions);
         }
         if let Some(revoke_ms) = settings.revoke_ms {
@@ -180,11 +179,11 @@
     }
 
     async fn start_engine(&mut self, number: u8) -> Result<()> {
-        let addr = with_host(next_addr(), FIRST_HOST + number);
+        let addr = with_host(next_addr(), FIRST_ENGINE_HOST + number);
         let id = format!("e-{number}");
         let engine = BackendStandIn::start(&id, BackendKind::Engine, addr).await?;
         self.engines.push(engine);
-        self.list(ENGINE_SERVICE, usize::from(number), "ready");
+        self.publish_backend(ENGINE_SERVICE, usize::from(number), "ready");
         let sidecar = self.start_sidecar(number)?;
         self.sidecars.push(sidecar);
         Ok(())
@@ -193,18 +192,22 @@
     async fn wait_for_sidecars(&self) {
         for number in 0..self.engines.len() {
             let addr = self.sidecar_addr(number);
-            let listens = || async { TcpStream::connect(addr).await.is_ok() };
-            until_async("a sidecar listens", listens).await;
+            let is_listening = || async { TcpStream::connect(addr).await.is_ok() };
+            until_async("the sidecar listens", is_listening).await;
         }
     }
 
-    /// start one more ingress among the same stand-ins
+    /// Starts an additional ingress in the first zone.
     pub async fn start_other_ingress(&self, name: &str) -> Result<OtherIngress> {
-        let zone = self.settings.places[0].0;
-        self.start_other_ingress_in(name, zone).await
+        let zone = self.settings.zones[0].0;
+        self.start_other_ingress_in_zone(name, zone).await
     }
-    /// the same, in an availability zone
-    pub async fn start_other_ingress_in(&self, name: &str, zone: &str) -> Result<OtherIngress> {
+    /// Starts an additional ingress in a zone.
+    pub async fn start_other_ingress_in_zone(
+        &self,
+        name: &str,
+        zone: &str,
+    ) -> Result<OtherIngress> {
         let mut document: Value = serde_json::from_slice(&fs::read(&self.settings_file)?)?;
         let (clients, readiness, metrics) = (next_addr(), next_addr(), next_addr());
         document["name"] = json!(name);
@@ -226,7 +229,7 @@
         })
     }
 
-    /// start the ingress again, as the platform does after its end
+    /// Restarts the ingress with `first_start` off, as the platform does after an exit.
     pub fn restart_ingress(&mut self) -> Result<()> {
         let mut document: Value = serde_json::from_slice(&fs::read(&self.settings_file)?)?;
         if let Some(document) = document.as_object_mut() {
@@ -238,27 +241,26 @@
         fs::write(&self.settings_file, document.to_string())?;
         self.start_ingress()
     }
-    /// start it with the settings file as it is
+    /// Starts the ingress with the current settings file.
     pub fn start_ingress(&mut self) -> Result<()> {
         let file = self.settings_file.display().to_string();
         let program = entry_program(&self.settings)?;
         self.ingress = Process::spawn(&program, &["ingress", &file], &self.log_file)?;
         Ok(())
     }
-    /// programs of the processes that are started from now on; none for those of this build
+    /// Sets the programs of processes started from now on; `None` selects those of this build.
     pub fn set_programs(&mut self, entry: Option<PathBuf>, sidecar: Option<PathBuf>) {
         self.settings.entry_program = entry;
         self.settings.sidecar_program = sidecar;
     }
-    /// where the sidecar of an engine listens
+    /// Returns the address on which the sidecar of an engine listens.
     pub fn sidecar_addr(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.engines[number].addr.ip(), self.sidecar_port)
     }
-    /// start the sidecar of an engine
     pub fn start_sidecar(&self, number: u8) -> Result<Process> {
         let engine = self.engines[usize::from(number)].addr;
         let listen = self.sidecar_addr(usize::from(number));
-        let store = match self.settings.sidecars_reach_store {
+        let store = match self.settings.can_sidecars_reach_store {
             true => self.store.addr,
             false => next_addr(),
         };
@@ -279,30 +281,30 @@
         Process::spawn(&program, &["--place", &file], &log)
     }
 
-    /// write the row of an engine or a plain service into the list
-    pub fn list(&self, service: &str, number: usize, state: &str) {
+    /// Writes the record of an engine or a plain back end to the store.
+    pub fn publish_backend(&self, service: &str, number: usize, state: &str) {
         let backend = match service {
             ENGINE_SERVICE => &self.engines[number],
             _ => &self.plain[number],
         };
-        let places = &self.settings.places;
-        let zone = places[number % places.len()].0;
-        let row = json!({
+        let zones = &self.settings.zones;
+        let zone = zones[number % zones.len()].0;
+        let record = json!({
             "Service": service, "Address": backend.addr, "Zone": zone, "Version": "v1",
             "Slots": 8, "State": state, "ColdLeftMs": 0, "Seq": 1,
-            "born": backend.state().born,
+            "born": backend.state().start_time_ms,
             "Models": [{"Name": MODEL, "Version": 1, "Adapters": []}],
         });
-        self.store.put(&format!("servers/{}", backend.id()), row);
+        self.store.put(&format!("servers/{}", backend.id()), record);
     }
-    pub fn list_engine(&self, number: usize, state: &str) {
-        self.list(ENGINE_SERVICE, number, state);
+    pub fn publish_engine(&self, number: usize, state: &str) {
+        self.publish_backend(ENGINE_SERVICE, number, state);
     }
-    pub fn list_plain(&self, number: usize, state: &str) {
-        self.list(PLAIN_SERVICE, number, state);
+    pub fn publish_plain(&self, number: usize, state: &str) {
+        self.publish_backend(PLAIN_SERVICE, number, state);
     }
 
-    /// publish the next configuration, changed in this way
+    /// Publishes the next configuration with a change applied to the default one.
     pub fn configure(&mut self, change: impl FnOnce(&mut Value)) {
         self.version += 1;
         let route = |name: &str, prefix: &str, kind: &str, service: &str, attempts: u32| {
@@ -335,26 +337,24 @@
         self.store.put("op/config", document);
     }
 
-    /// of the newest configuration
+    /// Returns the version of the newest configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
     pub async fn is_ready(&self) -> bool {
         is_ready(self.readiness).await
     }
-    /// the page of metrics, empty if it is not served now
+    /// Returns the metrics page of the ingress, or an empty string if it is not served.
     pub async fn metrics_text(&self) -> String {
         metrics_text(self.metrics).await
     }
     pub async fn wait_ready(&self) {
         until_async("the ingress is ready", || self.is_ready()).await;
     }
-    /// the lines that the sidecar of an engine has logged
     pub fn sidecar_log(&self, number: usize) -> String {
         let file = format!("side-{number}.log");
         fs::read_to_string(self.settings_file.with_file_name(file)).unwrap_or_default()
     }
-    /// the lines that the ingress has logged
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log_file).unwrap_or_default()
     }
@@ -367,34 +367,34 @@
     }
 }
 
-/// whether the process with this readiness page takes clients
+/// Returns whether the process with this readiness address accepts clients.
 async fn is_ready(readiness: SocketAddr) -> bool {
     let path = "/chalkcart/ready";
-    let asked = HttpClient::new()
+    let response = HttpClient::new()
         .exchange(
             readiness,
             Method::GET,
             path,
             "text/plain",
             Default::default(),
-            READY_LIMIT,
+            READY_TIMEOUT,
         )
         .await;
-    asked.is_ok_and(|(status, _)| status == StatusCode::OK)
+    response.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
-/// an ingress's page of metrics, empty if it is not served now
+/// Returns an ingress's metrics page, or an empty string if it is not served.
 pub async fn metrics_text(metrics: SocketAddr) -> String {
     let http = HttpClient::new();
-    let asked = http.exchange(
+    let response = http.exchange(
         metrics,
         Method::GET,
         "/metrics",
         "text/plain",
         Default::default(),
-        READY_LIMIT,
+        READY_TIMEOUT,
     );
-    let page = asked.await.map(|(_, text)| text).unwrap_or_default();
+    let page = response.await.map(|(_, text)| text).unwrap_or_default();
     String::from_utf8_lossy(&page).to_string()
 }
 
--- a/testkit/src/users_platform/store_stand_in.rs
+++ b/testkit/src/users_platform/store_stand_in.rs
@@ -1,5 +1,5 @@
 use {
-    super::wire::{read_head, write_answer, Head},
+    super::wire::{read_head, write_response, Head},
     crate::{cluster::next_addr, serving::lock},
     anyhow::Result,
     base64::{engine::general_purpose::STANDARD, Engine},
@@ -19,46 +19,45 @@
     },
 };
 
-const PAGE: usize = 3;
-/// one item by its key; our processes read ranges only
+const ITEMS_PER_PAGE: usize = 3;
+/// Path for reading one item; the processes under test read ranges only.
 const KEY_PATH: &str = "/chalkcart/kv-key";
 
-/// how the store misbehaves
+/// Fault that the store injects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StoreFault {
     #[default]
     None,
-    /// answers nothing
-    Silent,
-    /// answers each call with this status
+    /// Never responds.
+    Unresponsive,
+    /// Responds to each call with this status.
     Status(u16),
-    /// closes each connection
+    /// Closes each connection.
     Reset,
 }
 
-/// values as they are written, in base64 or not, by key, with the revision of their
-/// last change
+/// Values by key, as they were written, with the revision of their last change.
 type Items = BTreeMap<String, (String, u64)>;
 
 #[derive(Debug, Default)]
 struct State {
     items: Items,
-    /// changes: revision, key, value or none
+    /// Changes: revision, key and value, or `None` for a deletion.
     history: Vec<(u64, String, Option<String>)>,
-    /// changes up to this revision are forgotten
+    /// Changes up to this revision have been removed from the history.
     forgotten: u64,
     revision: u64,
     fault: StoreFault,
-    /// target of each call
+    /// Target of each call.
     calls: Vec<String>,
-    /// connections so far, and how many of them say nothing more
+    /// Connections accepted so far; those up to `silent_connections` get no more responses.
     connections: u64,
     silent_connections: u64,
-    /// what stale reads see, if not the present
+    /// Items and revision that stale reads return instead of the current ones.
     stale: Option<(Items, u64)>,
 }
 
-/// the platform's store
+/// Stand-in for the platform's store.
 pub struct StoreStandIn {
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -95,11 +94,11 @@
     pub fn put(&self, key: &str, value: Value) {
         self.put_bytes(key, value.to_string().as_bytes());
     }
-    /// another writer's value
+    /// Writes a value, encoded in base64.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.put_text(key, &STANDARD.encode(value));
     }
-    /// another writer's value, not as values are written
+    /// Writes a value without encoding it.
     pub fn put_text(&self, key: &str, text: &str) {
         self.change(key, Some(text.to_string()));
     }
@@ -109,23 +108,23 @@
     pub fn set_fault(&self, fault: StoreFault) {
         lock(&self.state).fault = fault;
     }
-    /// forget all changes; watches from before get 410
-    pub fn forget_history(&self) {
+    /// Removes all changes from the history; watches from earlier revisions get 410.
+    pub fn compact_history(&self) {
         let mut state = lock(&self.state);
         state.history.clear();
         state.forgotten = state.revision;
     }
-    /// from now on stale reads see the present state, whatever changes
-    pub fn hold_stale_reads(&self) {
+    /// Makes stale reads return the current state from now on.
+    pub fn freeze_stale_reads(&self) {
         let mut state = lock(&self.state);
         state.stale = Some((state.items.clone(), state.revision));
     }
-    /// the connections that are open say nothing more; new ones are served
+    /// Stops responding on open connections; new ones are served.
     pub fn silence_connections(&self) {
         let mut state = lock(&self.state);
         state.silent_connections = state.connections;
     }
-    /// targets of all calls, in their order
+    /// Returns the targets of all calls in order.
     pub fn calls(&self) -> Vec<String> {
         lock(&self.state).calls.clone()
     }
@@ -149,7 +148,7 @@
 }
 
 async fn serve(mut socket: TcpStream, state: Arc<Mutex<State>>, changed: Arc<watch::Sender<u64>>) {
-    let number = {
+    let connection = {
         let mut state = lock(&state);
         state.connections += 1;
         state.connections
@@ -158,19 +157,19 @@
         let fault = {
             let mut state = lock(&state);
             state.calls.push(head.target());
-            match number <= state.silent_connections {
-                true => StoreFault::Silent,
+            match connection <= state.silent_connections {
+                true => StoreFault::Unresponsive,
                 false => state.fault,
             }
         };
         let (status, body) = match fault {
-            StoreFault::Silent => return sleep(Duration::from_secs(60)).await,
+            StoreFault::Unresponsive => return sleep(Duration::from_secs(60)).await,
             StoreFault::Reset => return,
             StoreFault::Status(status) => (status, Value::Null),
-            StoreFault::None => answer(&head, &state, &changed).await,
+            StoreFault::None => respond(&head, &state, &changed).await,
         };
         let body = body.to_string();
-        if write_answer(&mut socket, status, &[], body.as_bytes())
+        if write_response(&mut socket, status, &[], body.as_bytes())
             .await
             .is_err()
         {
@@ -179,7 +178,7 @@
     }
 }
 
-async fn answer(head: &Head, state: &Mutex<State>, changed: &watch::Sender<u64>) -> (u16, Value) {
+async fn respond(head: &Head, state: &Mutex<State>, changed: &watch::Sender<u64>) -> (u16, Value) {
     let target = head.target();
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     let value = |name: &str| {
@@ -197,9 +196,9 @@
                 Some((items, revision)) if value("stale").is_some() => (items, *revision),
                 _ => present,
             };
-            range(items, revision, &prefix, &after)
+            read_range(items, revision, &prefix, &after)
         }
-        KEY_PATH => key(&lock(state), &value("Key").unwrap_or_default()),
+        KEY_PATH => read_key(&lock(state), &value("Key").unwrap_or_default()),
         names::WATCH_PATH => {
             let after = after.parse().unwrap_or(0);
             let wait = value("WaitMs").and_then(|ms| ms.parse().ok()).unwrap_or(0);
@@ -209,20 +208,20 @@
     }
 }
 
-fn range(items: &Items, revision: u64, prefix: &str, after: &str) -> (u16, Value) {
+fn read_range(items: &Items, revision: u64, prefix: &str, after: &str) -> (u16, Value) {
     let matching = items.iter().filter(|(key, _)| key.starts_with(prefix));
-    let mut rest = matching.filter(|(key, _)| key.as_str() > after);
-    let page: Vec<Value> = rest
+    let mut remaining = matching.filter(|(key, _)| key.as_str() > after);
+    let page: Vec<Value> = remaining
         .by_ref()
-        .take(PAGE)
+        .take(ITEMS_PER_PAGE)
         .map(|(key, (value, revision))| item(key, Some(value), *revision))
         .collect();
-    let more = rest.next().is_some();
+    let more = remaining.next().is_some();
     let body = json!({"items": page, "more": more, "at": revision});
     (200, body)
 }
 
-fn key(state: &State, key: &str) -> (u16, Value) {
+fn read_key(state: &State, key: &str) -> (u16, Value) {
     match state.items.get(key) {
         Some((value, revision)) => (200, item(key, Some(value), *revision)),
         None => (404, Value::Null),
@@ -237,7 +236,7 @@
     wait: Duration,
 ) -> (u16, Value) {
     let mut revisions = changed.subscribe();
-    let heard = async {
+    let next_change = async {
         loop {
             {
                 let state = lock(state);
@@ -253,16 +252,16 @@
             let _ = revisions.changed().await;
         }
     };
-    let nothing = json!({"events": [], "at": after});
-    timeout(wait, heard).await.unwrap_or((200, nothing))
+    let no_events = json!({"events": [], "at": after});
+    timeout(wait, next_change).await.unwrap_or((200, no_events))
 }
 
 fn events(state: &State, prefix: &str, after: u64) -> Vec<Value> {
-    let later = state
+    let later_changes = state
         .history
         .iter()
         .filter(|(revision, key, _)| *revision > after && key.starts_with(prefix));
-    let events = later.map(|(revision, key, value)| item(key, value.as_ref(), *revision));
+    let events = later_changes.map(|(revision, key, value)| item(key, value.as_ref(), *revision));
     events.collect()
 }
 
