--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -137,7 +137,9 @@
             return Ok(None);
         };
         let (config_age, level_age) = self.shared.admission.ages(account.fingerprint);
-        self.shared.metrics.on_decision_inputs(config_age, level_age);
+        self.shared
+            .metrics
+            .on_decision_inputs(config_age, level_age);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
         let over = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
