--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -49,14 +49,14 @@
             }
         }
         for backend in list {
-            let cold_left = backend.cold_left;
-            self.may_have_slow_start |= !cold_left.is_zero();
+            let slow_start_left = backend.slow_start_left;
+            self.may_have_slow_start |= !slow_start_left.is_zero();
             let entry = &self.settings.entry;
             match self.backends.get_mut(&backend.id) {
                 Some(state) => {
                     // an unchanged value has been counting down since it was listed
-                    if state.listed.cold_left != cold_left {
-                        state.set_slow_start(entry, cold_left, now);
+                    if state.listed.slow_start_left != slow_start_left {
+                        state.set_slow_start(entry, slow_start_left, now);
                     }
                     state.listed = backend;
                 }
@@ -68,7 +68,7 @@
                     if state.limit.effective_rate().is_some() {
                         self.limited_backends.insert(id.clone());
                     }
-                    state.set_slow_start(entry, cold_left, now);
+                    state.set_slow_start(entry, slow_start_left, now);
                     self.backends.insert(id, state);
                 }
             }
@@ -246,11 +246,11 @@
         self.crashes.on_engine_ended(&previous.listed.id, now);
         previous.end_incarnation();
         let service = self.table.services.get(&previous.listed.service);
-        let cold_left = service.map_or(Duration::ZERO, |s| s.cold_start);
+        let slow_start_left = service.map_or(Duration::ZERO, |s| s.slow_start_duration);
         let listed = Backend {
             id: id.clone(),
             leaving: false,
-            cold_left,
+            slow_start_left,
             models: Vec::new(),
             held: Vec::new(),
             ..previous.listed.clone()
@@ -261,8 +261,8 @@
             self.limited_backends.insert(id.clone());
         }
         state.is_ahead_of_list = true;
-        self.may_have_slow_start |= !cold_left.is_zero();
-        state.set_slow_start(&self.settings.entry, cold_left, now);
+        self.may_have_slow_start |= !slow_start_left.is_zero();
+        state.set_slow_start(&self.settings.entry, slow_start_left, now);
         self.backends.insert(id.clone(), state);
     }
 
--- a/coordination/src/dispatch/slow_start.rs
+++ b/coordination/src/dispatch/slow_start.rs
@@ -35,7 +35,7 @@
         {
             let service = self.table.services.get(&state.listed.service);
             let pace = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
-                requests_per_s: s.cold_per_s,
+                requests_per_s: s.slow_start_per_s,
             });
             state.advance_slow_start(pace, entries, now);
         }
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -27,7 +27,7 @@
 
 fn engine_in_slow_start(number: u8, left_ms: u64) -> Backend {
     Backend {
-        cold_left: ms(left_ms),
+        slow_start_left: ms(left_ms),
         slots: 64,
         ..backend(ENGINES, number)
     }
@@ -38,8 +38,8 @@
     let mut fixture = Fixture::new(Vec::new());
     let mut table = table();
     for service in table.services.values_mut() {
-        service.cold_start = ms(3_000);
-        service.cold_per_s = SLOW_START_PER_S;
+        service.slow_start_duration = ms(3_000);
+        service.slow_start_per_s = SLOW_START_PER_S;
     }
     fixture.handle(DispatchEvent::ConfigUpdated(Arc::new(table)));
     fixture.update_list(list);
--- a/coordination/tests/dispatch_fixture/mod.rs
+++ b/coordination/tests/dispatch_fixture/mod.rs
@@ -55,7 +55,7 @@
         zone: "z".to_string(),
         slots: 4,
         leaving: false,
-        cold_left: Duration::ZERO,
+        slow_start_left: Duration::ZERO,
         models: Vec::new(),
         held: Vec::new(),
     }
@@ -79,8 +79,8 @@
         name: name.to_string(),
         health_path: "/health".to_string(),
         engine,
-        cold_start: Duration::ZERO,
-        cold_per_s: 0.0,
+        slow_start_duration: Duration::ZERO,
+        slow_start_per_s: 0.0,
     };
     let services = vec![service(ENGINES, Some(spec)), service(PLAIN, None)];
     RouteTable::new(1, IngressLimits::default(), services)
--- a/coordination/tests/relays.rs
+++ b/coordination/tests/relays.rs
@@ -339,7 +339,7 @@
         zone: "z".to_string(),
         slots: 4,
         leaving: false,
-        cold_left: Duration::ZERO,
+        slow_start_left: Duration::ZERO,
         models: Vec::new(),
         held: Vec::new(),
     })
--- a/protocol/tests/samples/mod.rs
+++ b/protocol/tests/samples/mod.rs
@@ -218,7 +218,7 @@
         zone: "z".to_string(),
         slots: 8,
         leaving: false,
-        cold_left: Duration::from_millis(2_500),
+        slow_start_left: Duration::from_millis(2_500),
         models: vec!["m".to_string()],
         held: vec![held("a", 2)],
     };
--- a/state/src/accounts/account_table.rs
+++ b/state/src/accounts/account_table.rs
@@ -13,7 +13,8 @@
 pub struct AccountTable {
     by_key: HashMap<ApiKeyDigest, Arc<ClientAccount>>,
     /// Keys that several accounts list; they identify none of them.
-    contested: HashSet<ApiKeyDigest>,
+    #[serde(rename = "contested")]
+    duplicate_keys: HashSet<ApiKeyDigest>,
 }
 
 /// Two accounts that list the same API key.
@@ -31,13 +32,13 @@
         let account = Arc::new(account);
         let mut duplicates = Vec::new();
         for key in keys {
-            if self.contested.contains(&key) {
+            if self.duplicate_keys.contains(&key) {
                 continue;
             }
             let previous = self.by_key.insert(key, account.clone());
             if let Some(other) = previous.filter(|other| other.name != account.name) {
                 self.by_key.remove(&key);
-                self.contested.insert(key);
+                self.duplicate_keys.insert(key);
                 duplicates.push(DuplicateKey(other.name.clone(), account.name.clone()));
             }
         }
--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -18,7 +18,8 @@
     pub leaving: bool,
     /// Remaining duration of its slow start, as it last reported; it takes few requests until
     /// then.
-    pub cold_left: Duration,
+    #[serde(rename = "cold_left")]
+    pub slow_start_left: Duration,
     /// Base models loaded when the list was written.
     pub models: Vec<BaseModelName>,
     /// Adapters loaded when the list was written.
@@ -34,7 +35,7 @@
             || self.zone != later.zone
             || self.slots != later.slots
             || self.leaving != later.leaving
-            || self.cold_left != later.cold_left
+            || self.slow_start_left != later.slow_start_left
     }
 }
 
--- a/state/src/ingress/service.rs
+++ b/state/src/ingress/service.rs
@@ -37,7 +37,9 @@
     /// `None` for a plain service.
     pub engine: Option<EngineSpec>,
     /// Duration of a back end's slow start.
-    pub cold_start: Duration,
+    #[serde(rename = "cold_start")]
+    pub slow_start_duration: Duration,
     /// Requests per second sent to a back end in slow start; 0 for no limit.
-    pub cold_per_s: f64,
+    #[serde(rename = "cold_per_s")]
+    pub slow_start_per_s: f64,
 }
--- a/testkit/examples/capacity/dispatch.rs
+++ b/testkit/examples/capacity/dispatch.rs
@@ -92,8 +92,8 @@
         name: SERVICE.to_string(),
         health_path: "/health".to_string(),
         engine: Some(spec),
-        cold_start: Duration::ZERO,
-        cold_per_s: 0.0,
+        slow_start_duration: Duration::ZERO,
+        slow_start_per_s: 0.0,
     };
     let table = RouteTable::new(1, IngressLimits::default(), vec![service]);
     dispatcher.handle(DispatchEvent::ConfigUpdated(Arc::new(table)), now);
@@ -104,7 +104,7 @@
         zone: format!("z{}", number % 3),
         slots: 48,
         leaving: false,
-        cold_left: Duration::ZERO,
+        slow_start_left: Duration::ZERO,
         models: Vec::new(),
         held: Vec::new(),
     });
