--- a/entry/src/app/serve.rs
+++ b/entry/src/app/serve.rs
@@ -33,7 +33,7 @@
     log::info!("entry: drains after {signal}");
     shared.set_stopping();
     stop.send_replace(true);
-    served.await.context("join the server")??;
+    served.await.context("the server task failed")??;
     log::info!("entry: stopped");
     Ok(())
 }
--- a/entry/src/cli/log_lines.rs
+++ b/entry/src/cli/log_lines.rs
@@ -42,10 +42,10 @@
     if files.is_empty() {
         io::stdin()
             .read_to_string(&mut text)
-            .context("read standard input")?;
+            .context("cannot read standard input")?;
     }
     for file in files {
-        text.push_str(&fs::read_to_string(file).with_context(|| format!("read {file}"))?);
+        text.push_str(&fs::read_to_string(file).with_context(|| format!("cannot read {file}"))?);
         text.push('\n');
     }
     Ok(text.lines().filter_map(LogLine::parse).collect())
--- a/entry/src/cli/remote.rs
+++ b/entry/src/cli/remote.rs
@@ -181,7 +181,7 @@
 async fn connect(addr: &str) -> Result<Channel> {
     let endpoint = tonic::transport::Endpoint::from_shared(format!("http://{addr}"))?;
     let channel = endpoint.connect().await;
-    channel.with_context(|| format!("connect to {addr}"))
+    channel.with_context(|| format!("cannot connect to {addr}"))
 }
 
 fn print_target(target: &TargetStatus) {
--- a/entry/src/conf/ingress_settings.rs
+++ b/entry/src/conf/ingress_settings.rs
@@ -37,8 +37,8 @@
     /// Additional retries allowed in each window, over all entries.
     pub retry_extra: f64,
     pub retry_window_s: f64,
-    /// Set when the whole system starts for the first time: no previous incarnation of this
-    /// process has used a part of the retry budget.
+    /// Whether the whole system starts for the first time, so that no previous incarnation of
+    /// this process has used a part of the retry budget.
     #[serde(default)]
     pub first_start: bool,
     /// Milliseconds for which a request may still start on the previous version of its adapter.
@@ -52,7 +52,7 @@
     pub revoke_strict: bool,
     /// Window of the tenants' quotas in seconds. In each window, at most
     /// (rate x window + burst) x (1 + overage) + slack requests of an account run.
-    #[serde(default = "default_quota_window")]
+    #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
     #[serde(default)]
     pub quota_overage: f64,
@@ -61,12 +61,12 @@
     /// Milliseconds after which a leaving back end gets no more requests.
     pub drain_ms: u64,
     /// Milliseconds after which a configuration change is in force everywhere.
-    #[serde(default = "default_config_apply")]
+    #[serde(default = "default_config_apply_ms")]
     pub config_apply_ms: u64,
     /// Read calls per second that the store allows over all processes.
     pub store_reads_per_s: f64,
     /// Minimum number of engines for which this entry receives their views through relays.
-    #[serde(default = "default_relays_from")]
+    #[serde(default = "default_relays_from_engines")]
     pub relays_from_engines: usize,
     /// Values that the platform left out, for the log.
     #[serde(default)]
@@ -84,7 +84,7 @@
     }
     /// Returns the time after which a revoked API key must be rejected on every box, or `None`
     /// if disconnected boxes may go on using it.
-    pub fn revoked_within(&self) -> Option<Duration> {
+    pub fn revocation_bound(&self) -> Option<Duration> {
         let bound = self.revoke_ms.filter(|_| self.revoke_strict);
         bound.map(Duration::from_millis)
     }
@@ -120,12 +120,12 @@
     }
 }
 
-fn default_relays_from() -> usize {
+fn default_relays_from_engines() -> usize {
     MIN_ENGINES_FOR_RELAYS
 }
 
-/// Returns the shortest time that the platform's sites document, in milliseconds.
-fn default_config_apply() -> u64 {
+/// Returns the shortest time among the platform's sites, in milliseconds.
+fn default_config_apply_ms() -> u64 {
     2_000
 }
 
@@ -133,8 +133,8 @@
     true
 }
 
-/// Returns the window that the platform's sites document, in seconds.
-fn default_quota_window() -> f64 {
+/// Returns the quota window of the platform's sites, in seconds.
+fn default_quota_window_s() -> f64 {
     8.0
 }
 
--- a/entry/src/config/config_watcher.rs
+++ b/entry/src/config/config_watcher.rs
@@ -192,7 +192,7 @@
             .call(peer, path::SYNC, &request, SYNC_TIMEOUT)
             .await;
         if let Err(e) = &response {
-            log::debug!("config: no response from a peer: {e}");
+            log::debug!("config: sync with {peer} failed: {e}");
         }
         response.ok()
     }
--- a/entry/src/control/control_thread.rs
+++ b/entry/src/control/control_thread.rs
@@ -14,6 +14,8 @@
         }
     };
     let builder = thread::Builder::new().name("control".to_string());
-    builder.spawn(run).context("start the control thread")?;
+    builder
+        .spawn(run)
+        .context("cannot start the control thread")?;
     Ok(ControlHandle::new(tx))
 }
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -123,10 +123,10 @@
         self.send_event(DispatchEvent::ViewLost(backend.clone()));
     }
 
-    fn on_demand_result(&self, engine: SocketAddr, is_taken: bool) {
+    fn on_demand_result(&self, engine: SocketAddr, is_accepted: bool) {
         self.send_event(DispatchEvent::DemandSent {
             addr: engine,
-            is_accepted: is_taken,
+            is_accepted,
         });
     }
 }
@@ -188,7 +188,9 @@
     };
     let builder = thread::Builder::new().name("control".to_string());
     let run = move || control.run(&received);
-    builder.spawn(run).context("start the control thread")?;
+    builder
+        .spawn(run)
+        .context("cannot start the control thread")?;
     Ok(handle)
 }
 
--- a/entry/src/ingress/request_exchange.rs
+++ b/entry/src/ingress/request_exchange.rs
@@ -39,10 +39,10 @@
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Response text for a request whose deadline passed.
-const LATE: &str = "late";
+const DEADLINE_PASSED: &str = "late";
 
 /// Response text for a request whose key was revoked while it was queued.
-const KEY_GONE: &str = "key taken away";
+const KEY_REVOKED: &str = "key taken away";
 
 /// Response text for a request that is blocked because it crashes engines.
 const BLOCKED: &str = "engines ended under this request: it is not run any more";
@@ -66,7 +66,7 @@
 }
 
 /// The result of one send.
-enum Attempt {
+enum SendResult {
     /// The response is complete, or its stream has started.
     Responded(ClientResponse),
     NotRun(SendOutcome),
@@ -130,8 +130,12 @@
                     return self.final_response(cause.code(), retry_after);
                 }
                 None => {
-                    self.log_rejection(LATE, DEFAULT_RETRY_AFTER, &DecisionInputs::default());
-                    return self.final_response(LATE, DEFAULT_RETRY_AFTER);
+                    self.log_rejection(
+                        DEADLINE_PASSED,
+                        DEFAULT_RETRY_AFTER,
+                        &DecisionInputs::default(),
+                    );
+                    return self.final_response(DEADLINE_PASSED, DEFAULT_RETRY_AFTER);
                 }
             };
             if let Err(cause) = self.revalidate_key() {
@@ -142,7 +146,7 @@
                     }
                     _ => self
                         .local_response()
-                        .text(StatusCode::UNAUTHORIZED, KEY_GONE),
+                        .text(StatusCode::UNAUTHORIZED, KEY_REVOKED),
                 };
             }
             // The allowed regions may have changed while the request was queued.
@@ -158,25 +162,25 @@
             self.request.send_count += 1;
             self.log_send(&assignment);
             self.set_may_have_run(true);
-            match self.attempt(&assignment).await {
-                Attempt::Responded(response) => return response,
-                Attempt::TimedOut => {
-                    self.log_attempt(&assignment, "timed_out", None);
+            match self.send_request(&assignment).await {
+                SendResult::Responded(response) => return response,
+                SendResult::TimedOut => {
+                    self.log_send_end(&assignment, "timed_out", None);
                     return self
                         .local_response()
-                        .text(StatusCode::GATEWAY_TIMEOUT, LATE);
+                        .text(StatusCode::GATEWAY_TIMEOUT, DEADLINE_PASSED);
                 }
-                Attempt::NotRun(outcome) => {
+                SendResult::NotRun(outcome) => {
                     self.set_may_have_run(self.runs > 0);
-                    self.log_attempt(&assignment, outcome.code(), None);
+                    self.log_send_end(&assignment, outcome.code(), None);
                     // A back end that was full or lacked the adapter may accept it later.
                     if outcome == SendOutcome::Unreachable {
                         self.request.tried_backends.push(assignment.backend);
                     }
                 }
-                Attempt::Failed(failure) => {
+                SendResult::Failed(failure) => {
                     let status = failure.as_ref().map(|f| f.status());
-                    self.log_attempt(&assignment, "failed", status);
+                    self.log_send_end(&assignment, "failed", status);
                     self.runs += 1;
                     self.request.tried_backends.push(assignment.backend);
                     self.failure = failure;
@@ -285,13 +289,13 @@
         has_changed
     }
 
-    /// Tells the dispatcher that the request is not sent to the back end assigned to it.
-    fn abandon_assignment(&self, to: &Assignment, cause: &str) {
+    /// Reports to the dispatcher that the request is not sent to the back end assigned to it.
+    fn abandon_assignment(&self, assignment: &Assignment, cause: &str) {
         let mut guard = SendGuard::new(self.shared.control.clone(), self.ticket);
         guard.end(SendOutcome::Abandoned);
         log::warn!(
             request = self.accepted.head.id.as_str(),
-            backend = to.backend.as_str(),
+            backend = assignment.backend.as_str(),
             waited_ms = elapsed_ms(self.accepted.arrived),
             cause = cause;
             "dispatch: not sent"
@@ -311,26 +315,26 @@
         }
     }
 
-    async fn attempt(&self, assignment: &Assignment) -> Attempt {
+    async fn send_request(&self, assignment: &Assignment) -> SendResult {
         let mut guard = SendGuard::new(self.shared.control.clone(), self.ticket);
         let Some(req) = self.build_request(assignment) else {
-            return Attempt::Failed(None);
+            return SendResult::Failed(None);
         };
         let sent_at = clock::now();
         let result = before_deadline(self.deadline, send(assignment.addr, req, CONNECT_TIMEOUT));
         match result.await {
-            Err(_) => Attempt::TimedOut,
+            Err(_) => SendResult::TimedOut,
             Ok(Err(BackendSendError::NotSent { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Unreachable);
-                Attempt::NotRun(SendOutcome::Unreachable)
+                SendResult::NotRun(SendOutcome::Unreachable)
             }
             Ok(Err(BackendSendError::Lost { addr, problem })) => {
                 let request = self.accepted.head.id.as_str();
                 log::info!(request = request; "send: {addr}: {problem}");
                 guard.end(SendOutcome::Broken);
-                Attempt::Failed(None)
+                SendResult::Failed(None)
             }
             Ok(Ok(backend_response)) => {
                 let headers = backend_response.response.headers();
@@ -382,7 +386,7 @@
         head: BackendResponseHead,
         backend_response: BackendResponse,
         mut guard: SendGuard,
-    ) -> Attempt {
+    ) -> SendResult {
         let status = backend_response.response.status();
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
         if status == StatusCode::MISDIRECTED_REQUEST {
@@ -392,11 +396,11 @@
                 false => SendOutcome::Misdirected,
             };
             guard.end(outcome);
-            return Attempt::NotRun(outcome);
+            return SendResult::NotRun(outcome);
         }
         if head.proves_not_run {
             guard.end(SendOutcome::Shed);
-            return Attempt::NotRun(SendOutcome::Shed);
+            return SendResult::NotRun(SendOutcome::Shed);
         }
         let is_valid = is_ours && !head.is_encoded && (head.is_signed || !status.is_success());
         // These would tell the client that the request did not run.
@@ -410,7 +414,7 @@
             let request = self.accepted.head.id.as_str();
             log::info!(request = request; "send: invalid response with status {status}");
             guard.end(SendOutcome::Failed);
-            return Attempt::Failed(None);
+            return SendResult::Failed(None);
         }
         match self.accepted.route.kind.is_stream() && status.is_success() {
             true => self.proxy_stream(backend, backend_response, guard),
@@ -422,18 +426,18 @@
     /// complete.
     fn report_signals(
         &self,
-        to: &Assignment,
+        assignment: &Assignment,
         sent_at: Instant,
         status: StatusCode,
         head: &BackendResponseHead,
     ) {
-        let backend = to.backend.clone();
+        let backend = assignment.backend.clone();
         let is_other_backend = head.backend.as_ref().is_some_and(|n| *n != backend.name);
         let signals = head.signals(status);
         // A response of this back end without a limit means that its earlier limit is lifted.
         let is_ours = head.request_id.as_deref() == Some(self.accepted.head.id.as_str());
         let is_from_backend = is_ours && status != StatusCode::MISDIRECTED_REQUEST;
-        let lifts_limit = to.is_limited && is_from_backend;
+        let lifts_limit = assignment.is_limited && is_from_backend;
         if is_other_backend || (signals.is_empty() && !lifts_limit) {
             return;
         }
@@ -485,7 +489,7 @@
         backend: &BackendId,
         backend_response: BackendResponse,
         guard: SendGuard,
-    ) -> Attempt {
+    ) -> SendResult {
         let observer = StreamObserver {
             shared: self.shared.clone(),
             guard,
@@ -504,7 +508,7 @@
             self.deadline,
             Box::new(observer),
         );
-        Attempt::Responded(Response::from_parts(parts, Either::Right(body)))
+        SendResult::Responded(Response::from_parts(parts, Either::Right(body)))
     }
 
     /// Reads the complete body, so that a failed send can still be retried.
@@ -512,14 +516,14 @@
         &self,
         backend_response: BackendResponse,
         mut guard: SendGuard,
-    ) -> Attempt {
+    ) -> SendResult {
         let (mut parts, body) = backend_response.response.into_parts();
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
         let body = match before_deadline(self.deadline, body.collect()).await {
-            Err(_) => return Attempt::TimedOut,
+            Err(_) => return SendResult::TimedOut,
             Ok(Err(_)) => {
                 guard.end(SendOutcome::Broken);
-                return Attempt::Failed(None);
+                return SendResult::Failed(None);
             }
             Ok(Ok(collected)) => collected.to_bytes(),
         };
@@ -527,7 +531,7 @@
         let response = Response::from_parts(parts, Either::Left(Full::new(body)));
         if is_failure {
             guard.end(SendOutcome::Failed);
-            return Attempt::Failed(Some(response));
+            return SendResult::Failed(Some(response));
         }
         guard.end(SendOutcome::Answered);
         let outcome = SendOutcome::Answered.code();
@@ -535,7 +539,7 @@
         let route = &self.accepted.route.name;
         let after = clock::elapsed(self.accepted.arrived);
         self.shared.metrics.on_first_part(route, after);
-        Attempt::Responded(response)
+        SendResult::Responded(response)
     }
 }
 
--- a/entry/src/ingress/request_exchange_log.rs
+++ b/entry/src/ingress/request_exchange_log.rs
@@ -12,8 +12,8 @@
 };
 
 impl RequestExchange {
-    pub(super) fn log_send(&self, to: &Assignment) {
-        let inputs = &to.inputs;
+    pub(super) fn log_send(&self, assignment: &Assignment) {
+        let inputs = &assignment.inputs;
         let route = &self.accepted.route.name;
         let waited = clock::elapsed(self.accepted.arrived);
         self.shared
@@ -27,9 +27,9 @@
             units = self.accepted.charge.as_ref().map_or(0, Charge::units),
             service = self.request.service.as_str(),
             adapter = self.adapter_text().as_str(),
-            version = to.version.unwrap_or(0),
-            backend = to.backend.as_str(),
-            born = to.backend.start_time_ms,
+            version = assignment.version.unwrap_or(0),
+            backend = assignment.backend.as_str(),
+            born = assignment.backend.start_time_ms,
             send = self.request.send_count,
             waited_ms = elapsed_ms(self.accepted.arrived),
             candidates = inputs.candidates,
@@ -39,7 +39,7 @@
             limited = inputs.limited,
             queue_ms = inputs.queue_ms,
             occupied = inputs.occupied,
-            urgency = to.urgency,
+            urgency = assignment.urgency,
             view_age_ms = inputs.view_age.map_or(-1, |age| age.as_millis() as i64),
             list_version = inputs.list_version,
             budget_requests = inputs.budget.requests,
@@ -85,9 +85,9 @@
         );
     }
 
-    pub(super) fn log_attempt(
+    pub(super) fn log_send_end(
         &self,
-        at: &Assignment,
+        assignment: &Assignment,
         outcome: &'static str,
         status: Option<StatusCode>,
     ) {
@@ -95,8 +95,8 @@
         log::warn!(
             request = self.accepted.head.id.as_str(),
             digest = self.accepted.digest.to_string().as_str(),
-            backend = at.backend.as_str(),
-            born = at.backend.start_time_ms,
+            backend = assignment.backend.as_str(),
+            born = assignment.backend.start_time_ms,
             send = self.request.send_count,
             outcome = outcome,
             status = status.map_or(0, |s| s.as_u16()),
--- a/entry/src/ingress/serve.rs
+++ b/entry/src/ingress/serve.rs
@@ -133,7 +133,7 @@
     shared.phase.send_replace(Phase::Closing);
     let left = times.exit_after().saturating_sub(times.close_after());
     match timeout(left, server).await {
-        Ok(joined) => joined.context("join the server")?,
+        Ok(joined) => joined.context("the server task failed")?,
         Err(_) => log::warn!("ingress: requests still run after {left:?}"),
     }
     log::info!("ingress: stopped");
--- a/entry/src/ingress/shared.rs
+++ b/entry/src/ingress/shared.rs
@@ -62,7 +62,7 @@
         crashes: Arc<SharedCrashRegistry>,
         dialect: Arc<dyn Dialect>,
     ) -> Self {
-        let (revocation_bound, limits) = (settings.revoked_within(), settings.limits());
+        let (revocation_bound, limits) = (settings.revocation_bound(), settings.limits());
         Self {
             admission: Arc::new(Admission::new(&settings.name, revocation_bound, limits)),
             settings,
