--- a/sidecar/src/app/config_sync.rs
+++ b/sidecar/src/app/config_sync.rs
@@ -43,7 +43,7 @@
     }
 
     async fn sync_once(&mut self) {
-        // the addresses of the settings are included in case all listed entries have gone
+        // The addresses in the settings are included in case no listed entry exists any more.
         let configured = &self.shared.settings.entries;
         let candidates: Vec<SocketAddr> = self.entries.iter().chain(configured).copied().collect();
         let Some(entry) = candidates.choose(&mut rand::rng()).copied() else {
@@ -83,7 +83,7 @@
             }
             OfferDecision::Conflict => {
                 log::error!(
-                    "config: different content under generation {}",
+                    "config: generation {} rejected: its content differs from the one in force",
                     root.generation
                 )
             }
--- a/sidecar/src/app/control_thread.rs
+++ b/sidecar/src/app/control_thread.rs
@@ -37,6 +37,8 @@
         }
     };
     let builder = thread::Builder::new().name("control".to_string());
-    builder.spawn(run).context("start the control thread")?;
+    builder
+        .spawn(run)
+        .context("cannot start the control thread")?;
     Ok(())
 }
--- a/sidecar/src/app/executor.rs
+++ b/sidecar/src/app/executor.rs
@@ -228,7 +228,7 @@
     fn return_permit(&self, issuer: SocketAddr, request: PermitRequest) {
         let peers = self.peers.clone();
         self.runtime.spawn(async move {
-            // if it is lost, the permit expires with its lease
+            // If the call is lost, the permit expires with its lease.
             let _: Result<PermitResponse, _> = peers
                 .call(issuer, path::PERMIT, &request, PERMIT_TIMEOUT)
                 .await;
--- a/sidecar/src/app/pending_replies.rs
+++ b/sidecar/src/app/pending_replies.rs
@@ -38,7 +38,7 @@
     pub fn complete(&self, id: ReplyId, reply: T) {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(tx) = pending.remove(&id) {
-            // fails if the caller has disconnected
+            // Sending fails if the caller has disconnected.
             let _ = tx.send(reply);
         }
     }
--- a/sidecar/src/app/serve.rs
+++ b/sidecar/src/app/serve.rs
@@ -101,7 +101,7 @@
     shared.send(SidecarEvent::DrainRequested);
     let mut drained = shared.drained.subscribe();
     let all_read = async {
-        // the sender is never dropped
+        // The sender is never dropped.
         let _ = drained.wait_for(|done| *done).await;
         while shared.streams.count_with_readers() > 0 {
             sleep(DRAIN_CHECK_INTERVAL).await;
--- a/sidecar/src/app/service_run.rs
+++ b/sidecar/src/app/service_run.rs
@@ -28,7 +28,7 @@
         detail,
         tokens: 1,
         duration: clock::elapsed(started),
-        // no adapter must stay loaded for a plain service
+        // No adapter must stay loaded for a plain service.
         may_still_run: false,
     };
     let remaining = context.deadline.saturating_duration_since(started);
--- a/sidecar/src/app/shared.rs
+++ b/sidecar/src/app/shared.rs
@@ -46,7 +46,7 @@
     }
     /// Sends an event to the control thread.
     pub fn send(&self, event: SidecarEvent) {
-        // the control thread runs until the process ends
+        // The control thread runs until the process ends.
         let _ = self.events.send(event);
     }
     pub fn set_ready(&self, is_ready: bool) {
--- a/sidecar/src/conf/placement_settings.rs
+++ b/sidecar/src/conf/placement_settings.rs
@@ -23,10 +23,10 @@
     #[serde(default)]
     pub store: Option<SocketAddr>,
     /// Maximum time until a draining back end gets no more requests, in ms.
-    #[serde(default = "defaults_drain_ms")]
+    #[serde(default = "default_delay_limit_ms")]
     pub drain_ms: u64,
     /// Maximum time until a change of the configuration is in force on all boxes, in ms.
-    #[serde(default = "defaults_drain_ms")]
+    #[serde(default = "default_delay_limit_ms")]
     pub config_apply_ms: u64,
     /// Settings that the platform's file left out, for the log.
     #[serde(default)]
@@ -46,8 +46,8 @@
     }
 }
 
-/// The shortest value that the platform's sites document.
-fn defaults_drain_ms() -> u64 {
+/// Returns the shortest time among the platform's sites, in ms.
+fn default_delay_limit_ms() -> u64 {
     2_000
 }
 
--- a/sidecar/src/crashes/aggregator.rs
+++ b/sidecar/src/crashes/aggregator.rs
@@ -41,7 +41,7 @@
         if cursor.is_some() {
             let wait = Duration::from_millis(request.wait_ms).min(MAX_HOLD);
             let mut revision = self.revision.subscribe();
-            // after a timeout the response is empty
+            // After a timeout the response is empty.
             let _ = timeout(wait, revision.wait_for(|revision| *revision > after)).await;
         }
         let (reports, revision) = self.registry().reports_since(after, clock::now());
@@ -69,7 +69,7 @@
     }
 
     fn registry(&self) -> MutexGuard<'_, CrashRegistry> {
-        // the state is consistent even if the mutex is poisoned
+        // No holder panics in the middle of an update.
         self.registry.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/sidecar/src/placement/handlers.rs
+++ b/sidecar/src/placement/handlers.rs
@@ -89,7 +89,7 @@
     let totals = SharedData::<UsageTotals>::of(&state);
     let reply = match read_message::<UsageReport>(&mut state).await {
         Ok(report) => {
-            // the state is consistent even if the mutex is poisoned
+            // No holder panics in the middle of an update.
             let mut aggregator = totals.lock().unwrap_or_else(|e| e.into_inner());
             message_reply(&aggregator.on_report(report, clock::now()))
         }
--- a/sidecar/src/placement/placement_task.rs
+++ b/sidecar/src/placement/placement_task.rs
@@ -84,11 +84,8 @@
 
     /// Handles the signals in an engine's response and returns the response's value.
     fn handle_signals<T>(&mut self, response: Reported<T>) -> T {
-        let Reported {
-            value,
-            signals: word,
-        } = response;
-        let Some(signals) = word else {
+        let Reported { value, signals } = response;
+        let Some(signals) = signals else {
             return value;
         };
         let lasting = BackendSignals {
@@ -96,7 +93,7 @@
             slow_start_left: None,
             ..signals
         };
-        // lasting signals are repeated in each response
+        // Lasting signals are repeated in each response.
         let is_new =
             signals.backoff.is_some() || signals.is_in_slow_start() || lasting != self.last_signals;
         if is_new {
@@ -105,7 +102,7 @@
                 rest_ms = signals.backoff.map_or(0, |backoff| backoff.as_millis() as u64),
                 limit_per_s = signals.limit.rate().map_or(-1.0, RequestRate::per_s),
                 cold_ms = signals.slow_start_left.map_or(-1, |left| left.as_millis() as i64);
-                "engine: new back-end signals"
+                "engine: signals received"
             );
             self.last_signals = lasting;
         }
@@ -116,20 +113,14 @@
     }
 
     async fn identify(&mut self, health_path: &str) {
-        // it may be another engine, whose signals must be logged even if they are the same
+        // It may be another engine, whose signals must be logged even if they are the same.
         self.last_signals = BackendSignals::default();
         let response = self.engine.identity(health_path).await;
-        let Reported {
-            value,
-            signals: word,
-        } = response;
+        let Reported { value, signals } = response;
         log::info!("engine: identified as {value:?}");
-        // before its signals are handled, since a new incarnation discards earlier signals
+        // Before its signals are handled, since a new incarnation discards earlier signals.
         self.shared.handle(PlacementEvent::Identified(value));
-        self.handle_signals(Reported {
-            value: (),
-            signals: word,
-        });
+        self.handle_signals(Reported { value: (), signals });
         self.publish();
     }
 
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -58,7 +58,7 @@
     };
     if !settings.defaulted.is_empty() {
         let defaulted = settings.defaulted.join(", ");
-        log::warn!("settings: defaults in force: {defaulted}");
+        log::warn!("settings: using defaults for: {defaulted}");
     }
     log::info!("settings: mechanisms {}", settings.mechanisms);
     let control = PlacementControl::new(placement_settings, since_epoch.as_millis() as u64);
@@ -79,7 +79,7 @@
     tokio::spawn(reload_settings(reloader));
     log::info!("sidecar: serves on {}", settings.listen);
     let signal = stop_signal().await?;
-    // requests are sent to the engine directly, so there is nothing to drain
+    // Requests are sent to the engine directly, so there is nothing to drain.
     log::info!("sidecar: stopped after {signal}");
     Ok(())
 }
@@ -93,6 +93,6 @@
         );
     };
     if let Err(e) = reloader.run(apply).await {
-        log::error!("settings: reloading stopped: {e:#}");
+        log::error!("settings: cannot watch for changes: {e:#}");
     }
 }
--- a/sidecar/src/placement/shared.rs
+++ b/sidecar/src/placement/shared.rs
@@ -24,7 +24,7 @@
         }
     }
     pub fn control(&self) -> MutexGuard<'_, PlacementControl> {
-        // the state is consistent even if the mutex is poisoned
+        // No holder panics in the middle of an update.
         self.control.lock().unwrap_or_else(|e| e.into_inner())
     }
     pub fn handle(&self, event: PlacementEvent) {
--- a/sidecar/src/placement/views.rs
+++ b/sidecar/src/placement/views.rs
@@ -15,7 +15,7 @@
     views.mark_changed();
     let reader = (shared.clone(), views, None);
     unfold(reader, |(shared, mut views, mut sent)| async move {
-        // a timeout sends a heartbeat; `shared` keeps the sender alive
+        // A timeout sends a heartbeat; `shared` keeps the sender alive.
         let _ = timeout(HEARTBEAT_INTERVAL, views.changed()).await;
         let view = views.borrow_and_update().clone();
         let update = next_update(&mut sent, view);
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -73,7 +73,7 @@
     }
 
     pub fn state(&self) -> MutexGuard<'_, RelayState> {
-        // the state is consistent even if the mutex is poisoned
+        // No holder panics in the middle of an update.
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -99,10 +99,10 @@
 
     /// Sends the changes since the last update to all entries.
     pub fn broadcast_update(&self, now: Instant) {
-        // entries subscribe under the same lock, so that they miss no update
+        // Entries subscribe under the same lock, so that they miss no update.
         let mut relay = self.state();
         let update = EncodedUpdate::new(relay.take_update(now));
-        // fails only if no entry is subscribed
+        // Sending fails only if no entry is subscribed.
         let _ = self.updates.send(Arc::new(update));
     }
 
@@ -148,7 +148,7 @@
         self.wake(true);
     }
     /// Ignored: entries that use a relay learn it from the engines' responses.
-    fn on_demand_result(&self, _engine: SocketAddr, _is_taken: bool) {}
+    fn on_demand_result(&self, _engine: SocketAddr, _is_accepted: bool) {}
 }
 
 fn encode(update: &RelayUpdate, encoding: WireEncoding) -> Option<Bytes> {
--- a/sidecar/src/relay/relay_task.rs
+++ b/sidecar/src/relay/relay_task.rs
@@ -46,7 +46,7 @@
     if is_idle {
         hub.changed.notified().await;
     } else {
-        // a timeout sends a heartbeat
+        // A timeout sends a heartbeat.
         let _ = timeout(UPDATE_INTERVAL, hub.changed.notified()).await;
     }
     sleep(BATCH_DELAY).await;
--- a/sidecar/src/relay/store_cache.rs
+++ b/sidecar/src/relay/store_cache.rs
@@ -50,7 +50,7 @@
         }
     }
     fn cache(&self) -> MutexGuard<'_, PublishedCache> {
-        // the state is consistent even if the mutex is poisoned
+        // No holder panics in the middle of an update.
         self.cache.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
@@ -102,7 +102,7 @@
         let topic = self.topic(request.topic);
         let mut changes = topic.changed.subscribe();
         if !topic.cache().has_received() {
-            // the watch has just started; without data the response is stale
+            // The watch has just started; without data the response is stale.
             let _ = timeout(FIRST_READ_TIMEOUT, changes.changed()).await;
         }
         let until = Deadline::now() + Duration::from_millis(request.wait_ms);
@@ -118,7 +118,7 @@
             if remaining.is_zero() {
                 return topic.cache().empty_response(request.after, requested_at);
             }
-            // after a timeout the cache is checked again
+            // After a timeout the cache is checked again.
             let _ = timeout(remaining.min(CHECK_INTERVAL), changes.changed()).await;
         }
     }
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -254,7 +254,7 @@
 #[tokio::test]
 async fn each_engine_that_leaves_is_named_in_its_sidecars_log() -> Result<()> {
     let fleet = engines(1).await?;
-    let lines = |log: String| log.matches("new back-end signals").count();
+    let lines = |log: String| log.matches("signals received").count();
     let engine = &fleet.engines[0];
     for life in 1..=2 {
         let identified = format!("identified as Some(\\\"{}\\\")", engine.id());
