--- a/node/src/logging/bounded_writer.rs
+++ b/node/src/logging/bounded_writer.rs
@@ -64,7 +64,7 @@
         let now = Instant::now();
         let line = json_line(&self.node, now - self.started, record);
         let is_failure = record.level() <= Level::Warn;
-        // the budget stays consistent if a holder of the lock panics
+        // No holder panics in the middle of an update.
         let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
         if !budget.try_take(line.len() + 1, is_failure, now) {
             return;
@@ -104,7 +104,7 @@
 
 fn write_all(queue: &Receiver<String>, mut out: impl Write, pending: &AtomicUsize) {
     for line in queue {
-        // a closed standard output must not stop the process
+        // A closed standard output must not stop the process.
         let _ = writeln!(out, "{line}");
         let _ = out.flush();
         pending.fetch_sub(1, Ordering::Relaxed);
--- a/node/src/logging/json_line.rs
+++ b/node/src/logging/json_line.rs
@@ -22,7 +22,7 @@
     );
     fields.insert("part".into(), part.into());
     fields.insert("message".into(), message.into());
-    // an in-memory source cannot fail
+    // An in-memory source cannot fail.
     let _ = record.key_values().visit(&mut Fields(&mut fields));
     Json::Object(fields).to_string()
 }
--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -27,7 +27,7 @@
 }
 
 impl Backend {
-    /// Whether a later record differs in anything but the loaded models and adapters.
+    /// Returns whether a later record differs in anything but the loaded models and adapters.
     pub fn differs_beyond_weights(&self, later: &Self) -> bool {
         self.id != later.id
             || self.service != later.service
--- a/state/src/backends/backend_id.rs
+++ b/state/src/backends/backend_id.rs
@@ -26,7 +26,7 @@
             start_time_ms,
         }
     }
-    /// Whether the back end is unknown.
+    /// Returns whether the back end is unknown.
     pub fn is_empty(&self) -> bool {
         self.name.is_empty()
     }
@@ -34,7 +34,7 @@
     pub fn as_str(&self) -> &str {
         &self.name
     }
-    /// Whether this is certainly a later incarnation of the same back end.
+    /// Returns whether this is certainly a later incarnation of the same back end.
     pub fn is_later_incarnation_of(&self, other: &Self) -> bool {
         self.name == other.name && self.start_time_ms > other.start_time_ms
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// The encoded forms of an id; the builds up to 2205e90 write the name alone.
+/// The encoded forms of an id; older builds write the name alone.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum EncodedId {
--- a/state/src/ids/reserved_id.rs
+++ b/state/src/ids/reserved_id.rs
@@ -44,7 +44,7 @@
         let err = || ReservedIdError {
             text: text.to_string(),
         };
-        // box names may contain the separator
+        // Box names may contain the separator.
         let parts: Vec<&str> = text.rsplitn(PARTS, SEPARATOR).collect();
         let [secret, number, incarnation, target] = parts[..] else {
             return Err(err());
--- a/state/src/ingress/request_digest.rs
+++ b/state/src/ingress/request_digest.rs
@@ -18,7 +18,7 @@
     pub fn of(method: &str, target: &str, caller: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [method.as_bytes(), target.as_bytes(), caller.as_bytes()] {
-            // the length prefix keeps the boundaries of the parts unambiguous
+            // The length prefix keeps the boundaries of the parts unambiguous.
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/state/src/ingress/route.rs
+++ b/state/src/ingress/route.rs
@@ -16,8 +16,8 @@
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be retried from the start, provided that no part
-    /// of a response was forwarded.
+    /// Returns whether a request that may have run can be retried from the start, provided that
+    /// no part of a response was forwarded.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Safe => true,
--- a/state/src/regions/allowed_regions.rs
+++ b/state/src/regions/allowed_regions.rs
@@ -32,7 +32,8 @@
         Self { only }
     }
 
-    /// Whether a region is allowed. An unknown region is allowed only without a restriction.
+    /// Returns whether a region is allowed. An unknown region is allowed only without a
+    /// restriction.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         let Some(only) = &self.only else {
             return true;
