--- a/entry/src/rpc/inference.rs
+++ b/entry/src/rpc/inference.rs
@@ -3,7 +3,7 @@
     crate::{
         app::Shared,
         control::EntryEvent,
-        traffic::{Dispatcher, Job, ResponsePart},
+        traffic::{Job, RequestForwarder, ResponsePart},
     },
     chalkcart_coordination::routing::{RouteRequest, TargetRequirement},
     chalkcart_protocol::{
@@ -150,9 +150,9 @@
         let started = clock::now();
         self.shared.metrics.on_request(&labels);
         let (tx, mut rx) = mpsc::channel(1);
-        let dispatcher = Dispatcher::new(self.shared.clone(), job, tx);
+        let forwarder = RequestForwarder::new(self.shared.clone(), job, tx);
         // The request completes even if this call is dropped, so that its outcome is known.
-        let run = tokio::spawn(dispatcher.run());
+        let run = tokio::spawn(forwarder.run());
         let body = rx.recv().await;
         let result = run.await.map_err(|e| Status::internal(e.to_string()))?;
         if let Err(refusal) = result {
@@ -239,9 +239,9 @@
     let labels = InferenceService::metric_labels(&job);
     shared.metrics.on_request(&labels);
     let (tx, rx) = mpsc::channel(1);
-    let dispatcher = Dispatcher::new(shared.clone(), job, tx);
+    let forwarder = RequestForwarder::new(shared.clone(), job, tx);
     let (result, ()) = tokio::join!(
-        dispatcher.run(),
+        forwarder.run(),
         forward_parts(&shared, &labels, rx, &caller)
     );
     match result {
--- a/entry/src/traffic/mod.rs
+++ b/entry/src/traffic/mod.rs
@@ -1,12 +1,12 @@
 //! Sends requests to targets and delivers their responses to callers.
 
 mod attempt;
-mod dispatcher;
 mod job;
 mod repeatable_attempt;
+mod request_forwarder;
 mod reserved_attempt;
 
 pub use {
-    dispatcher::Dispatcher,
     job::{Job, ResponsePart},
+    request_forwarder::RequestForwarder,
 };
--- a/entry/src/traffic/dispatcher.rs
+++ b/entry/src/traffic/request_forwarder.rs
@@ -20,7 +20,7 @@
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Sends a request to a target, and retries it on other targets where that is safe.
-pub struct Dispatcher {
+pub struct RequestForwarder {
     shared: Arc<Shared>,
     job: Job,
     /// Id of the request; each attempt appends its number.
@@ -35,7 +35,7 @@
     overload_refusals: u32,
 }
 
-impl Dispatcher {
+impl RequestForwarder {
     pub fn new(shared: Arc<Shared>, job: Job, caller: mpsc::Sender<ResponsePart>) -> Self {
         Self {
             shared,
