--- a/entry/src/ingress/records.rs
+++ b/entry/src/ingress/records.rs
@@ -94,14 +94,14 @@
         }
     }
 
-    fn apply_backends(&self, snapshot: Snapshot, is_complete: bool) {
+    fn apply_backends(&self, snapshot: Snapshot, is_full: bool) {
         // No holder panics in the middle of an update.
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = match is_complete {
+        let before = match is_full {
             true => std::mem::take(&mut list.backends),
             false => BTreeMap::new(),
         };
-        let mut is_urgent = is_complete;
+        let mut is_urgent = is_full;
         for record in snapshot.records {
             self.unreadable
                 .record_if_unreadable(&record, &self.shared.metrics);
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Updates the evacuated zones from all records of the topic if `is_complete`, else from the
+    /// Updates the evacuated zones from all records of the topic if `is_full`, else from the
     /// changed ones.
-    fn apply_zones(&self, records: &[Record], is_complete: bool) {
+    fn apply_zones(&self, records: &[Record], is_full: bool) {
         // No holder panics in the middle of an update.
         let known = self.evacuated.lock();
         let mut known = known.unwrap_or_else(PoisonError::into_inner);
         let before = known.clone();
-        if is_complete {
+        if is_full {
             known.clear();
         }
         for record in records {
@@ -220,11 +220,11 @@
 }
 
 impl RecordSink for EntryRecords {
-    fn apply(&self, topic: Topic, update: WatchUpdate, is_complete: bool) {
+    fn apply(&self, topic: Topic, update: WatchUpdate, is_full: bool) {
         match topic {
-            Topic::Backends => self.apply_backends(update.snapshot, is_complete),
+            Topic::Backends => self.apply_backends(update.snapshot, is_full),
             Topic::Configuration => {
-                self.apply_zones(&update.snapshot.records, is_complete);
+                self.apply_zones(&update.snapshot.records, is_full);
                 let records = update.snapshot.records.into_iter();
                 records.for_each(|record| self.apply_configuration(record));
                 self.shared.admission.lease().on_current(update.current_at);
--- a/entry/src/ingress/service.rs
+++ b/entry/src/ingress/service.rs
@@ -41,7 +41,7 @@
 /// Response text while the configuration may be too old to decide by.
 const OUTDATED: &str = "configuration not known to be current";
 
-/// Maximum number of stripped headers named in one log line.
+/// Maximum number of removed headers named in one log line.
 const MAX_NAMES_LOGGED: usize = 8;
 
 /// Serves client requests on the configured routes.
@@ -141,30 +141,30 @@
             .metrics
             .on_decision_inputs(config_age, level_age);
         let units = limit.charge(head.prompt_tokens, head.output_tokens);
-        let over = match self.shared.admission.charge(account, limit, units) {
+        let exceeded = match self.shared.admission.charge(account, limit, units) {
             Ok(charge) => return Ok(Some(charge)),
-            Err(over) => over,
+            Err(exceeded) => exceeded,
         };
         log::warn!(
             request = head.id.as_str(),
             account = account.name.as_str(),
             units = units,
-            level = over.inputs.level.unwrap_or(f64::NAN),
-            age_ms = over.inputs.age.map_or(-1, |age| age.as_millis() as i64),
-            entries = over.inputs.entries,
-            retry_after_ms = over.retry_after.as_millis() as u64;
+            level = exceeded.inputs.level.unwrap_or(f64::NAN),
+            age_ms = exceeded.inputs.age.map_or(-1, |age| age.as_millis() as i64),
+            entries = exceeded.inputs.entries,
+            retry_after_ms = exceeded.retry_after.as_millis() as u64;
             "ingress: over limit"
         );
         let status = StatusCode::TOO_MANY_REQUESTS.as_u16();
         self.shared
             .metrics
-            .on_over_limit(&account.name, over.inputs.age.is_some());
+            .on_over_limit(&account.name, exceeded.inputs.age.is_some());
         self.shared.metrics.on_response("", status);
-        Err(over)
+        Err(exceeded)
     }
 
     /// Logs headers that clients may not set; they were removed from the request.
-    fn record_withheld_headers(&self, request: &str, names: &[HeaderName]) {
+    fn record_removed_headers(&self, request: &str, names: &[HeaderName]) {
         self.shared.metrics.on_headers_removed(names.len());
         let names = names.iter().take(MAX_NAMES_LOGGED);
         let names: Vec<&str> = names.map(HeaderName::as_str).collect();
@@ -220,14 +220,14 @@
         }
         let charge = self
             .charge(caller.as_ref(), &head)
-            .map_err(|over| local.too_many_requests("over limit", over.retry_after))?;
+            .map_err(|exceeded| local.too_many_requests("over limit", exceeded.retry_after))?;
         remove_connection_headers(&mut parts.headers, self.shared.dialect.end_to_end_headers());
-        let withheld = self
+        let removed = self
             .shared
             .dialect
             .remove_reserved_headers(&mut parts.headers);
-        if !withheld.is_empty() {
-            self.record_withheld_headers(&head.id, &withheld);
+        if !removed.is_empty() {
+            self.record_removed_headers(&head.id, &removed);
         }
         let account = caller.as_ref().map_or("", |caller| &caller.account.name);
         let digest = request_digest(&parts, account, &body);
