--- a/sidecar/src/app/engine_runner.rs
+++ b/sidecar/src/app/engine_runner.rs
@@ -20,8 +20,8 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// Maximum number of events held while an earlier one is missing.
-const MAX_EARLY_EVENTS: usize = 256;
+/// Maximum number of events buffered while an earlier one is missing.
+const MAX_OUT_OF_ORDER_EVENTS: usize = 256;
 /// Time after which a missing event is requested again by a resume.
 const GAP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Consecutive resumes without a new event after which the run counts as lost.
@@ -70,7 +70,7 @@
             stream,
             request,
             work,
-            events: Assembler::new(0, MAX_EARLY_EVENTS),
+            events: Assembler::new(0, MAX_OUT_OF_ORDER_EVENTS),
             token_count: 0,
             started: clock::now(),
         }
--- a/transport/src/links/sidecar_links.rs
+++ b/transport/src/links/sidecar_links.rs
@@ -162,7 +162,7 @@
 ) -> Result<(), ClientError> {
     let opened = timeout(VIEW_TIMEOUT, peers.stream(sidecar, path::VIEWS, &()));
     let timed_out = |_| {
-        let detail = "no view update in time";
+        let detail = "no update in time";
         ClientError::new(ClientStep::Receive, sidecar, detail)
     };
     let mut updates: MessageStream<ViewUpdate> = opened.await.map_err(timed_out)??;
