--- a/entry/src/rpc/generation_wait.rs
+++ b/entry/src/rpc/generation_wait.rs
@@ -58,6 +58,7 @@
         let report: Option<TargetReport> = call.await.ok();
         return report.map(|r| r.generation);
     }
+    // No root and no list can be newer than these, so the response has neither.
     let request = SyncRequest {
         from: shared.settings.name.clone(),
         generation: Generation::MAX,
