--- a/entry/src/app/shared.rs
+++ b/entry/src/app/shared.rs
@@ -21,8 +21,8 @@
     pub control: ControlHandle,
     pub peers: PeerClient,
     pub metrics: RequestMetrics,
-    synced: AtomicBool,
-    stopping: AtomicBool,
+    is_synced: AtomicBool,
+    is_stopping: AtomicBool,
 }
 
 impl Shared {
@@ -33,16 +33,16 @@
             control,
             peers: PeerClient::new(),
             metrics: RequestMetrics::new(),
-            synced: AtomicBool::new(false),
-            stopping: AtomicBool::new(false),
+            is_synced: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
         }
     }
 
     pub fn set_synced(&self) {
-        self.synced.store(true, Ordering::Relaxed);
+        self.is_synced.store(true, Ordering::Relaxed);
     }
     pub fn set_stopping(&self) {
-        self.stopping.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 
     /// Reports a new configuration to the metrics and its store limits to the control thread.
@@ -71,6 +71,6 @@
     }
     /// Returns whether the configuration was compared with peers and the entry is not stopping.
     fn is_ready(&self) -> bool {
-        self.synced.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
+        self.is_synced.load(Ordering::Relaxed) && !self.is_stopping.load(Ordering::Relaxed)
     }
 }
--- a/entry/src/traffic/attempt.rs
+++ b/entry/src/traffic/attempt.rs
@@ -191,7 +191,7 @@
     }
 
     async fn deliver(&mut self, body: FrameBody) -> Option<StreamEnd> {
-        let (part, last) = match body {
+        let (part, is_last) = match body {
             FrameBody::Refused(refusal) => return Some(StreamEnd::Refused(refusal)),
             FrameBody::Token(text) => {
                 self.delivered_tokens.push(text.clone());
@@ -207,7 +207,7 @@
         };
         match self.caller.send(part).await {
             Err(_) => Some(StreamEnd::CallerDisconnected),
-            Ok(()) if last => Some(StreamEnd::Complete),
+            Ok(()) if is_last => Some(StreamEnd::Complete),
             Ok(()) => None,
         }
     }
--- a/sidecar/src/relay/hub.rs
+++ b/sidecar/src/relay/hub.rs
@@ -53,9 +53,9 @@
     updates: broadcast::Sender<Arc<EncodedUpdate>>,
     /// Wakes the relay task.
     pub changed: Notify,
-    /// The next update must not wait for the update interval.
+    /// Whether the next update is sent without waiting for the update interval.
     is_urgent: AtomicBool,
-    /// The set of watched engines has changed.
+    /// Whether the set of watched engines has changed.
     have_engines_changed: AtomicBool,
 }
 
--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -14,9 +14,9 @@
     pub zone: ZoneName,
     /// Concurrent requests.
     pub slots: u32,
-    /// Whether it is draining and takes no new requests.
+    /// Whether it is draining and accepts no new requests.
     pub leaving: bool,
-    /// Remaining duration of its slow start, as it last reported; it takes few requests until
+    /// Remaining duration of its slow start, as last reported; it accepts few requests until
     /// then.
     #[serde(rename = "cold_left")]
     pub slow_start_left: Duration,
--- a/transport/src/client/peer_encodings.rs
+++ b/transport/src/client/peer_encodings.rs
@@ -15,7 +15,7 @@
 struct PeerEncoding {
     /// `None` before the first response, and for a build that reports no version.
     version: Option<WireVersion>,
-    /// The peer reads backend ids as text only.
+    /// Whether the peer reads back-end ids as text only.
     has_text_ids: bool,
 }
 
--- a/transport/src/ingress/dialect.rs
+++ b/transport/src/ingress/dialect.rs
@@ -42,23 +42,23 @@
 /// The platform's fields in the head of a back end's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendResponseHead {
-    /// The id of the request that it answers.
+    /// The id of the request that the response belongs to.
     pub request_id: Option<String>,
     /// The incarnation that sent the response, if named.
     pub backend: Option<BackendName>,
-    /// The back end states that the request did not run.
+    /// Whether the back end states that the request did not run.
     pub proves_not_run: bool,
-    /// The head has a back end's signature.
+    /// Whether the head has a back end's signature.
     pub is_signed: bool,
-    /// The body has a content encoding.
+    /// Whether the body has a content encoding.
     pub is_encoded: bool,
-    /// The back end is shutting down and accepts no more requests.
+    /// Whether the back end is shutting down and accepts no more requests.
     pub is_leaving: bool,
     /// Time after which a rejected request may be repeated.
     pub retry_after: Option<Duration>,
     /// The request rate that the back end accepts.
     pub limit: LimitSignal,
-    /// How much longer the back end is in slow start, if reported.
+    /// The remaining duration of the back end's slow start, if reported.
     pub slow_start_left: Option<Duration>,
 }
 
--- a/transport/src/server/peer_encodings_by_ip.rs
+++ b/transport/src/server/peer_encodings_by_ip.rs
@@ -20,14 +20,14 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct IpEncoding {
-    /// Its messages have backend ids as text.
+    /// Whether its messages have back-end ids as text.
     has_text_ids: bool,
     /// The number of its messages that could not be decoded.
     undecodable: u64,
 }
 
 impl PeerEncodingsByIp {
-    /// Records whether a message from a build without a wire version has backend ids as text.
+    /// Records whether a message from a build without a wire version has back-end ids as text.
     pub fn set_text_ids(&self, ip: IpAddr, has_text_ids: bool) {
         self.update(ip, |known| known.has_text_ids = has_text_ids);
     }
