--- a/entry/src/ingress/relay_link.rs
+++ b/entry/src/ingress/relay_link.rs
@@ -250,5 +250,5 @@
 }
 
 fn timeout_error(relay: SocketAddr) -> ClientError {
-    ClientError::new(ClientStep::Receive, relay, "no update in time")
+    ClientError::new(ClientStep::Receive, relay, "silent")
 }
