--- a/state/src/backends/backend.rs
+++ b/state/src/backends/backend.rs
@@ -14,11 +14,12 @@
     pub zone: ZoneName,
     /// Concurrent requests.
     pub slots: u32,
-    /// Whether it is draining and takes no new requests.
+    /// Whether it is draining and accepts no new requests.
     pub leaving: bool,
-    /// Remaining duration of its slow start, as it last reported; it takes few requests until
+    /// Remaining duration of its slow start, as last reported; it accepts few requests until
     /// then.
-    pub cold_left: Duration,
+    #[serde(rename = "cold_left")]
+    pub slow_start_left: Duration,
     /// Base models loaded when the list was written.
     pub models: Vec<BaseModelName>,
     /// Adapters loaded when the list was written.
@@ -26,7 +27,7 @@
 }
 
 impl Backend {
-    /// Whether a later record differs in anything but the loaded models and adapters.
+    /// Returns whether a later record differs in anything but the loaded models and adapters.
     pub fn differs_beyond_weights(&self, later: &Self) -> bool {
         self.id != later.id
             || self.service != later.service
@@ -34,7 +35,7 @@
             || self.zone != later.zone
             || self.slots != later.slots
             || self.leaving != later.leaving
-            || self.cold_left != later.cold_left
+            || self.slow_start_left != later.slow_start_left
     }
 }
 
--- a/testkit/tests/leaving_and_rest.rs
+++ b/testkit/tests/leaving_and_rest.rs
@@ -266,7 +266,7 @@
 #[tokio::test]
 async fn each_engine_that_is_leaving_is_logged_by_its_sidecar() -> Result<()> {
     let fleet = engines(1).await?;
-    let lines = |log: String| log.matches("new back-end signals").count();
+    let lines = |log: String| log.matches("signals received").count();
     let engine = &fleet.engines[0];
     for incarnation in 1..=2 {
         let identified_line = format!("identified as Some(\\\"{}\\\")", engine.id());
