--- a/coordination/src/backend_admission/advertised_limit.rs
+++ b/coordination/src/backend_admission/advertised_limit.rs
@@ -12,20 +12,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReceivedLimit {
     rate: RequestRate,
-    /// when the newest response with this limit arrived
+    /// When the newest response with this limit arrived.
     at: Instant,
 }
 
 /// Conditions under which a limit is shared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSharing {
-    /// number of entries that share the limit
+    /// Number of entries that share the limit.
     pub entries: u32,
-    /// phase of this entry for this back end: between 0 and 1, uniform over entries
+    /// Phase of this entry for this back end: between 0 and 1, uniform over entries.
     pub phase: f64,
-    /// the sidecar beside the back end is reachable and issues permits
+    /// Whether the sidecar beside the back end is reachable and issues permits.
     pub has_issuer: bool,
-    /// the back end is an engine, whose sidecar may issue permits to other entries
+    /// Whether the back end is an engine, whose sidecar may issue permits to other entries.
     pub is_engine: bool,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitUpdate {
     pub limit: Option<ObservedLimit>,
-    /// ms since a response came without the limit that applied before
+    /// Time, in ms, since a response came without the limit that applied before.
     pub lifted_ago_ms: Option<u32>,
 }
 
@@ -43,37 +43,37 @@
 /// when the sidecar issues none.
 #[derive(Debug, Clone, Default)]
 pub struct AdvertisedLimit {
-    /// from responses to this entry
+    /// Limit in responses to this entry.
     received: Option<ReceivedLimit>,
-    /// from reports of the back end's sidecar
+    /// Limit that the back end's sidecar reports.
     reported: Option<RequestRate>,
-    /// when a response came without the limit that applied before
+    /// When a response came without the limit that applied before.
     lifted_at: Option<Instant>,
-    /// the issuer doesn't know the last limit signal yet
+    /// Whether the issuer has yet to receive the last limit signal.
     has_update: bool,
     share: Option<EqualShare>,
     permits: PermitPool,
     has_issuer: bool,
-    /// requests that wait for this back end, and the priority of the most urgent
+    /// Requests that wait for this back end, and the priority of the most urgent.
     waiting: u32,
     priority: u8,
-    /// retry time that was given to the last rejected request
+    /// Retry time that was given to the last rejected request.
     last_retry_at: Option<Instant>,
 }
 
 impl AdvertisedLimit {
-    /// Takes in the signal of a response to a request that was sent at `sent`.
+    /// Applies the signal of a response to a request that was sent at `sent_at`.
     ///
     /// Responses may arrive out of order. One to a request that was sent after another response
     /// had arrived is certainly newer; if the order isn't known, the lower limit applies.
     pub fn on_signal(
         &mut self,
         signal: LimitSignal,
-        sent: Instant,
+        sent_at: Instant,
         sharing: LimitSharing,
         now: Instant,
     ) {
-        let unordered = self.received.filter(|received| sent < received.at);
+        let unordered = self.received.filter(|received| sent_at < received.at);
         match (signal, unordered) {
             (LimitSignal::Unreadable, _) | (LimitSignal::Absent, Some(_)) => return,
             (LimitSignal::Absent, None) => {
@@ -91,7 +91,7 @@
         self.update_sharing(sharing, now);
     }
 
-    /// Takes in the limit, if any, that the back end's sidecar reports.
+    /// Applies the limit, if any, that the back end's sidecar reports.
     pub fn on_sidecar_report(
         &mut self,
         reported: Option<RequestRate>,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes in the issuer's response to the request that was sent at `requested_at`. Another
+    /// Applies the issuer's response to the request that was sent at `requested_at`. Another
     /// entry may have reported to it that the limit was lifted since the last response here.
     pub fn on_permit_response(
         &mut self,
--- a/coordination/src/backend_admission/engine_limit.rs
+++ b/coordination/src/backend_admission/engine_limit.rs
@@ -13,17 +13,17 @@
 /// Rate limit of an engine as known to its sidecar, and the permits issued under it.
 #[derive(Debug, Default)]
 pub struct EngineLimit {
-    /// from the engine's responses to this sidecar
+    /// Limit in the engine's responses to this sidecar.
     from_engine: Option<RequestRate>,
-    /// from the engine's responses to entries, and when the newest of them arrived
+    /// Limit in the engine's responses to entries, and when the newest of them arrived.
     from_entries: Option<(RequestRate, Instant)>,
-    /// when a response last came without the limit that applied before
+    /// When a response last came without the limit that applied before.
     lifted_at: Option<Instant>,
     issuer: PermitIssuer,
 }
 
 impl EngineLimit {
-    /// Takes in the limit signal of a response to this sidecar.
+    /// Applies the limit signal of a response to this sidecar.
     ///
     /// Engines may send limits to entries only, so an absent signal lifts the limit only if the
     /// sidecar itself received one before.
@@ -47,7 +47,7 @@
         self.from_engine.into_iter().chain(from_entries).min()
     }
 
-    /// Takes in the limit that an entry observed, and responds with the effective limit and
+    /// Applies the limit that an entry observed, and responds with the effective limit and
     /// permits.
     pub fn on_report(
         &mut self,
--- a/coordination/src/backend_admission/equal_share.rs
+++ b/coordination/src/backend_admission/equal_share.rs
@@ -3,7 +3,7 @@
     std::time::{Duration, Instant},
 };
 
-/// width of an entry's time slot
+/// Width of an entry's time slot.
 const SLOT: Duration = Duration::from_millis(500);
 
 /// Whether part of a limit is also used by permits.
@@ -52,11 +52,11 @@
 #[derive(Debug, Clone)]
 pub struct EqualShare {
     mode: ShareMode,
-    /// between 0 and 1, uniform over entries
+    /// Between 0 and 1, uniform over entries.
     phase: f64,
     per_s: f64,
     entries: u32,
-    /// requests that may be sent now, at most one
+    /// Requests that may be sent now, at most one.
     tokens: f64,
     refilled_at: Instant,
     created_at: Instant,
--- a/coordination/src/backend_admission/health.rs
+++ b/coordination/src/backend_admission/health.rs
@@ -1,12 +1,12 @@
 use std::time::{Duration, Instant};
 
-/// weight of the newest outcome in the moving average of failures
+/// Weight of the newest outcome in the moving average of failures.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// failure rate above which a back end is ejected
+/// Failure rate above which a back end is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.6;
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// half-life, in seconds, of the failure rate without new outcomes
+/// Half-life, in seconds, of the failure rate without new outcomes.
 const FAILURE_HALF_LIFE_S: f64 = 3.0;
 
 /// Passive health check of a back end: ejects it for a while when requests to it fail.
--- a/coordination/src/backend_admission/permit_pool.rs
+++ b/coordination/src/backend_admission/permit_pool.rs
@@ -22,12 +22,12 @@
 pub struct PermitPool {
     count: u32,
     valid_until: Option<Instant>,
-    /// when the last response came, and the time of the next grant that it announced
+    /// When the last response came, and the time of the next grant that it announced.
     last_response: Option<(Instant, Instant)>,
-    /// when the request in flight was sent
+    /// When the request in flight was sent.
     requested_at: Option<Instant>,
     next_request_at: Option<Instant>,
-    /// the issuer isn't called before this time
+    /// Time before which the issuer isn't called.
     unavailable_until: Option<Instant>,
 }
 
@@ -86,7 +86,7 @@
         expired
     }
 
-    /// Takes in the response to the request that was sent at `requested_at`.
+    /// Applies the response to the request that was sent at `requested_at`.
     pub fn on_response(
         &mut self,
         response: &AdmissionResponse,
--- a/coordination/src/backend_admission/requested_backoff.rs
+++ b/coordination/src/backend_admission/requested_backoff.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct RequestedBackoff {
     until: Option<Instant>,
-    /// the probe request is in flight
+    /// Whether the probe request is in flight.
     is_probing: bool,
 }
 
--- a/coordination/src/backend_admission/slow_start.rs
+++ b/coordination/src/backend_admission/slow_start.rs
@@ -12,7 +12,7 @@
 /// Request rate of an engine in slow start.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SlowStartSettings {
-    /// requests per second from all entries together
+    /// Requests per second from all entries together.
     pub requests_per_s: f64,
 }
 
@@ -20,10 +20,10 @@
 #[derive(Debug, Clone)]
 pub struct SlowStart {
     until: Instant,
-    /// requests that may be sent now, at most one
+    /// Requests that may be sent now, at most one.
     tokens: f64,
     refilled_at: Instant,
-    /// this entry's share of the rate
+    /// This entry's share of the rate.
     requests_per_s: f64,
 }
 
--- a/coordination/src/backend_signals/signals.rs
+++ b/coordination/src/backend_signals/signals.rs
@@ -6,7 +6,7 @@
 /// Signals in the head of one response of a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BackendSignals {
-    /// The back end is shutting down and accepts no more requests.
+    /// Whether the back end is shutting down and accepts no more requests.
     pub is_leaving: bool,
     /// The back end refused a request and asks this entry to send none for this long.
     pub backoff: Option<Duration>,
--- a/coordination/src/config/config_lease.rs
+++ b/coordination/src/config/config_lease.rs
@@ -10,10 +10,10 @@
 /// configuration was known to be the newest within that time.
 #[derive(Debug, Clone)]
 pub struct ConfigLease {
-    /// `None` if keys stay valid for as long as nothing newer is known
+    /// `None` if keys stay valid for as long as nothing newer is known.
     duration: Option<Duration>,
     current_at: Option<Instant>,
-    /// the newest configuration can't be parsed
+    /// Whether the newest configuration can't be parsed.
     is_unreadable: bool,
 }
 
--- a/coordination/src/dispatch/engine_observations.rs
+++ b/coordination/src/dispatch/engine_observations.rs
@@ -9,11 +9,11 @@
 /// How long after its last run an adapter is expected on the engine: a sidecar unloads idle
 /// adapters when it needs the slot.
 const RECENT_RUN_WINDOW: Duration = Duration::from_secs(10);
-/// How long an adapter that the engine lacked isn't looked for there.
+/// How long no request is sent to an engine for an adapter that it lacked.
 const MISSING_ADAPTER_PAUSE: Duration = Duration::from_millis(700);
-/// How long a sidecar that failed to load an adapter is not asked again, so that requests
-/// are rejected at once rather than wait for it. One that loaded something within this time
-/// is merely slow.
+/// How long no load is requested from a sidecar that failed to load an adapter, so that
+/// requests are rejected at once rather than wait for it. One that loaded an adapter within
+/// this time is assumed to be slow only.
 const FAILED_LOAD_PAUSE: Duration = Duration::from_secs(5);
 /// Time within which an engine refuses a request for an adapter that it lacks; ten round
 /// trips between zones.
@@ -84,8 +84,8 @@
     pub fn ran_recently(&self, adapter: &AdapterRef, now: Instant) -> bool {
         is_within(self.last_runs.get(adapter), RECENT_RUN_WINDOW, now)
     }
-    /// Returns whether the first request for an adapter is still out. Further ones wait
-    /// until the engine could have refused it, as each would cost a retry.
+    /// Returns whether the first request for an adapter is in flight. Further ones wait until
+    /// the engine could have refused it, as each refusal would cost a retry.
     pub fn is_being_probed(&self, adapter: &AdapterRef, now: Instant) -> bool {
         is_within(self.first_attempts.get(adapter), REFUSAL_TIMEOUT, now)
     }
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -35,7 +35,7 @@
 }
 
 impl Dispatcher {
-    /// Handles what the response to a request sent at `sent_at` says about a limit.
+    /// Applies the limit signal in the response to a request that was sent at `sent_at`.
     pub(super) fn on_limit_signal(
         &mut self,
         backend: &BackendId,
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Handles the limit that an engine's sidecar reports.
+    /// Applies the limit, or its absence, that an engine's sidecar reports.
     pub(super) fn on_limit_reported(
         &mut self,
         backend: &BackendId,
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -286,7 +286,7 @@
     }
 
     /// Returns the back ends that may take the request: healthy ones if there are any, else
-    /// those paused after failures, else those that are no longer listed.
+    /// those ejected after failures, else those that are no longer listed.
     fn candidates(&self, request: &DispatchRequest, now: Instant) -> Vec<&BackendState> {
         let of_service: Vec<&BackendState> = self
             .backends
@@ -424,6 +424,8 @@
         queue.max(state.load(now) / self.settings.copy_load_threshold)
     }
 
+    /// Returns the cost of sending a request to a back end, in ms: its expected wait plus
+    /// penalties for load, distance, rate limits and failures. The lowest cost is chosen.
     fn cost(&self, state: &BackendState, now: Instant) -> f64 {
         let is_remote_zone = state.listed.zone != self.settings.zone;
         let remote_zone = if is_remote_zone {
@@ -435,7 +437,7 @@
             Some(_) => RATE_LIMIT_COST_MS,
             None => 0.0,
         };
-        // requests without tokens share the slots only
+        // requests without tokens add no prefill, but take slots
         let load = state.load(now);
         self.queue_ms(state, now)
             + f64::from(state.occupied(now)) * ACTIVE_REQUEST_COST_MS
--- a/coordination/src/drain/ingress_drain.rs
+++ b/coordination/src/drain/ingress_drain.rs
@@ -12,7 +12,7 @@
 /// Timing of the graceful shutdown of an ingress, counted from the signal.
 #[derive(Debug, Clone)]
 pub struct IngressDrain {
-    /// time between the signal and the kill
+    /// Time between the signal and the kill.
     pub grace: Duration,
 }
 
--- a/coordination/src/features/mod.rs
+++ b/coordination/src/features/mod.rs
@@ -1,4 +1,4 @@
-//! which mechanisms of decision are at work
+//! Switches that turn features of routing and placement on and off.
 
 mod switches;
 
--- a/coordination/src/features/switches.rs
+++ b/coordination/src/features/switches.rs
@@ -8,34 +8,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FeatureSwitches {
-    /// the prefill rate of engines is estimated from their responses; otherwise it is a constant
+    /// Estimates the prefill rate of engines from their responses; otherwise it is a constant.
     pub observed_rate: bool,
-    /// an engine's queue includes the prompts of all entries; otherwise this entry's only
+    /// Counts the prompts of all entries in an engine's queue; otherwise this entry's only.
     pub prompts_of_all: bool,
-    /// an adapter is preferably reloaded on an engine that recently held it
+    /// Prefers to reload an adapter on an engine that recently held it.
     pub return_home: bool,
-    /// engines prefill short prompts first and late ones last; otherwise by the route's
-    /// priority only
+    /// Has engines prefill short prompts first and late ones last; otherwise by the route's
+    /// priority only.
     pub urgency_by_size: bool,
-    /// an engine loads fewer adapters at once while loads are slow
+    /// Loads fewer adapters at once on an engine while loads are slow.
     pub loads_by_speed: bool,
-    /// a copy is loaded only if it is ready before the queue is processed
+    /// Loads a copy only if it is ready before the queue at the holders is processed.
     pub copies_weighed: bool,
-    /// adapters in demand are loaded on additional engines
+    /// Loads copies of adapters in demand on additional engines.
     pub copies: bool,
-    /// an adapter with many waiting requests is first loaded on several engines
+    /// Loads an adapter with many waiting requests on several engines at first.
     pub several_homes: bool,
-    /// a request whose adapter would load too late is rejected early, with a retry time
+    /// Rejects a request whose adapter would load too late at once, with a retry time.
     pub early_refusals: bool,
-    /// entries of a large fleet receive engine views through a relay of their zone
+    /// Sends engine views to the entries of a large fleet through a relay of their zone.
     pub relays: bool,
-    /// they also watch the platform's store through it
+    /// Lets entries watch the platform's store through their relay too.
     pub store_by_relay: bool,
-    /// entries share the limits of client accounts by the usage that an aggregator reports;
-    /// otherwise each entry enforces an equal share
+    /// Shares the limits of client accounts among entries by the usage that an aggregator
+    /// sums up; otherwise each entry enforces an equal share.
     pub shared_limits: bool,
-    /// entries use the engine views that sidecars report; otherwise they use the list, the
-    /// responses of engines and the loads that they requested
+    /// Uses the engine views that sidecars report; otherwise entries rely on the list, the
+    /// responses of engines and the loads that they requested.
     pub sidecar_views: bool,
 }
 
@@ -61,7 +61,7 @@
 
 impl FeatureSwitches {
     /// Returns the name and the state of each switch.
-    fn rows(&self) -> [(&'static str, bool); 13] {
+    fn named_states(&self) -> [(&'static str, bool); 13] {
         [
             ("observed_rate", self.observed_rate),
             ("prompts_of_all", self.prompts_of_all),
@@ -83,7 +83,7 @@
 /// Lists the switches that are off.
 impl Display for FeatureSwitches {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        let off = self.rows().into_iter().filter(|(_, is_on)| !is_on);
+        let off = self.named_states().into_iter().filter(|(_, is_on)| !is_on);
         let off: Vec<&str> = off.map(|(name, _)| name).collect();
         match off.is_empty() {
             true => write!(f, "all on"),
--- a/coordination/src/permits/load_permit_issuer.rs
+++ b/coordination/src/permits/load_permit_issuer.rs
@@ -12,13 +12,13 @@
 pub struct LoadPermitSettings {
     pub loads_per_second: u32,
     pub loads_at_once: u32,
-    /// a permit that isn't released expires after this time
+    /// A permit that isn't released expires after this time.
     pub lease: Duration,
-    /// a request that isn't repeated is removed after this time
+    /// A request that isn't repeated is removed after this time.
     pub request_ttl: Duration,
-    /// retry time of the requests next in the order
+    /// Retry time of the requests next in the order.
     pub min_retry_after: Duration,
-    /// retry time of the last requests in the order; less than `request_ttl`
+    /// Retry time of the last requests in the order; less than `request_ttl`.
     pub max_retry_after: Duration,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct WaitingLoad {
     priority: u8,
-    /// when the most urgent request began to wait
+    /// When the most urgent request began to wait.
     since: Instant,
     requested_at: Instant,
 }
@@ -59,9 +59,9 @@
 pub struct LoadPermitIssuer {
     settings: LoadPermitSettings,
     waiting: HashMap<LoadKey, WaitingLoad>,
-    /// expiry of each permit in use
+    /// Expiry of each permit in use.
     leases: HashMap<LoadKey, Instant>,
-    /// loads that may start now; accumulates up to one second's worth
+    /// Loads that may start now; accumulates up to one second's worth.
     tokens: f64,
     refilled_at: Instant,
 }
--- a/coordination/src/placement/load_time_estimator.rs
+++ b/coordination/src/placement/load_time_estimator.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 struct OrderedLoad {
     ordered_at: Instant,
-    /// The engine held the adapter recently.
+    /// Whether the engine held the adapter recently.
     is_reload: bool,
 }
 
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -34,7 +34,7 @@
     Report(EngineReport),
     /// The engine could not be read.
     ReportFailed {
-        /// Nothing listens at the engine's address.
+        /// Whether nothing listens at the engine's address.
         is_down: bool,
     },
     /// The engine's response to an identity request, with its name if it gave one.
@@ -67,7 +67,7 @@
     pub(super) last_used: Instant,
     /// When a newer version became known.
     pub(super) outdated_since: Option<Instant>,
-    /// The load of the newest version was ordered.
+    /// Whether the load of the newest version was ordered.
     pub(super) is_replacing: bool,
 }
 
@@ -79,20 +79,20 @@
     pub(super) settings: PlacementSettings,
     fence: FenceToken,
     backend: BackendId,
-    /// The engine confirmed its name in its current incarnation.
+    /// Whether the engine confirmed its name in its current incarnation.
     is_identified: bool,
     identity_requested_at: Option<Instant>,
     pub(super) demands: DemandTable,
     pub(super) slots: HashMap<AdapterRef, OccupiedSlot>,
     pub(super) report: EngineReport,
-    /// `report` is recent and describes the current incarnation.
+    /// Whether `report` is recent and describes the current incarnation.
     is_report_valid: bool,
     read_at: Option<Instant>,
     /// The incarnation after which nothing listened at the engine's address.
     ended: Option<BackendId>,
     /// When orders that failed may be retried.
     pub(super) retry_at: HashMap<OrderKind, Instant>,
-    /// The engine has signalled that it is leaving.
+    /// Whether the engine has signalled that it is leaving.
     pub(super) is_engine_leaving: bool,
     /// End of the back-off that the engine requested from this machine.
     backoff_until: Option<Instant>,
--- a/coordination/src/queue/fair_queue.rs
+++ b/coordination/src/queue/fair_queue.rs
@@ -7,9 +7,9 @@
     },
 };
 
-/// share of a group that the configuration doesn't list
+/// Share of a group that the configuration doesn't list.
 const DEFAULT_SHARE: u32 = 1;
-/// time after its last request for which a group counts as active
+/// Time after its last request for which a group counts as active.
 const ACTIVE_FOR: Duration = Duration::from_secs(10);
 
 /// The queued requests of one target.
@@ -19,15 +19,15 @@
 /// over tokens); then by arrival.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    /// in the order of arrival
+    /// In the order of arrival.
     requests: Vec<QueuedRequest>,
     shares: HashMap<GroupName, u32>,
-    /// service that each group received, in tokens divided by its share
-    service: HashMap<GroupName, f64>,
-    /// service of the group that was served last: the starting value of a group that becomes
-    /// active
+    /// Service that each group received: the tokens charged to it, divided by its share.
+    received_service: HashMap<GroupName, f64>,
+    /// Service of the group that was served last: the starting value of a group that becomes
+    /// active.
     virtual_time: f64,
-    /// arrival of each group's last request
+    /// Arrival of each group's last request.
     last_arrival: HashMap<GroupName, Instant>,
 }
 
@@ -37,7 +37,8 @@
     }
 
     pub fn set_shares(&mut self, shares: HashMap<GroupName, u32>) {
-        self.service.retain(|group, _| shares.contains_key(group));
+        self.received_service
+            .retain(|group, _| shares.contains_key(group));
         self.last_arrival
             .retain(|group, _| shares.contains_key(group));
         self.shares = shares;
@@ -89,7 +90,7 @@
         // a group gets no credit for the time in which it had no requests
         let virtual_time = self.virtual_time;
         let service = self
-            .service
+            .received_service
             .entry(request.group.clone())
             .or_insert(virtual_time);
         let is_idle = !self.requests.iter().any(|r| r.group == request.group);
@@ -107,8 +108,8 @@
             let by_priority = a.priority_at(now).cmp(&b.priority_at(now));
             by_priority
                 .then(
-                    self.service_of(&a.group)
-                        .total_cmp(&self.service_of(&b.group)),
+                    self.received_service_of(&a.group)
+                        .total_cmp(&self.received_service_of(&b.group)),
                 )
                 .then(a.arrived.cmp(&b.arrived))
         });
@@ -128,7 +129,9 @@
     /// Removes a request that starts, and charges its group.
     pub fn start(&mut self, request: &str) -> Option<QueuedRequest> {
         let started = self.remove(request)?;
-        self.virtual_time = self.virtual_time.max(self.service_of(&started.group));
+        self.virtual_time = self
+            .virtual_time
+            .max(self.received_service_of(&started.group));
         self.charge(&started.group, started.tokens as f64);
         Some(started)
     }
@@ -136,7 +139,7 @@
     /// Charges a group for tokens beyond the estimate, or credits it if `tokens` is negative.
     pub fn charge(&mut self, group: &str, tokens: f64) {
         let share = f64::from(self.share(group));
-        if let Some(service) = self.service.get_mut(group) {
+        if let Some(service) = self.received_service.get_mut(group) {
             *service += tokens / share;
         }
     }
@@ -177,8 +180,8 @@
     fn share(&self, group: &str) -> u32 {
         self.shares.get(group).copied().unwrap_or(DEFAULT_SHARE)
     }
-    fn service_of(&self, group: &str) -> f64 {
-        self.service
+    fn received_service_of(&self, group: &str) -> f64 {
+        self.received_service
             .get(group)
             .copied()
             .unwrap_or(self.virtual_time)
--- a/coordination/src/queue/queued_request.rs
+++ b/coordination/src/queue/queued_request.rs
@@ -9,20 +9,20 @@
 pub struct QueuedRequest {
     pub request: RequestId,
     pub group: GroupName,
-    /// 0 is the most urgent
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// time at the head of its group and class after which it becomes one priority more urgent
+    /// Time at the head of its group and class after which it becomes one priority more urgent.
     pub age_after: Duration,
     pub arrived: Instant,
     pub deadline: Instant,
-    /// cost in tokens
+    /// Cost in tokens.
     pub tokens: u64,
     pub max_output_tokens: u32,
-    /// adapter that must be loaded; none for a plain service
+    /// Adapter that must be loaded; none for a plain service.
     pub adapter: Option<AdapterKey>,
-    /// tokens of the requests that overtook it because their adapter was loaded
+    /// Tokens of the requests that overtook it because their adapter was loaded.
     pub overtaken: u64,
-    /// since when it has been the first of its group and class
+    /// Since when it has been the first of its group and class.
     pub head_since: Option<Instant>,
 }
 
--- a/coordination/src/retry/list_pacing.rs
+++ b/coordination/src/retry/list_pacing.rs
@@ -15,9 +15,9 @@
 /// Pace at which an entry requests changes of the list of back ends.
 #[derive(Debug, Clone)]
 pub struct ListPacing {
-    /// time after which a leaving back end receives no more requests
+    /// Time after which a leaving back end receives no more requests.
     pub drain: Duration,
-    /// reads per second that the store serves to all processes
+    /// Reads per second that the store serves to all processes.
     pub store_reads_per_s: f64,
 }
 
--- a/coordination/src/retry/retry_budget.rs
+++ b/coordination/src/retry/retry_budget.rs
@@ -1,5 +1,5 @@
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// retries that may accumulate
+/// Retries that may accumulate.
 const MAX_RETRIES: f64 = 50.0;
 
 /// Limits retries to a fraction of the requests, so that they don't amplify an overload.
--- a/coordination/src/retry/retry_rule.rs
+++ b/coordination/src/retry/retry_rule.rs
@@ -7,9 +7,9 @@
 #[derive(Debug, Clone)]
 pub struct Attempt<'r> {
     pub refusal: &'r Refusal,
-    /// the request carries a reserved id
+    /// Whether the request carries a reserved id.
     pub reserved: bool,
-    /// time left until the client's deadline
+    /// Time left until the client's deadline.
     pub remaining: Duration,
 }
 
--- a/coordination/src/routing/least_expected_wait.rs
+++ b/coordination/src/routing/least_expected_wait.rs
@@ -10,14 +10,14 @@
     },
 };
 
-/// number of adapters whose request counts are kept
+/// Number of adapters whose request counts are kept.
 const MAX_TRACKED_ADAPTERS: usize = 8_192;
 
 /// Number of homes of an adapter. Its homes are the replicas preferred by rendezvous hash.
 #[derive(Debug, Clone)]
 pub struct HomeSettings {
     pub min_homes: usize,
-    /// recent requests for each additional home
+    /// Recent requests for each additional home.
     pub requests_per_home: f64,
 }
 
--- a/coordination/src/routing/policy.rs
+++ b/coordination/src/routing/policy.rs
@@ -38,7 +38,7 @@
 pub struct RouteRequest {
     pub requirement: TargetRequirement,
     pub tokens: u64,
-    /// targets where earlier attempts of this request failed
+    /// Targets where earlier attempts of this request failed.
     pub excluded: Vec<BoxName>,
 }
 
@@ -46,9 +46,9 @@
 #[derive(Debug)]
 pub struct Candidate<'t> {
     pub target: &'t Target,
-    /// the target reported that it holds the adapter's version
+    /// Whether the target reported that it holds the adapter's version.
     pub is_loaded: bool,
-    /// one-way network delay to the target's zone
+    /// One-way network delay to the target's zone.
     pub distance: Duration,
 }
 
--- a/coordination/src/routing/target.rs
+++ b/coordination/src/routing/target.rs
@@ -8,9 +8,9 @@
     std::time::{Duration, Instant},
 };
 
-/// half-life of the queue length in a report
+/// Half-life of the queue length in a report.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(2);
-/// time for which a target is avoided after a first failure; doubles with each further one
+/// Time for which a target is avoided after a first failure; doubles with each further one.
 const FIRST_SUSPICION: Duration = Duration::from_millis(300);
 const MAX_SUSPICION: Duration = Duration::from_secs(5);
 /// Values assumed until a target reports its own.
@@ -20,9 +20,9 @@
 
 #[derive(Debug)]
 struct ReceivedReport {
-    /// without the names of the loaded adapters
+    /// Without the names of the loaded adapters.
     report: TargetReport,
-    /// hashes of the loaded adapters, which take less memory than their names
+    /// Hashes of the loaded adapters, which take less memory than their names.
     loaded: Box<[u64]>,
     at: Instant,
 }
@@ -31,12 +31,12 @@
 #[derive(Debug)]
 pub struct Target {
     pub listed: FleetBox,
-    /// stable hash of the target's name
+    /// Stable hash of the target's name.
     pub hash: u64,
     last_report: Option<ReceivedReport>,
-    /// tokens sent to the target since its last report
+    /// Tokens sent to the target since its last report.
     unreported_tokens: u64,
-    /// this entry's requests in flight to the target
+    /// This entry's requests in flight to the target.
     in_flight: u32,
     failures: u32,
     suspect_until: Option<Instant>,
--- a/coordination/src/routing/target_table.rs
+++ b/coordination/src/routing/target_table.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// one-way network delay to another zone
+/// One-way network delay to another zone.
 const CROSS_ZONE_DELAY: Duration = Duration::from_micros(1_500);
 
 /// The available routing policies.
--- a/coordination/src/sidecar/actions.rs
+++ b/coordination/src/sidecar/actions.rs
@@ -35,7 +35,7 @@
         /// The work is not sent after this time.
         deadline: Instant,
         arrived: Instant,
-        /// The request waited for the load of its adapter.
+        /// Whether the request waited for the load of its adapter.
         has_stalled: bool,
     },
     /// Stop a run; `SidecarEvent::RunEnded` still follows.
--- a/coordination/src/sidecar/events.rs
+++ b/coordination/src/sidecar/events.rs
@@ -33,7 +33,7 @@
     /// Number of generated tokens.
     pub tokens: u64,
     pub duration: Duration,
-    /// The engine may still execute the request.
+    /// Whether the engine may still execute the request.
     pub may_still_run: bool,
 }
 
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Rejects a request that has not started. A reserved id is sealed first, so that no
+    /// Rejects a request that has not started. A reserved id is cancelled first, so that no
     /// later copy of the request runs.
     fn reject_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
         if reserved {
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -36,9 +36,9 @@
     pub(super) max_running: u32,
     pub(super) is_draining: bool,
     pause: PauseDetector,
-    /// A read of the engine is in progress.
+    /// Whether a read of the engine is in progress.
     is_reading: bool,
-    /// The slots must be rebuilt from the next read before any order is sent.
+    /// Whether the slots must be rebuilt from the next read before any order is sent.
     is_resync_needed: bool,
     last_read_at: Instant,
     pub(super) actions: Vec<SidecarAction>,
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -32,7 +32,7 @@
 struct Slot {
     phase: SlotPhase,
     pins: u32,
-    /// The slot accepts no new requests, so that it becomes unpinned.
+    /// Whether the slot accepts no new requests, so that it becomes unpinned.
     is_draining: bool,
 }
 
--- a/coordination/src/stream/assembler.rs
+++ b/coordination/src/stream/assembler.rs
@@ -34,7 +34,7 @@
     pub fn has_gap(&self) -> bool {
         !self.early.is_empty()
     }
-    /// Takes in an item, and returns all items that are now in order.
+    /// Accepts an item, and returns all items that are now in order.
     pub fn accept(&mut self, sequence: Sequence, item: T) -> Result<Vec<T>, AssemblerError> {
         if sequence >= self.next {
             self.early.entry(sequence).or_insert(item);
--- a/coordination/src/watch/watch_times.rs
+++ b/coordination/src/watch/watch_times.rs
@@ -3,9 +3,9 @@
 /// Times of one long poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// for this long the store holds the call if nothing changes
+    /// How long the store holds the call if nothing changes.
     pub hold: Duration,
-    /// time for the response beyond that
+    /// Time allowed for the response beyond the hold.
     pub response: Duration,
 }
 
