--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         shared_bucket::{SharedBucket, StartupState},
-        usage_aggregator::AMPLE_PART,
+        usage_aggregator::AMPLE_FRACTION,
         LimitBounds, LimitSettings,
     },
     crate::membership::{rendezvous_weight, stable_hash},
@@ -19,8 +19,8 @@
 /// An account counts as in use for this long after a request.
 const IN_USE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Bounds of the retry delay of a rejected request.
-const MIN_RETRY: Duration = Duration::from_millis(100);
-const MAX_RETRY: Duration = Duration::from_secs(5);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Shortest interval between two reports while accounts are in use. The interval grows
 /// with the number of entries to bound the load on the aggregator.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
@@ -73,7 +73,7 @@
     settings: LimitSettings,
     entry: BoxName,
     incarnation: Incarnation,
-    started: Instant,
+    started_at: Instant,
     /// Number of entries that share the limits; `None` while unknown.
     entry_count: Option<u32>,
     aggregator: Option<Incarnation>,
@@ -93,7 +93,7 @@
             settings,
             entry,
             incarnation,
-            started: now,
+            started_at: now,
             entry_count: None,
             aggregator: None,
             responses: 0,
@@ -179,12 +179,14 @@
             return Ok(());
         }
         let delay_s = bucket.missing(charge, now) / bounds.steady_per_s;
-        let available_at = now + Duration::from_secs_f64(delay_s.min(MAX_RETRY.as_secs_f64()));
+        let available_at =
+            now + Duration::from_secs_f64(delay_s.min(MAX_RETRY_AFTER.as_secs_f64()));
         let retry_at = bucket.next_retry.max(available_at);
         let entry_per_s = bounds.steady_per_s / f64::from(entries.max(1));
-        let spacing =
-            Duration::from_secs_f64((charge as f64 / entry_per_s).min(MAX_RETRY.as_secs_f64()));
-        bucket.next_retry = (retry_at + spacing).min(now + MAX_RETRY);
+        let spacing = Duration::from_secs_f64(
+            (charge as f64 / entry_per_s).min(MAX_RETRY_AFTER.as_secs_f64()),
+        );
+        bucket.next_retry = (retry_at + spacing).min(now + MAX_RETRY_AFTER);
         let inputs = LimitDecisionInputs {
             level: bucket.fleet_level(now),
             age: bucket.level_age(now),
@@ -193,7 +195,7 @@
         Err(LimitExceeded {
             retry_after: retry_at
                 .saturating_duration_since(now)
-                .clamp(MIN_RETRY, MAX_RETRY),
+                .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             inputs,
         })
     }
@@ -255,7 +257,8 @@
         }
         self.aggregator = Some(response.incarnation);
         self.responses += 1;
-        let part = f64::from(response.entries) / f64::from(report.entries.max(response.entries));
+        let fraction =
+            f64::from(response.entries) / f64::from(report.entries.max(response.entries));
         let usages = report.accounts.iter().map(|usage| (usage.account, usage));
         let usages: HashMap<AccountFingerprint, &AccountUsage> = usages.collect();
         let levels = response.accounts.iter().map(|level| (level.account, level));
@@ -264,7 +267,7 @@
             let usage = usages.get(account).copied();
             match levels.get(account) {
                 Some(level) => bucket.on_level(response.incarnation, usage, level, now),
-                None => bucket.on_ample(part * AMPLE_PART, now),
+                None => bucket.on_ample(fraction * AMPLE_FRACTION, now),
             }
         }
     }
@@ -281,7 +284,7 @@
     }
 
     fn startup_state(&self, now: Instant) -> StartupState {
-        let is_warming_up = now.saturating_duration_since(self.started) < WARMUP;
+        let is_warming_up = now.saturating_duration_since(self.started_at) < WARMUP;
         match is_warming_up {
             true if self.responses < RESPONSES_UNTIL_SYNCED => StartupState::Unsynced,
             true => StartupState::Warmup,
--- a/coordination/src/limits/settings.rs
+++ b/coordination/src/limits/settings.rs
@@ -1,9 +1,9 @@
 use {chalkcart_state::accounts::RateLimit, std::time::Duration};
 
-/// Part of the tolerance that is always granted, so that stale levels don't cause
+/// Fraction of the tolerance that is always granted, so that stale levels don't cause
 /// rejections of requests within the limit.
 const GRANTED_TOLERANCE: f64 = 0.15;
-/// Part of the tolerance that the sum of a window may use, so that a window that begins
+/// Fraction of the tolerance that the sum of a window may use, so that a window that begins
 /// with a burst doesn't end with a pause. The remainder absorbs what runs before an
 /// overshoot is known.
 const WINDOW_TOLERANCE: f64 = 0.5;
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -1,20 +1,20 @@
 use {
-    super::{usage_aggregator::AMPLE_PART, LimitBounds, TokenBucket},
+    super::{usage_aggregator::AMPLE_FRACTION, LimitBounds, TokenBucket},
     chalkcart_protocol::peer::{AccountLevel, AccountUsage},
     chalkcart_state::{accounts::AccountFingerprint, ids::Incarnation},
     std::time::{Duration, Instant},
 };
 
 /// A level from the aggregator is valid for this long; afterwards the entry keeps to its
-/// equal part of the limit.
+/// equal share of the limit.
 const LEVEL_VALID_FOR: Duration = Duration::from_millis(900);
 /// Time in which unused units are granted and overuse is paid back, in seconds. Longer
 /// than a change takes to reach all entries.
 const CORRECTION_TIME_S: f64 = 1.0;
-/// Part of its equal part of a burst that an entry may use before the first response of an
+/// Fraction of its equal share of a burst that an entry may use before the first response of an
 /// aggregator. The usage before its start is unknown, and entries that restart repeatedly
 /// must not get a burst each time.
-const INITIAL_BURST_PART: f64 = 0.25;
+const INITIAL_BURST_FRACTION: f64 = 0.25;
 
 /// How far an entry that has just started may rely on its aggregator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,8 +41,8 @@
     /// The aggregator that has received this account's usage.
     reported_to: Option<Incarnation>,
     received: Option<ReceivedLevel>,
-    /// The entry's equal part of the limit, used without an aggregator.
-    own_part: TokenBucket,
+    /// The entry's equal share of the limit, used without an aggregator.
+    own_share: TokenBucket,
     /// When a request last arrived.
     pub(super) last_request: Option<Instant>,
     /// Units that the entry may still admit of the requests that have arrived while the
@@ -67,10 +67,10 @@
 
 impl SharedBucket {
     pub fn new(bounds: LimitBounds, entries: u32, phase: f64, now: Instant) -> Self {
-        let part = 1.0 / f64::from(entries.max(1));
-        let (rate_per_s, capacity) = (bounds.granted_per_s * part, bounds.burst * part);
-        let mut own_part = TokenBucket::new(rate_per_s, capacity, now);
-        own_part.set_level(capacity * INITIAL_BURST_PART, now);
+        let fraction = 1.0 / f64::from(entries.max(1));
+        let (rate_per_s, capacity) = (bounds.granted_per_s * fraction, bounds.burst * fraction);
+        let mut own_share = TokenBucket::new(rate_per_s, capacity, now);
+        own_share.set_level(capacity * INITIAL_BURST_FRACTION, now);
         Self {
             bounds,
             charged: 0,
@@ -79,7 +79,7 @@
             acked_requested: 0,
             reported_to: None,
             received: None,
-            own_part,
+            own_share,
             last_request: None,
             credit: 0.0,
             phase,
@@ -89,9 +89,9 @@
 
     /// Applies a changed limit or number of entries.
     pub fn set_bounds(&mut self, bounds: LimitBounds, entries: u32, now: Instant) {
-        let part = 1.0 / f64::from(entries.max(1));
-        let (rate_per_s, capacity) = (bounds.granted_per_s * part, bounds.burst * part);
-        self.own_part.set_bounds(rate_per_s, capacity, now);
+        let fraction = 1.0 / f64::from(entries.max(1));
+        let (rate_per_s, capacity) = (bounds.granted_per_s * fraction, bounds.burst * fraction);
+        self.own_share.set_bounds(rate_per_s, capacity, now);
         self.bounds = bounds;
     }
 
@@ -123,8 +123,8 @@
     /// Charges a request if it may run, and returns whether it may.
     ///
     /// While the level is ample, each request may run. While it is low, each entry admits
-    /// the same part of its requests: what the limit allows, divided by the demand at all
-    /// entries. Without a valid level an entry keeps to its equal part of the limit.
+    /// the same fraction of its requests: what the limit allows, divided by the demand at all
+    /// entries. Without a valid level an entry keeps to its equal share of the limit.
     ///
     /// During start-up no level counts as ample, since the aggregator may have restarted
     /// as well.
@@ -135,18 +135,18 @@
             .filter(|_| startup != StartupState::Unsynced);
         let is_starting = startup != StartupState::Ready;
         let may_run = match (level, self.demand_per_s(now)) {
-            (Some(level), _) if level >= self.bounds.burst * AMPLE_PART && !is_starting => true,
+            (Some(level), _) if level >= self.bounds.burst * AMPLE_FRACTION && !is_starting => true,
             // the bucket of an aggregator that has just started may be too full
             (Some(level), Some(demand_per_s)) if is_starting => {
                 self.take_credit(units, level.min(0.0), demand_per_s)
             }
             (Some(level), Some(demand_per_s)) => self.take_credit(units, level, demand_per_s),
             (Some(level), None) if !is_starting => level > 0.0,
-            _ => self.own_part.level(now) > self.phase * units,
+            _ => self.own_share.level(now) > self.phase * units,
         };
         if may_run {
             self.charged += charge as i64;
-            self.own_part.spend(units, now);
+            self.own_share.spend(units, now);
         }
         may_run
     }
@@ -159,7 +159,7 @@
         demand.filter(|demand| *demand > 0.0)
     }
 
-    /// Adds the admissible part of a request to the credit, and returns whether the credit
+    /// Adds the admissible fraction of a request to the credit, and returns whether the credit
     /// suffices to admit the request.
     fn take_credit(&mut self, units: f64, level: f64, demand_per_s: f64) -> bool {
         let allowed_per_s = self.bounds.steady_per_s + level / CORRECTION_TIME_S;
@@ -174,7 +174,7 @@
     /// Refunds the charge of a request that did not run.
     pub fn refund(&mut self, charge: u64, now: Instant) {
         self.charged -= charge as i64;
-        self.own_part.spend(-(charge as f64), now);
+        self.own_share.spend(-(charge as f64), now);
     }
 
     /// Returns the units that the fleet must regain before a request may run.
@@ -182,14 +182,14 @@
         match self.fleet_level(now) {
             Some(level) => (charge as f64 - level).max(0.0),
             None => {
-                let parts = 1.0 / self.part().max(f64::MIN_POSITIVE);
-                (charge as f64 - self.own_part.level(now)).max(0.0) * parts
+                let shares = 1.0 / self.share_fraction().max(f64::MIN_POSITIVE);
+                (charge as f64 - self.own_share.level(now)).max(0.0) * shares
             }
         }
     }
 
     pub fn usage(&self, account: AccountFingerprint, entries: u32, now: Instant) -> AccountUsage {
-        let extrapolated = || self.own_part.level(now) * f64::from(entries.max(1));
+        let extrapolated = || self.own_share.level(now) * f64::from(entries.max(1));
         AccountUsage {
             account,
             taken: self.charged,
@@ -211,7 +211,7 @@
         (self.charged, self.requested) != (self.acked_charged, self.acked_requested)
     }
 
-    /// Applies a level from an aggregator. `usage` is what the report said about the
+    /// Applies a level from an aggregator. `usage` is the reported usage of this
     /// account, if it was in the report.
     pub fn on_level(
         &mut self,
@@ -227,10 +227,10 @@
         self.set_level(level.level, level.asked_per_s, now);
     }
 
-    /// Applies a response that doesn't list the account: at least this part of the burst
+    /// Applies a response that doesn't list the account: at least this fraction of the burst
     /// is left.
-    pub fn on_ample(&mut self, part: f64, now: Instant) {
-        self.set_level(self.bounds.burst * part, 0.0, now);
+    pub fn on_ample(&mut self, fraction: f64, now: Instant) {
+        self.set_level(self.bounds.burst * fraction, 0.0, now);
     }
 
     fn set_level(&mut self, level: f64, demand_per_s: f64, now: Instant) {
@@ -240,13 +240,13 @@
             charged: self.acked_charged,
             at: now,
         });
-        // if the aggregator fails, the entry continues with its part of the level
-        let own = self.fleet_level(now).unwrap_or(0.0) * self.part();
-        self.own_part.set_level(own, now);
+        // if the aggregator fails, the entry continues with its share of the level
+        let own_level = self.fleet_level(now).unwrap_or(0.0) * self.share_fraction();
+        self.own_share.set_level(own_level, now);
     }
 
-    /// Returns the entry's equal part of the limit, as a fraction.
-    fn part(&self) -> f64 {
-        self.own_part.rate_per_s() / self.bounds.granted_per_s.max(f64::MIN_POSITIVE)
+    /// Returns the entry's equal share of the limit, as a fraction.
+    fn share_fraction(&self) -> f64 {
+        self.own_share.rate_per_s() / self.bounds.granted_per_s.max(f64::MIN_POSITIVE)
     }
 }
--- a/coordination/src/limits/usage_aggregator.rs
+++ b/coordination/src/limits/usage_aggregator.rs
@@ -18,14 +18,14 @@
 /// Window over which the request rate of clients is measured.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// An account with at least this part of its burst left is ample: its level is only sent
+/// An account with at least this fraction of its burst left is ample: its level is only sent
 /// to the entries that use it.
-pub(super) const AMPLE_PART: f64 = 0.5;
+pub(super) const AMPLE_FRACTION: f64 = 0.5;
 
 /// Sums up the usage that entries report for client accounts, and returns the level of
 /// each account.
 ///
-/// It grants the part of each limit that belongs to the entries that report to it, so
+/// It grants the fraction of each limit that belongs to the entries that report to it, so
 /// that two aggregators together never grant more than one limit.
 #[derive(Debug)]
 pub struct UsageAggregator {
@@ -72,7 +72,7 @@
         let reporting = self.entries.len() as u32;
         // an entry that doesn't know the size of the fleet reports 0
         let fleet = report.entries.max(reporting);
-        let part = f64::from(reporting) / f64::from(fleet);
+        let fraction = f64::from(reporting) / f64::from(fleet);
         let window = Duration::from_millis(u64::from(report.window_ms));
         let entry = self.entries.entry(report.entry);
         let entry = entry.or_insert_with(|| EntryState::new(report.incarnation, now));
@@ -80,11 +80,11 @@
         let levels = report.accounts.iter().map(|usage| {
             let account = self.accounts.entry(usage.account);
             let account = account.or_insert_with(|| AccountState::new(usage, window, now));
-            account.set_bounds(usage, window, part, now);
+            account.set_bounds(usage, window, fraction, now);
             let counters = (usage.taken, usage.asked);
             let previous = entry.reported.insert(usage.account, counters);
             if previous.is_none() && report.entries > 0 {
-                // a new entry contributes its part of the level that it last knew
+                // a new entry contributes its share of the level that it last knew
                 let contributed = usage.level / f64::from(fleet);
                 account.bucket.spend(-contributed, now);
             }
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Sets the part of the account's limit that this aggregator grants.
-    fn set_bounds(&mut self, usage: &AccountUsage, window: Duration, part: f64, now: Instant) {
-        let (rate_per_s, capacity) = (usage.per_s * part, usage.most * part);
+    /// Sets the fraction of the account's limit that this aggregator grants.
+    fn set_bounds(&mut self, usage: &AccountUsage, window: Duration, fraction: f64, now: Instant) {
+        let (rate_per_s, capacity) = (usage.per_s * fraction, usage.most * fraction);
         self.bucket.set_bounds(rate_per_s, capacity, now);
-        self.per_window = usage.in_window * part;
+        self.per_window = usage.in_window * fraction;
         self.window = window;
     }
 
@@ -163,7 +163,7 @@
     }
 
     fn is_short(&self, now: Instant) -> bool {
-        self.available(now) < self.bucket.capacity() * AMPLE_PART
+        self.available(now) < self.bucket.capacity() * AMPLE_FRACTION
     }
 
     fn level(&self, account: AccountFingerprint, now: Instant) -> AccountLevel {
