--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -9,20 +9,20 @@
 
 impl PlacementControl {
     pub(super) fn next_order(&mut self, now: Instant) -> Option<OrderKind> {
-        let room = self.demands.newest()?.room.clone();
-        if let Some(order) = self.missing_model(&room, now) {
+        let capacity = self.demands.newest()?.room.clone();
+        if let Some(order) = self.next_model_load(&capacity, now) {
             return Some(order);
         }
         let loading = self.report.loading.len();
         if self.is_engine_leaving || loading >= self.max_concurrent_loads() {
             return None;
         }
-        if let Some(order) = self.replacement(now) {
+        if let Some(order) = self.next_replacement(now) {
             return Some(order);
         }
-        let next = self.next_wanted(now)?;
+        let next = self.next_wanted_adapter(now)?;
         let has_free_slot =
-            self.slots.len() + self.loading_into_free_slots() < self.capacity(&room);
+            self.slots.len() + self.loading_into_free_slots() < self.max_adapters(&capacity);
         match has_free_slot {
             true => Some(OrderKind::LoadAdapter(next)),
             false => self.eviction_candidate(now).map(OrderKind::UnloadAdapter),
@@ -31,7 +31,7 @@
 
     /// Returns the order to load the base model of the wanted adapters if the engine holds
     /// no model.
-    fn missing_model(&mut self, room: &EngineCapacity, now: Instant) -> Option<OrderKind> {
+    fn next_model_load(&mut self, capacity: &EngineCapacity, now: Instant) -> Option<OrderKind> {
         if self.report.busy || !self.report.models.is_empty() {
             return None;
         }
@@ -43,14 +43,14 @@
         let wanted = self.demands.wanted();
         let model = match wanted.first() {
             Some(wanted) => wanted.adapter.model.clone(),
-            None => room.models.first()?.model.clone(),
+            None => capacity.models.first()?.model.clone(),
         };
         self.model_ordered_at = Some(now);
         Some(OrderKind::LoadModel(model))
     }
 
     /// Returns the order to replace an outdated adapter by its newest version.
-    fn replacement(&self, now: Instant) -> Option<OrderKind> {
+    fn next_replacement(&self, now: Instant) -> Option<OrderKind> {
         let due = self.slots.iter().find(|(adapter, slot)| {
             let Some(since) = slot.outdated_since else {
                 return false;
@@ -63,7 +63,7 @@
         (!self.retry_at.contains_key(&order)).then_some(order)
     }
 
-    fn next_wanted(&self, now: Instant) -> Option<AdapterRef> {
+    fn next_wanted_adapter(&self, now: Instant) -> Option<AdapterRef> {
         let wanted = self.demands.wanted().into_iter();
         let mut missing = wanted.map(|w| w.adapter).filter(|adapter| {
             let order = OrderKind::LoadAdapter(adapter.clone());
@@ -86,10 +86,10 @@
     }
 
     /// Returns the number of adapters that fit the engine's slots and its memory.
-    fn capacity(&self, room: &EngineCapacity) -> usize {
-        let models = room.models.iter();
+    fn max_adapters(&self, capacity: &EngineCapacity) -> usize {
+        let models = capacity.models.iter();
         let loaded = models.filter(|m| self.report.models.contains(&m.model));
-        let (mut free_mb, mut max_adapter_mb) = (room.weights_mb, 0.0f64);
+        let (mut free_mb, mut max_adapter_mb) = (capacity.weights_mb, 0.0f64);
         for model in loaded {
             free_mb -= model.weights_mb;
             max_adapter_mb = max_adapter_mb.max(model.adapter_mb);
@@ -98,7 +98,7 @@
             true => (free_mb / max_adapter_mb).max(0.0) as usize,
             false => usize::MAX,
         };
-        memory_capacity.min(room.adapter_slots as usize)
+        memory_capacity.min(capacity.adapter_slots as usize)
     }
 
     /// Returns the least recently used of the adapters that may be evicted.
@@ -125,12 +125,12 @@
         let Some(demand) = self.demands.newest() else {
             return 0;
         };
-        let capacity = self.capacity(&demand.room);
+        let max_adapters = self.max_adapters(&demand.room);
         let occupied = self.slots.len() + self.loading_into_free_slots();
         let evictable = self
             .slots
             .iter()
             .filter(|(a, s)| self.is_evictable(a, s, now));
-        (capacity.saturating_sub(occupied) + evictable.count()) as u32
+        (max_adapters.saturating_sub(occupied) + evictable.count()) as u32
     }
 }
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -383,7 +383,7 @@
 
     pub(super) fn max_concurrent_loads(&self) -> usize {
         let limit = self.settings.max_concurrent_loads;
-        match self.settings.mechanisms.loads_by_speed {
+        match self.settings.features.loads_by_speed {
             true => self.load_times.max_concurrent_loads(limit),
             false => limit,
         }
--- a/coordination/src/placement/settings.rs
+++ b/coordination/src/placement/settings.rs
@@ -17,7 +17,7 @@
     pub identify_interval: Duration,
     /// Minimum interval between loads of a base model.
     pub model_load_interval: Duration,
-    pub mechanisms: FeatureSwitches,
+    pub features: FeatureSwitches,
 }
 
 impl Default for PlacementSettings {
@@ -30,7 +30,7 @@
             order_retry_delay: Duration::from_millis(300),
             identify_interval: Duration::from_millis(200),
             model_load_interval: Duration::from_secs(5),
-            mechanisms: FeatureSwitches::default(),
+            features: FeatureSwitches::default(),
         }
     }
 }
--- a/sidecar/src/placement/serve.rs
+++ b/sidecar/src/placement/serve.rs
@@ -53,7 +53,7 @@
         .duration_since(UNIX_EPOCH)
         .context("the system clock is before the Unix epoch")?;
     let placement_settings = placement::PlacementSettings {
-        mechanisms: settings.mechanisms,
+        features: settings.mechanisms,
         ..placement::PlacementSettings::default()
     };
     if !settings.defaulted.is_empty() {
