--- a/coordination/src/crashes/crash_detector.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -67,10 +67,10 @@
     }
 
     /// Applies what an engine's sidecar reports about the engine.
-    pub fn on_engine_stats(&mut self, backend: &BackendId, figures: &EngineStats, now: Instant) {
-        match figures.is_down {
+    pub fn on_engine_stats(&mut self, backend: &BackendId, stats: &EngineStats, now: Instant) {
+        match stats.is_down {
             Some(true) => self.on_engine_ended(backend, now),
-            Some(false) => self.on_alive(backend, reported_at(figures, now)),
+            Some(false) => self.on_alive(backend, reported_at(stats, now)),
             // a sidecar without this field may repeat stats from before the end
             None => {}
         }
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -36,8 +36,8 @@
     pub has_started: bool,
     /// Whether no other prompt was being prefilled on the engine when it was sent.
     pub is_sole_prefill: bool,
-    /// Whether it probes if the requested back-off is over.
-    pub is_trial: bool,
+    /// Whether it is the probe after a requested back-off.
+    pub is_probe: bool,
 }
 
 /// Waiting requests that a new view may allow to be sent.
@@ -172,15 +172,18 @@
             None => self.slow_start = Some(SlowStart::new(entry, &self.listed.id, left, now)),
         }
     }
-    pub fn advance_slow_start(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
+    pub fn advance_slow_start(&mut self, settings: SlowStartSettings, entries: u32, now: Instant) {
         self.slow_start = self
             .slow_start
             .take()
             .filter(|slow_start| slow_start.is_active(now));
         // slow start is not limited in services without a rate for it
-        self.slow_start = self.slow_start.take().filter(|_| pace.requests_per_s > 0.0);
+        self.slow_start = self
+            .slow_start
+            .take()
+            .filter(|_| settings.requests_per_s > 0.0);
         if let Some(slow_start) = &mut self.slow_start {
-            slow_start.refill(pace, entries, now);
+            slow_start.refill(settings, entries, now);
         }
     }
 
@@ -219,10 +222,10 @@
         AffectedRequests::OfAdapters(loaded.map(|h| h.adapter.clone()).collect())
     }
     /// Applies a report in which only the stats changed.
-    pub fn on_stats(&mut self, figures: EngineStats, now: Instant) {
+    pub fn on_stats(&mut self, stats: EngineStats, now: Instant) {
         if let Some(view) = &mut self.view {
-            view.figures = figures;
-            self.viewed_at = reported_at(&figures, now);
+            view.figures = stats;
+            self.viewed_at = reported_at(&stats, now);
             self.refused_adapters.clear();
         }
     }
@@ -360,9 +363,9 @@
 
     /// Returns the number of requests that run or wait there, from all entries.
     pub fn occupied(&self, now: Instant) -> u32 {
-        let reported = self.fresh_view(now).map_or(0, |v| {
-            let figures = &v.figures;
-            figures.running + figures.queued
+        let reported = self.recent_view(now).map_or(0, |v| {
+            let stats = &v.figures;
+            stats.running + stats.queued
         });
         reported.max(self.in_flight)
     }
@@ -408,7 +411,7 @@
     }
     /// Returns the number of prompts that are being prefilled or wait for it.
     pub fn pending_prefills(&self, now: Instant) -> u32 {
-        let reported = self.fresh_view(now).map_or(0, |v| v.figures.reading);
+        let reported = self.recent_view(now).map_or(0, |v| v.figures.reading);
         reported.max(self.waiting_prefills)
     }
     /// Returns the number of prompt tokens that wait for prefill. Of prompts from other
@@ -428,14 +431,14 @@
         self.view.as_ref().map(|_| age)
     }
 
-    fn fresh_view(&self, now: Instant) -> Option<&EngineView> {
+    fn recent_view(&self, now: Instant) -> Option<&EngineView> {
         let age = now.saturating_duration_since(self.viewed_at);
         self.view.as_ref().filter(|_| age < MAX_VIEW_AGE)
     }
 }
 
 /// Returns when the sidecar wrote the report; relays add the time that it spent on the way.
-pub(crate) fn reported_at(figures: &EngineStats, now: Instant) -> Instant {
-    let age = Duration::from_millis(u64::from(figures.age_ms));
+pub(crate) fn reported_at(stats: &EngineStats, now: Instant) -> Instant {
+    let age = Duration::from_millis(u64::from(stats.age_ms));
     now.checked_sub(age).unwrap_or(now)
 }
--- a/coordination/src/dispatch/copies.rs
+++ b/coordination/src/dispatch/copies.rs
@@ -1,7 +1,7 @@
 //! Selects engines that load another copy of an adapter.
 
 use {
-    super::{dispatcher::Dispatcher, homes::loadable, selection::Choice, BackendState},
+    super::{dispatcher::Dispatcher, homes::load_candidates, selection::Choice, BackendState},
     crate::placement::adapter_hash,
     chalkcart_state::backends::{AdapterRef, BackendId},
     std::time::Instant,
@@ -44,7 +44,7 @@
         if self.slot_demand_ratio(adapter, holders) < MIN_SLOT_DEMAND_RATIO {
             return Vec::new();
         }
-        let candidates = loadable(candidates, adapter);
+        let candidates = load_candidates(candidates, adapter);
         let loading_count = candidates.iter().filter(|b| b.is_loading(adapter)).count();
         let others: Vec<&BackendState> = candidates
             .into_iter()
@@ -76,8 +76,8 @@
         }
         let queues = holders.iter().map(|b| self.queue_ms(b, now));
         let shortest = queues.min_by(f64::total_cmp).unwrap_or(0.0);
-        let figures = target.view.as_ref().map(|v| v.figures);
-        let load_ms = figures.map_or(0.0, |f| f64::from(f.next_load_ms));
+        let stats = target.view.as_ref().map(|v| v.figures);
+        let load_ms = stats.map_or(0.0, |f| f64::from(f.next_load_ms));
         let are_holders_busy = holders
             .iter()
             .all(|b| b.load(now) >= self.settings.copy_load_threshold);
--- a/coordination/src/dispatch/demands.rs
+++ b/coordination/src/dispatch/demands.rs
@@ -9,7 +9,7 @@
     },
 };
 
-/// Builds what this entry needs of one engine, and resets its set of used adapters.
+/// Builds the demand of this entry for one engine, and resets its set of used adapters.
 pub fn build_demand(
     settings: &DispatchSettings,
     list_version: u64,
@@ -39,10 +39,10 @@
         list_version,
         fence_seen: 0,
         health_path: service.health_path.clone(),
-        room: room(spec),
+        room: engine_capacity(spec),
         wanted,
         used,
-        outdated: outdated(state, versions),
+        outdated: outdated_adapters(state, versions),
     }
 }
 
@@ -50,7 +50,7 @@
     AdapterUse { adapter, in_flight }
 }
 
-fn room(spec: &EngineSpec) -> EngineCapacity {
+fn engine_capacity(spec: &EngineSpec) -> EngineCapacity {
     let models = spec.models.iter().map(|m| ModelSize {
         model: m.name.clone(),
         weights_mb: m.weights_mb,
@@ -65,7 +65,7 @@
 }
 
 /// Returns the newest versions of held adapters that are outdated.
-fn outdated(state: &BackendState, versions: &AdapterVersions) -> Vec<HeldAdapter> {
+fn outdated_adapters(state: &BackendState, versions: &AdapterVersions) -> Vec<HeldAdapter> {
     let held = state.view.iter().flat_map(|v| &v.held);
     let newer = held.filter_map(|h| {
         let version = versions.newest(&h.adapter);
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -210,7 +210,7 @@
     }
     /// Returns whether any back end was reachable recently; an entry that is cut off should
     /// receive no clients.
-    pub fn reaches_backends(&self, now: Instant) -> bool {
+    pub fn can_reach_backends(&self, now: Instant) -> bool {
         let Some(reported_at) = self.last_report_at else {
             // without any report so far, the list alone has to do
             return true;
@@ -303,7 +303,7 @@
         }
         if let Some(state) = self.backends.get_mut(backend) {
             state.on_response_started(sent);
-            if sent.is_trial {
+            if sent.is_probe {
                 state.backoff.on_probe_started(now);
             }
         }
@@ -332,7 +332,7 @@
             return Some(service);
         };
         state.on_request_ended(&sent);
-        if sent.is_trial {
+        if sent.is_probe {
             state.backoff.on_probe_ended(outcome, now);
         }
         match outcome {
@@ -396,7 +396,7 @@
                 Choice::Wait(cause) => self.wait_or_reject(ticket, request, cause, now),
             }
         }
-        self.set_wanted_permits(&ahead, false);
+        self.set_waiting_counts(&ahead, false);
         ahead
     }
 
@@ -423,9 +423,9 @@
             rate.on_sent(request.prompt_tokens);
         }
         let state = self.backends.get_mut(&assignment.backend);
-        let is_trial = state.is_some_and(|state| state.backoff.on_request_sent());
+        let is_probe = state.is_some_and(|state| state.backoff.on_request_sent());
         let sent = InFlightRequest {
-            is_trial,
+            is_probe,
             digest: request.digest,
             is_crash_suspect: request.is_crash_suspect,
             adapter: request.adapter,
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        dispatcher::Dispatcher, pending_loads::PENDING_LOAD_TIMEOUT, selection::with_model,
+        dispatcher::Dispatcher, pending_loads::PENDING_LOAD_TIMEOUT, selection::holders_of_model,
         BackendState, DispatchRequest,
     },
     crate::{membership::rendezvous_weight, placement::adapter_hash},
@@ -59,7 +59,7 @@
         if requested >= needed {
             return Vec::new();
         }
-        let candidates = loadable(candidates, adapter);
+        let candidates = load_candidates(candidates, adapter);
         let loading = candidates.iter().filter(|b| b.is_loading(adapter));
         let mut homes: Vec<BackendId> = loading.map(|b| b.listed.id.clone()).collect();
         let ranked = self.rank_homes(adapter, &candidates, now);
@@ -91,7 +91,7 @@
         let is_free = |b: &&BackendState| b.limit.effective_rate().is_none();
         let free: Vec<&BackendState> = candidates.iter().copied().filter(is_free).collect();
         let opens_in = holders.iter().map(|b| b.limit.wait_time(now)).min()?;
-        let loads_in = loadable(&free, adapter)
+        let loads_in = load_candidates(&free, adapter)
             .iter()
             .filter(|b| b.spare_slots() > 0)
             .filter_map(|b| b.view.as_ref())
@@ -167,13 +167,13 @@
 }
 
 /// Returns the engines that hold the adapter's base model, or all if none does.
-pub(super) fn loadable<'b>(
+pub(super) fn load_candidates<'b>(
     candidates: &[&'b BackendState],
     adapter: &AdapterRef,
 ) -> Vec<&'b BackendState> {
-    let with_model = with_model(candidates, &adapter.model);
-    match with_model.is_empty() {
+    let holders = holders_of_model(candidates, &adapter.model);
+    match holders.is_empty() {
         true => candidates.to_vec(),
-        false => with_model,
+        false => holders,
     }
 }
--- a/coordination/src/dispatch/limited_backends.rs
+++ b/coordination/src/dispatch/limited_backends.rs
@@ -51,10 +51,10 @@
     pub(super) fn on_limit_reported(
         &mut self,
         backend: &BackendId,
-        figures: &EngineStats,
+        stats: &EngineStats,
         now: Instant,
     ) {
-        let reported = figures.limit_milli_per_s.map(RequestRate::from_milli_per_s);
+        let reported = stats.limit_milli_per_s.map(RequestRate::from_milli_per_s);
         if reported.is_none() && !self.limited_backends.contains(backend) {
             return;
         }
@@ -114,7 +114,7 @@
         self.limits_refreshed_at = Some(now);
         self.update_limit_sharing(now);
         let waiting = self.dispatch_waiting(|_| true, now);
-        self.set_wanted_permits(&waiting, true);
+        self.set_waiting_counts(&waiting, true);
     }
 
     /// Adapts the limits to the current number of entries.
@@ -138,7 +138,7 @@
     }
 
     /// Sets how many requests wait for each rate-limited back end.
-    pub(super) fn set_wanted_permits(
+    pub(super) fn set_waiting_counts(
         &mut self,
         waiting: &HashMap<BackendId, (u32, u8)>,
         is_complete: bool,
--- a/coordination/src/dispatch/pending_loads.rs
+++ b/coordination/src/dispatch/pending_loads.rs
@@ -199,7 +199,7 @@
                 .pending_loads
                 .get(adapter)
                 .map(|load| load.backends.clone());
-            // an adapter that is loaded and has no waiting request needs no reservation
+            // a loaded adapter without waiting requests needs no load request
             let is_done = |id: &BackendId| {
                 let Some(state) = self.backends.get(id) else {
                     return false;
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -95,11 +95,11 @@
             self.waiting.insert(ticket, request);
             return;
         }
-        let return_in = self.backends.get_mut(&backend);
-        let return_in = return_in.map_or(opens_in, |b| b.limit.next_retry_after(now));
+        let state = self.backends.get_mut(&backend);
+        let retry_after = state.map_or(opens_in, |b| b.limit.next_retry_after(now));
         let inputs = self.decision_inputs(&request, now);
         self.on_not_sent(&request);
-        let retry_after = return_in.max(MIN_RETRY_AFTER);
+        let retry_after = retry_after.max(MIN_RETRY_AFTER);
         self.reject(ticket, RejectionCause::RateLimited, retry_after, inputs);
     }
 
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -142,7 +142,7 @@
     fn plan(&self, request: &DispatchRequest, now: Instant) -> (Choice, Vec<BackendId>) {
         let candidates = self.candidates(request, now);
         // a base model takes longer to load than a back-off lasts, so its holders are waited for
-        let lacks_model = |model: &String| with_model(&candidates, model).is_empty();
+        let lacks_model = |model: &String| holders_of_model(&candidates, model).is_empty();
         let may_serve = !candidates.is_empty() && !request.model.as_ref().is_some_and(lacks_model);
         if !may_serve && self.shortest_backoff(request, now).is_some() {
             return (Choice::Wait(RejectionCause::BackedOff), Vec::new());
@@ -228,10 +228,10 @@
         let Some(model) = &request.model else {
             return self.choose_cheapest(request, candidates, candidates.len(), now);
         };
-        let with_model = with_model(candidates, model);
-        match with_model.is_empty() {
+        let holders = holders_of_model(candidates, model);
+        match holders.is_empty() {
             true => Choice::Wait(RejectionCause::NotLoaded),
-            false => self.choose_cheapest(request, &with_model, candidates.len(), now),
+            false => self.choose_cheapest(request, &holders, candidates.len(), now),
         }
     }
 
@@ -264,7 +264,7 @@
         let mut states = self.candidates(request, now);
         match (&request.adapter, &request.model) {
             (Some(adapter), _) => states = self.holders(&states, adapter, now),
-            (None, Some(model)) => states = with_model(&states, model),
+            (None, Some(model)) => states = holders_of_model(&states, model),
             (None, None) => {}
         }
         let limited = states.iter().filter(|b| b.can_accept_beyond_limit(now));
@@ -456,10 +456,10 @@
 }
 
 /// Returns the candidates that hold a base model.
-pub(super) fn with_model<'b>(
+pub(super) fn holders_of_model<'b>(
     candidates: &[&'b BackendState],
     model: &str,
 ) -> Vec<&'b BackendState> {
-    let holds = candidates.iter().filter(|b| b.has_model(model));
-    holds.copied().collect()
+    let holders = candidates.iter().filter(|b| b.has_model(model));
+    holders.copied().collect()
 }
--- a/coordination/src/dispatch/slow_start.rs
+++ b/coordination/src/dispatch/slow_start.rs
@@ -34,10 +34,10 @@
             .filter(|b| b.slow_start.is_some())
         {
             let service = self.table.services.get(&state.listed.service);
-            let pace = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
+            let settings = service.map_or(SlowStartSettings::default(), |s| SlowStartSettings {
                 requests_per_s: s.cold_per_s,
             });
-            state.advance_slow_start(pace, entries, now);
+            state.advance_slow_start(settings, entries, now);
         }
         self.may_have_slow_start = self.backends.values().any(|b| b.slow_start.is_some());
     }
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -197,11 +197,11 @@
 #[test]
 fn an_entry_without_reports_does_not_reach_its_back_ends() {
     let mut fixture = fixture_with_views();
-    assert!(fixture.dispatcher.reaches_backends(fixture.now));
+    assert!(fixture.dispatcher.can_reach_backends(fixture.now));
     fixture.advance(ms(1_500));
-    assert!(!fixture.dispatcher.reaches_backends(fixture.now));
+    assert!(!fixture.dispatcher.can_reach_backends(fixture.now));
     fixture.view(1, view("engines-1", &[]));
-    assert!(fixture.dispatcher.reaches_backends(fixture.now));
+    assert!(fixture.dispatcher.can_reach_backends(fixture.now));
 }
 
 #[test]
--- a/entry/src/ingress/control.rs
+++ b/entry/src/ingress/control.rs
@@ -202,7 +202,7 @@
                 Err(RecvTimeoutError::Timeout) => self.on_event(DispatchEvent::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            let can_reach_backends = self.dispatcher.reaches_backends(clock::now());
+            let can_reach_backends = self.dispatcher.can_reach_backends(clock::now());
             self.can_reach_backends
                 .store(can_reach_backends, Ordering::Relaxed);
             let waiting_count = self.dispatcher.waiting_count();
