--- a/coordination/src/run_once/table.rs
+++ b/coordination/src/run_once/table.rs
@@ -59,14 +59,15 @@
     Duplicate,
 }
 
+/// State of one reserved id.
 #[derive(Debug)]
-struct Row {
+struct IdRecord {
     secret: u64,
     expires: Instant,
     phase: RunPhase,
 }
 
-impl Row {
+impl IdRecord {
     fn phase_at(&self, now: Instant) -> RunPhase {
         match self.phase {
             RunPhase::Reserved if now >= self.expires => RunPhase::NeverRun,
@@ -90,7 +91,7 @@
     settings: RunOnceSettings,
     /// Number of the oldest tracked id.
     floor: u64,
-    rows: VecDeque<Row>,
+    records: VecDeque<IdRecord>,
 }
 
 impl RunOnceTable {
@@ -98,7 +99,7 @@
         Self {
             settings,
             floor: 0,
-            rows: VecDeque::new(),
+            records: VecDeque::new(),
         }
     }
 
@@ -106,10 +107,10 @@
         self.settings.valid_for
     }
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.records.len()
     }
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.records.is_empty()
     }
 
     /// Reserves ids, whose random parts are drawn from `draw_secret`.
@@ -123,14 +124,14 @@
         mut draw_secret: impl FnMut() -> u64,
     ) -> Result<Vec<ReservedId>, RunOnceError> {
         let wanted = count as usize;
-        self.evict_final_rows(wanted, now);
-        if self.rows.len() + wanted > self.settings.capacity {
+        self.evict_final_records(wanted, now);
+        if self.records.len() + wanted > self.settings.capacity {
             return Err(RunOnceError::Full {
                 wanted: count,
                 retry_after: FULL_RETRY_AFTER,
             });
         }
-        let ids = (0..count).map(|_| self.add_row(now, draw_secret()));
+        let ids = (0..count).map(|_| self.add_record(now, draw_secret()));
         Ok(ids.collect())
     }
 
@@ -139,14 +140,14 @@
     /// # Errors
     /// The id is not valid, or its request must not run any more.
     pub fn admit(&mut self, id: &ReservedId, now: Instant) -> Result<Admission, RunOnceError> {
-        let row = self.row_mut(id)?;
-        match row.phase_at(now) {
+        let record = self.record_mut(id)?;
+        match record.phase_at(now) {
             RunPhase::Reserved => {
-                row.phase = RunPhase::Queued;
+                record.phase = RunPhase::Queued;
                 Ok(Admission::First)
             }
-            RunPhase::NeverRun if row.phase == RunPhase::Reserved => {
-                row.phase = RunPhase::NeverRun;
+            RunPhase::NeverRun if record.phase == RunPhase::Reserved => {
+                record.phase = RunPhase::NeverRun;
                 Err(RunOnceError::Expired)
             }
             RunPhase::NeverRun => Err(RunOnceError::Cancelled),
@@ -160,25 +161,25 @@
     /// Marks a request as started and returns whether it may be sent. Has to be called right
     /// before the request is sent to the engine or service.
     pub fn start(&mut self, id: &ReservedId) -> bool {
-        let Ok(row) = self.row_mut(id) else {
+        let Ok(record) = self.record_mut(id) else {
             return false;
         };
-        if row.phase != RunPhase::Queued {
+        if record.phase != RunPhase::Queued {
             return false;
         }
-        row.phase = RunPhase::Started;
+        record.phase = RunPhase::Started;
         true
     }
 
     /// Records the outcome of a started request.
     pub fn finish(&mut self, id: &ReservedId, outcome: Outcome) {
-        let Ok(row) = self.row_mut(id) else {
+        let Ok(record) = self.record_mut(id) else {
             return;
         };
-        if row.phase != RunPhase::Started {
+        if record.phase != RunPhase::Started {
             return;
         }
-        row.phase = match outcome {
+        record.phase = match outcome {
             Outcome::Ran => RunPhase::Completed,
             Outcome::MayHaveRun => RunPhase::OutcomeUnknown,
             Outcome::NotRun => RunPhase::NeverRun,
@@ -188,13 +189,13 @@
     /// Cancels a request that hasn't started, and returns its outcome. After `NotRun` the
     /// request will never run.
     pub fn cancel(&mut self, id: &ReservedId) -> Outcome {
-        let row = match self.row_mut(id) {
-            Ok(row) => row,
+        let record = match self.record_mut(id) {
+            Ok(record) => record,
             Err(e) => return e.outcome(),
         };
-        match row.phase {
+        match record.phase {
             RunPhase::Reserved | RunPhase::Queued | RunPhase::NeverRun => {
-                row.phase = RunPhase::NeverRun;
+                record.phase = RunPhase::NeverRun;
                 Outcome::NotRun
             }
             RunPhase::Started | RunPhase::OutcomeUnknown => Outcome::MayHaveRun,
@@ -208,12 +209,12 @@
     /// The id is not tracked.
     pub fn phase(&self, id: &ReservedId, now: Instant) -> Result<RunPhase, RunOnceError> {
         let index = self.index(id)?;
-        Ok(self.rows[index].phase_at(now))
+        Ok(self.records[index].phase_at(now))
     }
 
-    fn add_row(&mut self, now: Instant, secret: u64) -> ReservedId {
-        let number = self.floor + self.rows.len() as u64;
-        self.rows.push_back(Row {
+    fn add_record(&mut self, now: Instant, secret: u64) -> ReservedId {
+        let number = self.floor + self.records.len() as u64;
+        self.records.push_back(IdRecord {
             secret,
             expires: now + self.settings.valid_for,
             phase: RunPhase::Reserved,
@@ -226,12 +227,16 @@
         }
     }
 
-    fn evict_final_rows(&mut self, wanted: usize, now: Instant) {
-        while self.rows.len() + wanted > self.settings.capacity {
-            if !self.rows.front().is_some_and(|row| row.is_final(now)) {
+    fn evict_final_records(&mut self, wanted: usize, now: Instant) {
+        while self.records.len() + wanted > self.settings.capacity {
+            if !self
+                .records
+                .front()
+                .is_some_and(|record| record.is_final(now))
+            {
                 return;
             }
-            self.rows.pop_front();
+            self.records.pop_front();
             self.floor += 1;
         }
     }
@@ -247,14 +252,14 @@
             return Err(RunOnceError::Forgotten);
         }
         let index = (id.number - self.floor) as usize;
-        match self.rows.get(index) {
-            Some(row) if row.secret == id.secret => Ok(index),
+        match self.records.get(index) {
+            Some(record) if record.secret == id.secret => Ok(index),
             _ => Err(RunOnceError::Unknown),
         }
     }
 
-    fn row_mut(&mut self, id: &ReservedId) -> Result<&mut Row, RunOnceError> {
+    fn record_mut(&mut self, id: &ReservedId) -> Result<&mut IdRecord, RunOnceError> {
         let index = self.index(id)?;
-        Ok(&mut self.rows[index])
+        Ok(&mut self.records[index])
     }
 }
--- a/coordination/src/sidecar/load_table.rs
+++ b/coordination/src/sidecar/load_table.rs
@@ -91,7 +91,8 @@
     pub(super) fn take_stalled(&mut self, request: &str) -> bool {
         self.stalled.remove(request)
     }
-    /// Drops the unloads in progress, after the slots were read behind every earlier order.
+    /// Drops the unloads in progress: the slots were read after the engine accepted a new
+    /// fence, so no earlier order can change them.
     pub(super) fn clear_unloading(&mut self) {
         self.unloading.clear();
     }
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -94,7 +94,7 @@
     fn reject_unstarted(&mut self, request: &RequestId, reserved: bool, mut refusal: Refusal) {
         if reserved {
             refusal.outcome = match request.parse::<ReservedId>() {
-                Ok(id) => self.once.cancel(&id),
+                Ok(id) => self.run_once.cancel(&id),
                 Err(_) => Outcome::NotRun,
             };
         }
@@ -107,7 +107,7 @@
             let refusal = self.refusal(Step::Admission, Reason::UnknownId);
             refusal.with_detail(e.to_string())
         })?;
-        match self.once.admit(&id, now) {
+        match self.run_once.admit(&id, now) {
             Ok(Admission::First) => Ok(()),
             Ok(Admission::Duplicate) => Err(self.repeat_refusal(&id, now)),
             Err(e) => {
@@ -120,7 +120,7 @@
 
     /// Returns the refusal of a repeated request whose response is no longer buffered.
     fn repeat_refusal(&self, id: &ReservedId, now: Instant) -> Refusal {
-        let outcome = match self.once.phase(id, now) {
+        let outcome = match self.run_once.phase(id, now) {
             Ok(RunPhase::Completed) => Outcome::Ran,
             _ => Outcome::MayHaveRun,
         };
@@ -258,10 +258,10 @@
 
     fn reserve(&mut self, count: u32, now: Instant) -> ReserveAnswer {
         let rng = &mut self.rng;
-        match self.once.reserve(count, now, || rng.next_u64()) {
+        match self.run_once.reserve(count, now, || rng.next_u64()) {
             Ok(ids) => ReserveAnswer::Reserved {
                 ids: ids.iter().map(ReservedId::to_string).collect(),
-                valid_for: self.once.valid_for(),
+                valid_for: self.run_once.valid_for(),
             },
             Err(e) => {
                 let mut refusal = self.refusal(Step::Reserve, e.reason());
@@ -283,7 +283,7 @@
             });
         }
         match reserved {
-            Some(id) => self.once.cancel(&id),
+            Some(id) => self.run_once.cancel(&id),
             None if self.runs.contains(request) => Outcome::MayHaveRun,
             None => Outcome::NotRun,
         }
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -221,7 +221,7 @@
 
     fn start_reserved(&mut self, request: &RequestId) -> bool {
         match request.parse::<ReservedId>() {
-            Ok(id) => self.once.start(&id),
+            Ok(id) => self.run_once.start(&id),
             Err(_) => false,
         }
     }
@@ -231,7 +231,7 @@
             return;
         }
         if let Ok(id) = request.parse::<ReservedId>() {
-            self.once.finish(&id, outcome);
+            self.run_once.finish(&id, outcome);
         }
     }
 
--- a/coordination/src/sidecar/sidecar_control.rs
+++ b/coordination/src/sidecar/sidecar_control.rs
@@ -25,7 +25,7 @@
     pub(super) root: Option<Arc<Root>>,
     pub(super) policy: Policy,
     pub(super) rng: SmallRng,
-    pub(super) once: RunOnceTable,
+    pub(super) run_once: RunOnceTable,
     pub(super) queue: FairQueue,
     /// Work orders of the queued requests.
     pub(super) orders: HashMap<RequestId, Box<WorkOrder>>,
@@ -46,7 +46,7 @@
 
 impl SidecarControl {
     pub fn new(settings: SidecarSettings, now: Instant) -> Self {
-        let once = RunOnceSettings {
+        let run_once = RunOnceSettings {
             target: settings.name.clone(),
             incarnation: settings.incarnation,
             capacity: settings.id_capacity,
@@ -60,7 +60,7 @@
         Self {
             root: None,
             rng: SmallRng::seed_from_u64(settings.seed),
-            once: RunOnceTable::new(once),
+            run_once: RunOnceTable::new(run_once),
             queue: FairQueue::new(),
             orders: HashMap::new(),
             slots: SlotTable::new(0, policy.min_residence()),
@@ -194,7 +194,7 @@
                 self.invalidate_engine_state()
             }
         }
-        // the slots are read behind the fence, so that no earlier order can change them
+        // the slots are read under the new fence, so that no earlier order can change them
         self.read_engine();
     }
 
