--- a/coordination/src/backend_admission/equal_share.rs
+++ b/coordination/src/backend_admission/equal_share.rs
@@ -60,7 +60,7 @@
     tokens: f64,
     refilled_at: Instant,
     created_at: Instant,
-    last_sent: Option<Instant>,
+    last_sent_at: Option<Instant>,
 }
 
 impl EqualShare {
@@ -74,7 +74,7 @@
             tokens: phase - 1.0,
             refilled_at: now,
             created_at: now,
-            last_sent: None,
+            last_sent_at: None,
         }
     }
 
@@ -110,7 +110,7 @@
     pub fn on_request_sent(&mut self, now: Instant) {
         self.tokens = self.tokens_at(now) - 1.0;
         self.refilled_at = now;
-        self.last_sent = Some(now);
+        self.last_sent_at = Some(now);
     }
 
     fn is_slotted(&self) -> bool {
@@ -131,7 +131,7 @@
         let interval = self.send_interval().as_secs_f64();
         let elapsed = now.saturating_duration_since(self.created_at).as_secs_f64();
         let into_slot = (elapsed - self.phase * interval).rem_euclid(interval);
-        let has_sent_recently = self.last_sent.is_some_and(|at| {
+        let has_sent_recently = self.last_sent_at.is_some_and(|at| {
             // slots move when the number of entries changes
             now.saturating_duration_since(at).as_secs_f64() < interval / 2.0
         });
--- a/coordination/src/backend_admission/permit_issuer.rs
+++ b/coordination/src/backend_admission/permit_issuer.rs
@@ -22,7 +22,7 @@
     wanted: u32,
     priority: u8,
     received_at: Instant,
-    last_granted: Option<Instant>,
+    last_granted_at: Option<Instant>,
 }
 
 /// Issues permits to send requests to a rate-limited engine.
@@ -57,7 +57,7 @@
             self.tokens -= f64::from(granted);
             if let Some(entry) = self.entries.get_mut(&report.entry) {
                 entry.wanted -= granted;
-                entry.last_granted = Some(now);
+                entry.last_granted_at = Some(now);
             }
             // the grant moves this entry to the end of the order
             ahead = competing - 1;
@@ -77,12 +77,12 @@
         self.entries
             .retain(|_, e| now.saturating_duration_since(e.received_at) < ENTRY_TTL);
         let known = self.entries.get(&report.entry);
-        let last_granted = known.and_then(|known| known.last_granted);
+        let last_granted_at = known.and_then(|known| known.last_granted_at);
         let request = PendingRequest {
             wanted: report.wanted,
             priority: report.priority,
             received_at: now,
-            last_granted,
+            last_granted_at,
         };
         self.entries.insert(report.entry.clone(), request);
     }
@@ -94,7 +94,7 @@
             e.wanted > 0 && now.saturating_duration_since(e.received_at) < REQUEST_VALID_FOR
         });
         let sort_key =
-            |name: &BoxName, e: &PendingRequest| (e.priority, e.last_granted, name.clone());
+            |name: &BoxName, e: &PendingRequest| (e.priority, e.last_granted_at, name.clone());
         let Some(own) = self.entries.get(entry).map(|own| sort_key(entry, own)) else {
             return (0, 0);
         };
--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -181,12 +181,12 @@
         let delay_s = bucket.missing(charge, now) / bounds.steady_per_s;
         let available_at =
             now + Duration::from_secs_f64(delay_s.min(MAX_RETRY_AFTER.as_secs_f64()));
-        let retry_at = bucket.next_retry.max(available_at);
+        let retry_at = bucket.next_retry_at.max(available_at);
         let entry_per_s = bounds.steady_per_s / f64::from(entries.max(1));
         let spacing = Duration::from_secs_f64(
             (charge as f64 / entry_per_s).min(MAX_RETRY_AFTER.as_secs_f64()),
         );
-        bucket.next_retry = (retry_at + spacing).min(now + MAX_RETRY_AFTER);
+        bucket.next_retry_at = (retry_at + spacing).min(now + MAX_RETRY_AFTER);
         let inputs = LimitDecisionInputs {
             level: bucket.fleet_level(now),
             age: bucket.level_age(now),
@@ -299,6 +299,6 @@
 }
 
 fn is_in_use(bucket: &SharedBucket, now: Instant) -> bool {
-    let last_request = bucket.last_request;
-    last_request.is_some_and(|at| now.saturating_duration_since(at) < IN_USE_TIMEOUT)
+    let last_request_at = bucket.last_request_at;
+    last_request_at.is_some_and(|at| now.saturating_duration_since(at) < IN_USE_TIMEOUT)
 }
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -44,7 +44,7 @@
     /// The entry's equal share of the limit, used without an aggregator.
     own_share: TokenBucket,
     /// When a request last arrived.
-    pub(super) last_request: Option<Instant>,
+    pub(super) last_request_at: Option<Instant>,
     /// Units that the entry may still admit of the requests that have arrived while the
     /// level is low.
     credit: f64,
@@ -52,7 +52,7 @@
     /// request each admit their first request at different times.
     phase: f64,
     /// Earliest retry of the next rejected request, so that retries are spread out.
-    pub(super) next_retry: Instant,
+    pub(super) next_retry_at: Instant,
 }
 
 /// Level of an account as returned by an aggregator.
@@ -80,10 +80,10 @@
             reported_to: None,
             received: None,
             own_share,
-            last_request: None,
+            last_request_at: None,
             credit: 0.0,
             phase,
-            next_retry: now,
+            next_retry_at: now,
         }
     }
 
@@ -117,7 +117,7 @@
 
     pub fn record_request(&mut self, charge: u64, now: Instant) {
         self.requested += charge as i64;
-        self.last_request = Some(now);
+        self.last_request_at = Some(now);
     }
 
     /// Charges a request if it may run, and returns whether it may.
--- a/coordination/src/limits/usage_aggregator.rs
+++ b/coordination/src/limits/usage_aggregator.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct EntryState {
     incarnation: Incarnation,
-    last_report: Instant,
+    last_reported_at: Instant,
     /// Last reported counters of each account: units charged and units requested.
     reported: HashMap<AccountFingerprint, (i64, i64)>,
 }
@@ -76,7 +76,7 @@
         let window = Duration::from_millis(u64::from(report.window_ms));
         let entry = self.entries.entry(report.entry);
         let entry = entry.or_insert_with(|| EntryState::new(report.incarnation, now));
-        entry.last_report = now;
+        entry.last_reported_at = now;
         let levels = report.accounts.iter().map(|usage| {
             let account = self.accounts.entry(usage.account);
             let account = account.or_insert_with(|| AccountState::new(usage, window, now));
@@ -108,8 +108,9 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        self.entries
-            .retain(|_, entry| now.saturating_duration_since(entry.last_report) < ENTRY_TIMEOUT);
+        self.entries.retain(|_, entry| {
+            now.saturating_duration_since(entry.last_reported_at) < ENTRY_TIMEOUT
+        });
         if self.entries.is_empty() {
             // entries that return contribute the level that they last knew
             self.accounts.clear();
@@ -121,7 +122,7 @@
     fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             incarnation,
-            last_report: now,
+            last_reported_at: now,
             reported: HashMap::new(),
         }
     }
--- a/coordination/src/limits/window_sum.rs
+++ b/coordination/src/limits/window_sum.rs
@@ -30,6 +30,7 @@
         }
     }
 
+    /// Returns the sum over the window that ends now.
     pub fn get(&self, window: Duration, now: Instant) -> f64 {
         let slots = self.slots.iter();
         let slots = slots.filter(|(since, _)| !is_expired(*since, window, now));
