--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -87,6 +87,7 @@
     pub has_ended: bool,
     discovered_at: Instant,
     pub health: Health,
+    /// Requests of this entry that were sent and haven't ended.
     pub in_flight: u32,
     /// Of these, requests that are suspected of crashing engines.
     crash_suspects: u32,
@@ -416,9 +417,9 @@
     }
     /// Returns the number of prompt tokens that wait for prefill. Of prompts from other
     /// entries only the number is known, so each counts as a typical one.
-    pub fn queued_tokens(&self, typical_prompt: f64, now: Instant) -> f64 {
+    pub fn queued_tokens(&self, typical_prompt_tokens: f64, now: Instant) -> f64 {
         let from_other_entries = self.pending_prefills(now) - self.waiting_prefills;
-        self.waiting_prefill_tokens as f64 + f64::from(from_other_entries) * typical_prompt
+        self.waiting_prefill_tokens as f64 + f64::from(from_other_entries) * typical_prompt_tokens
     }
 
     /// Returns whether its sidecar reported after `at`.
--- a/coordination/src/dispatch/dispatch_request.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -9,7 +9,7 @@
     std::time::{Duration, Instant},
 };
 
-/// Number of a request within one run of an entry.
+/// Identifies a request within one process of an entry.
 pub type Ticket = u64;
 
 /// A request that needs a back end.
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -31,8 +31,11 @@
 #[derive(Debug, Clone)]
 pub struct BackendSummary {
     pub id: BackendId,
+    /// Requests of this entry.
     pub in_flight: u32,
+    /// Requests of all entries that run or wait there.
     pub occupied: u32,
+    /// Number of adapters that its sidecar reports as loaded.
     pub held: usize,
     pub failure_rate: f64,
 }
--- a/coordination/src/dispatch/event.rs
+++ b/coordination/src/dispatch/event.rs
@@ -96,6 +96,7 @@
         backend: BackendId,
         stats: EngineStats,
     },
+    /// The link to the sidecar of an engine was lost.
     ViewLost(BackendId),
     /// A demand was sent to the sidecar of the engine at this address, and reached it if
     /// `is_accepted`.
--- a/coordination/src/dispatch/fleet_size.rs
+++ b/coordination/src/dispatch/fleet_size.rs
@@ -21,6 +21,7 @@
             self.highest = Some((entries, now));
         }
     }
+    /// Returns the number of entries, `None` until a sidecar reports it.
     pub fn entries(&self) -> Option<u32> {
         self.highest.map(|(entries, _)| entries)
     }
--- a/coordination/src/dispatch/homes.rs
+++ b/coordination/src/dispatch/homes.rs
@@ -63,6 +63,7 @@
         let loading = candidates.iter().filter(|b| b.is_loading(adapter));
         let mut homes: Vec<BackendId> = loading.map(|b| b.listed.id.clone()).collect();
         let ranked = self.rank_homes(adapter, &candidates, now);
+        // a request that still waits after a timeout tries the next engine in the order
         let waited = now.saturating_duration_since(request.arrived_at);
         let skip = (waited.as_millis() / PENDING_LOAD_TIMEOUT.as_millis()) as usize;
         let start = skip % ranked.len().max(1);
--- a/coordination/src/dispatch/prefill_rate.rs
+++ b/coordination/src/dispatch/prefill_rate.rs
@@ -16,15 +16,15 @@
     /// In tokens per ms, of prompts that were prefilled alone.
     samples: VecDeque<f64>,
     median: Option<f64>,
-    typical_prompt: Option<f64>,
+    typical_prompt_tokens: Option<f64>,
 }
 
 impl PrefillRate {
     /// Handles a prompt that was sent.
     pub fn on_sent(&mut self, prompt_tokens: u32) {
         let tokens = f64::from(prompt_tokens);
-        let mean = self.typical_prompt.unwrap_or(tokens);
-        self.typical_prompt = Some(mean + (tokens - mean) * PROMPT_AVERAGE_WEIGHT);
+        let mean = self.typical_prompt_tokens.unwrap_or(tokens);
+        self.typical_prompt_tokens = Some(mean + (tokens - mean) * PROMPT_AVERAGE_WEIGHT);
     }
     /// Adds a prompt whose first token came after `ms`, with no other prefill at its engine
     /// when it was sent.
@@ -49,7 +49,7 @@
         self.median
     }
     /// Returns the moving average of prompt sizes in tokens, once there is one.
-    pub fn typical_prompt(&self) -> Option<f64> {
-        self.typical_prompt
+    pub fn typical_prompt_tokens(&self) -> Option<f64> {
+        self.typical_prompt_tokens
     }
 }
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -16,6 +16,7 @@
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
+    /// Keeps a request waiting, or rejects it if it can't be served within its maximum wait.
     pub(super) fn wait_or_reject(
         &mut self,
         ticket: Ticket,
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -386,7 +386,7 @@
     pub(super) fn queue_ms(&self, state: &BackendState, now: Instant) -> f64 {
         let service = &state.listed.service;
         let typical = match self.settings.features.prompts_of_all {
-            true => self.typical_prompt(service),
+            true => self.typical_prompt_tokens(service),
             false => 0.0,
         };
         state.queued_tokens(typical, now) / self.tokens_per_ms(service)
@@ -409,11 +409,11 @@
         observed.unwrap_or(self.settings.default_tokens_per_ms)
     }
 
-    fn typical_prompt(&self, service: &ServiceName) -> f64 {
+    fn typical_prompt_tokens(&self, service: &ServiceName) -> f64 {
         let observed = self
             .prefill_rates
             .get(service)
-            .and_then(|r| r.typical_prompt());
+            .and_then(|r| r.typical_prompt_tokens());
         observed.unwrap_or(DEFAULT_PROMPT_TOKENS)
     }
 
--- a/coordination/src/relay/published_cache.rs
+++ b/coordination/src/relay/published_cache.rs
@@ -11,7 +11,8 @@
     },
 };
 
-/// Removed back ends that are remembered, so that entries receive the removal.
+/// Maximum number of removed back ends that are remembered, so that entries receive their
+/// removal.
 const MAX_REMOVED_BACKENDS: usize = 2_000;
 
 /// The key of a record; a later record with the same key replaces it.
--- a/coordination/src/relay/relay_selector.rs
+++ b/coordination/src/relay/relay_selector.rs
@@ -90,8 +90,8 @@
         healthy.next().copied()
     }
 
-    /// Returns the engines in the zone's order: those of this zone first, each part ranked
-    /// by rendezvous hash.
+    /// Returns the engines in the zone's order: those of this zone first, then the
+    /// others, both ranked by rendezvous hash.
     fn rank(&self, candidates: &[RelayCandidate]) -> Vec<SocketAddr> {
         let mut ranked: Vec<_> = candidates
             .iter()
--- a/coordination/src/relay/relay_state.rs
+++ b/coordination/src/relay/relay_state.rs
@@ -142,7 +142,7 @@
     /// Returns the update to send to all entries and marks it as sent.
     pub fn take_update(&mut self, now: Instant) -> RelayUpdate {
         let removed = std::mem::take(&mut self.unsent_removals);
-        let mut news: Vec<EngineUpdate> = removed.into_iter().map(removal).collect();
+        let mut news: Vec<EngineUpdate> = removed.into_iter().map(removal_update).collect();
         for addr in std::mem::take(&mut self.unsent_views) {
             let Some(engine) = self.engines.get_mut(&addr) else {
                 continue;
@@ -212,7 +212,7 @@
     }
 }
 
-fn removal(engine: SocketAddr) -> EngineUpdate {
+fn removal_update(engine: SocketAddr) -> EngineUpdate {
     EngineUpdate {
         engine,
         age_ms: 0,
--- a/coordination/src/routing/target_table.rs
+++ b/coordination/src/routing/target_table.rs
@@ -163,7 +163,8 @@
         .collect()
 }
 
-/// `adapter_hash` is the hash of the adapter's version, `None` for a plain service.
+/// Returns a target as a candidate; `adapter_hash` is the hash of the adapter's version, `None`
+/// for a plain service.
 fn new_candidate<'t>(target: &'t Target, zone: &str, adapter_hash: Option<u64>) -> Candidate<'t> {
     let is_loaded = adapter_hash.is_none_or(|hash| target.has_loaded(hash));
     let is_same_zone = target.listed.zone == zone;
--- a/coordination/src/watch/watch_pacing.rs
+++ b/coordination/src/watch/watch_pacing.rs
@@ -1,7 +1,7 @@
 use {super::WatchTimes, crate::retry::Backoff, std::time::Duration};
 
-/// Time for the store's response. It covers a store at its slowest documented speed (60 times
-/// 4 ms) with a margin.
+/// Time allowed for the store's response; covers the slowest documented speed of the store
+/// with a margin.
 const RESPONSE_TIME: Duration = Duration::from_millis(700);
 /// Fraction of the change delay for which the store may hold a call.
 const HOLD_FRACTION: f64 = 0.45;
