--- a/coordination/tests/account_turns.rs
+++ b/coordination/tests/account_turns.rs
@@ -14,16 +14,16 @@
 
 /// Returns the units served per account while all accounts have queued requests; `sizes` are
 /// the sizes of the accounts' requests.
-fn served(sizes: &[u32]) -> HashMap<u64, u64> {
-    let mut turns = AccountFairQueueing::default();
+fn units_served(sizes: &[u32]) -> HashMap<u64, u64> {
+    let mut queueing = AccountFairQueueing::default();
     let mut waiting = BTreeSet::new();
     let mut number = 0;
-    let mut had: HashMap<u64, u64> = HashMap::new();
-    let mut put =
-        |turns: &mut AccountFairQueueing, waiting: &mut BTreeSet<_>, account: u64, size| {
+    let mut units: HashMap<u64, u64> = HashMap::new();
+    let mut enqueue =
+        |queueing: &mut AccountFairQueueing, waiting: &mut BTreeSet<_>, account: u64, size| {
             number += 1;
             waiting.insert((
-                turns.next_start_tag(Some(account), size),
+                queueing.next_start_tag(Some(account), size),
                 number,
                 account,
                 size,
@@ -31,18 +31,18 @@
         };
     for (account, size) in sizes.iter().enumerate() {
         for _ in 0..BACKLOG {
-            put(&mut turns, &mut waiting, account as u64, *size);
+            enqueue(&mut queueing, &mut waiting, account as u64, *size);
         }
     }
     for _ in 0..SERVED {
         let Some((begin, _, account, size)) = waiting.pop_first() else {
             break;
         };
-        turns.on_served(begin);
-        *had.entry(account).or_default() += u64::from(size);
-        put(&mut turns, &mut waiting, account, size);
+        queueing.on_served(begin);
+        *units.entry(account).or_default() += u64::from(size);
+        enqueue(&mut queueing, &mut waiting, account, size);
     }
-    had
+    units
 }
 
 fn parts_are_even(sizes: Vec<u16>) -> bool {
@@ -51,12 +51,12 @@
         .take(6)
         .map(|size| u32::from(*size) + 1)
         .collect();
-    let had = served(&sizes);
+    let units = units_served(&sizes);
     let largest = u64::from(sizes.iter().copied().max().unwrap_or(0));
-    let most = had.values().copied().max().unwrap_or(0);
-    let all_had = (0..sizes.len() as u64).map(|a| had.get(&a).copied().unwrap_or(0));
+    let max_units = units.values().copied().max().unwrap_or(0);
+    let all_units = (0..sizes.len() as u64).map(|a| units.get(&a).copied().unwrap_or(0));
     // the difference is at most two of the largest requests
-    all_had.min().unwrap_or(0) + 2 * largest >= most
+    all_units.min().unwrap_or(0) + 2 * largest >= max_units
 }
 
 #[test]
@@ -68,16 +68,19 @@
 
 #[test]
 fn a_small_account_is_served_before_the_rest_of_a_flood() {
-    let mut turns = AccountFairQueueing::default();
+    let mut queueing = AccountFairQueueing::default();
     let flood: Vec<u64> = (0..100)
-        .map(|_| turns.next_start_tag(Some(1), 1_000))
+        .map(|_| queueing.next_start_tag(Some(1), 1_000))
         .collect();
-    turns.on_served(flood[10]);
-    let late = turns.next_start_tag(Some(2), 1_000);
+    queueing.on_served(flood[10]);
+    let late = queueing.next_start_tag(Some(2), 1_000);
     assert!(late < flood[12], "{late}");
     // requests that left the queue unserved are not charged to their account
-    (0..100).for_each(|_| turns.on_withdrawn(Some(1), 1_000));
-    assert!(turns.next_start_tag(Some(1), 1_000) <= late);
+    (0..100).for_each(|_| queueing.on_withdrawn(Some(1), 1_000));
+    assert!(queueing.next_start_tag(Some(1), 1_000) <= late);
     // requests without an account are served in order of arrival
-    assert_eq!(turns.next_start_tag(None, 5), turns.next_start_tag(None, 5));
+    assert_eq!(
+        queueing.next_start_tag(None, 5),
+        queueing.next_start_tag(None, 5)
+    );
 }
--- a/coordination/tests/allowed_regions.rs
+++ b/coordination/tests/allowed_regions.rs
@@ -48,7 +48,7 @@
     }
 }
 
-fn of_each_region(service: &str) -> Vec<Backend> {
+fn backends_of_each_region(service: &str) -> Vec<Backend> {
     let numbered = (1..).zip(REGIONS);
     numbered.map(|(n, r)| in_region(service, n, r)).collect()
 }
@@ -56,10 +56,10 @@
 /// Guards against serving a request in a region that its route doesn't allow.
 #[test]
 fn a_restricted_request_is_sent_to_its_regions_only() {
-    let mut fixture = fixture(of_each_region(PLAIN));
+    let mut fixture = fixture(backends_of_each_region(PLAIN));
     for ticket in 0..20 {
-        let ask = bound(&fixture, PLAIN, None, &["south"]);
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)), ["plain-3"]);
+        let request = bound(&fixture, PLAIN, None, &["south"]);
+        assert_eq!(sent_to(&fixture.submit(ticket, request)), ["plain-3"]);
         fixture.end(ticket, SendOutcome::Answered);
     }
 }
@@ -68,18 +68,18 @@
 /// fail or are full.
 #[test]
 fn it_is_rejected_at_once_if_its_regions_have_no_back_end() {
-    let mut fixture = fixture(of_each_region(PLAIN));
-    let ask = bound(&fixture, PLAIN, None, &["south"]);
-    fixture.submit(1, ask);
+    let mut fixture = fixture(backends_of_each_region(PLAIN));
+    let request = bound(&fixture, PLAIN, None, &["south"]);
+    fixture.submit(1, request);
     fixture.end(1, SendOutcome::Unreachable);
     // a back end in back-off is tried if no other is allowed
-    let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert_eq!(sent_to(&fixture.submit(2, ask)), ["plain-3"]);
+    let request = bound(&fixture, PLAIN, None, &["south"]);
+    assert_eq!(sent_to(&fixture.submit(2, request)), ["plain-3"]);
     fixture.end(2, SendOutcome::Answered);
-    fixture.update_list(of_each_region(PLAIN).into_iter().take(2).collect());
+    fixture.update_list(backends_of_each_region(PLAIN).into_iter().take(2).collect());
     for regions in [&["south"][..], &["nowhere"][..]] {
-        let ask = bound(&fixture, PLAIN, None, regions);
-        let decided = fixture.submit(3, ask);
+        let request = bound(&fixture, PLAIN, None, regions);
+        let decided = fixture.submit(3, request);
         let cause = decided.iter().map(|(_, decision)| match decision {
             Decision::Reject { cause, .. } => *cause,
             Decision::Send(to) => panic!("sent to {}", to.backend),
@@ -91,43 +91,43 @@
 /// Guards against ignoring the restriction for retries and queued requests.
 #[test]
 fn retries_and_queued_requests_are_restricted() {
-    let mut fixture = fixture(of_each_region(PLAIN));
+    let mut fixture = fixture(backends_of_each_region(PLAIN));
     let repeat = DispatchRequest {
         send_count: 1,
         tried_backends: vec!["plain-3".into()],
         ..bound(&fixture, PLAIN, None, &["south"])
     };
     assert!(sent_to(&fixture.submit(1, repeat)).is_empty());
-    let mut full = of_each_region(PLAIN);
+    let mut full = backends_of_each_region(PLAIN);
     full[2].slots = 0;
     fixture.update_list(full);
-    let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert!(fixture.submit(2, ask).is_empty());
+    let request = bound(&fixture, PLAIN, None, &["south"]);
+    assert!(fixture.submit(2, request).is_empty());
     assert!(sent_to(&fixture.advance(ms(25))).is_empty());
 }
 
 /// Guards against loading adapters in regions that may not serve their requests.
 #[test]
 fn adapters_are_loaded_in_the_allowed_regions() {
-    let mut fixture = fixture(of_each_region(ENGINES));
+    let mut fixture = fixture(backends_of_each_region(ENGINES));
     for number in 1..=3 {
         fixture.view(number, view(&format!("engines-{number}"), &[]));
     }
-    let ask = bound(&fixture, ENGINES, Some("a"), &["middle"]);
-    fixture.submit(1, ask);
+    let request = bound(&fixture, ENGINES, Some("a"), &["middle"]);
+    fixture.submit(1, request);
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
 /// Guards against a load request of one region that replaces that of another.
 #[test]
 fn two_regions_request_the_same_adapter() {
-    let mut fixture = fixture(of_each_region(ENGINES));
+    let mut fixture = fixture(backends_of_each_region(ENGINES));
     for number in 1..=3 {
         fixture.view(number, view(&format!("engines-{number}"), &[]));
     }
     for (ticket, region) in [(1, "middle"), (2, "south"), (3, "middle")] {
-        let ask = bound(&fixture, ENGINES, Some("a"), &[region]);
-        fixture.submit(ticket, ask);
+        let request = bound(&fixture, ENGINES, Some("a"), &[region]);
+        fixture.submit(ticket, request);
     }
     let homes: BTreeSet<String> = fixture.homes("a").into_iter().collect();
     assert!(
@@ -139,13 +139,13 @@
 /// Guards against not loading an adapter because an engine in another region holds it.
 #[test]
 fn a_holder_in_another_region_does_not_count() {
-    let mut fixture = fixture(of_each_region(ENGINES));
+    let mut fixture = fixture(backends_of_each_region(ENGINES));
     fixture.view(1, view("engines-1", &[("a", 1)]));
     for number in 2..=3 {
         fixture.view(number, view(&format!("engines-{number}"), &[]));
     }
-    let ask = bound(&fixture, ENGINES, Some("a"), &["south"]);
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = bound(&fixture, ENGINES, Some("a"), &["south"]);
+    assert!(fixture.submit(1, request).is_empty());
     assert_eq!(fixture.homes("a"), ["engines-3"]);
 }
 
@@ -153,10 +153,10 @@
 #[test]
 fn a_zone_without_a_known_region_serves_unrestricted_requests_only() {
     let mut fixture = fixture(vec![in_region(PLAIN, 1, "new-zone")]);
-    let ask = bound(&fixture, PLAIN, None, &["north"]);
-    assert!(sent_to(&fixture.submit(1, ask)).is_empty());
-    let ask = fixture.new_request(PLAIN, None);
-    assert_eq!(sent_to(&fixture.submit(2, ask)), ["plain-1"]);
+    let request = bound(&fixture, PLAIN, None, &["north"]);
+    assert!(sent_to(&fixture.submit(1, request)).is_empty());
+    let request = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(2, request)), ["plain-1"]);
 }
 
 #[test]
@@ -173,7 +173,7 @@
     assert_eq!(only(&[]), any);
 }
 
-fn drawn(mask: u8) -> Vec<&'static str> {
+fn regions_of_mask(mask: u8) -> Vec<&'static str> {
     let bits = (0..3).filter(|bit| mask >> bit & 1 == 1);
     bits.map(|bit| REGIONS[bit]).collect()
 }
@@ -191,7 +191,7 @@
         }).collect();
         // reference model: sets of region names
         let set = |mask: u8| -> HashSet<&str> {
-            let names = drawn(mask);
+            let names = regions_of_mask(mask);
             if names.is_empty() { REGIONS.into() } else { names.into_iter().collect() }
         };
         let allowed: HashSet<&str> = set(route % 8).intersection(&set(account % 8)).copied().collect();
@@ -199,11 +199,11 @@
             .filter(|b| !b.leaving && allowed.contains(b.zone.as_str()))
             .map(|b| b.id.to_string()).collect();
         let mut fixture = fixture(list);
-        let ask = DispatchRequest {
-            allowed_regions: only(&drawn(route % 8)).intersection(&only(&drawn(account % 8))),
+        let request = DispatchRequest {
+            allowed_regions: only(&regions_of_mask(route % 8)).intersection(&only(&regions_of_mask(account % 8))),
             ..fixture.new_request(PLAIN, None)
         };
-        let sent = sent_to(&fixture.submit(1, ask));
+        let sent = sent_to(&fixture.submit(1, request));
         let is_right = match sent.first() {
             Some(to) => sound.contains(to),
             None => sound.is_empty(),
@@ -215,10 +215,10 @@
 /// Guards against using an evacuated zone as the last resort.
 #[test]
 fn an_evacuated_zone_is_not_used() {
-    let mut fixture = fixture(of_each_region(PLAIN));
+    let mut fixture = fixture(backends_of_each_region(PLAIN));
     fixture.handle(DispatchEvent::ZonesEvacuated(HashSet::from([
         "south".to_string()
     ])));
-    let ask = bound(&fixture, PLAIN, None, &["south"]);
-    assert!(sent_to(&fixture.submit(1, ask)).is_empty());
+    let request = bound(&fixture, PLAIN, None, &["south"]);
+    assert!(sent_to(&fixture.submit(1, request)).is_empty());
 }
--- a/coordination/tests/cold_engines.rs
+++ b/coordination/tests/cold_engines.rs
@@ -51,8 +51,8 @@
     let mut sent = 0;
     for step in 0..time.as_millis() as u64 / 10 {
         let ticket = first + step;
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        let decided = fixture.submit(ticket, ask);
+        let request = fixture.new_request(ENGINES, Some("a"));
+        let decided = fixture.submit(ticket, request);
         sent += sent_to(&decided).len();
         fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
@@ -114,15 +114,18 @@
         let names = names.iter().map(|name| name.to_string());
         DispatchEvent::ZonesEvacuated(names.collect::<HashSet<String>>())
     };
-    let ask = |fixture: &mut Fixture, ticket: u64| {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        sent_to(&fixture.submit(ticket, ask))
+    let send_request = |fixture: &mut Fixture, ticket: u64| {
+        let request = fixture.new_request(ENGINES, Some("a"));
+        sent_to(&fixture.submit(ticket, request))
     };
-    assert_eq!(ask(&mut fixture, 1), ["engines-1"]);
+    assert_eq!(send_request(&mut fixture, 1), ["engines-1"]);
     fixture.handle(zones(&["z"]));
-    assert_eq!(ask(&mut fixture, 2), ["engines-2"]);
+    assert_eq!(send_request(&mut fixture, 2), ["engines-2"]);
     fixture.handle(zones(&["z", "y"]));
-    assert!(ask(&mut fixture, 3).is_empty(), "the request waits");
+    assert!(
+        send_request(&mut fixture, 3).is_empty(),
+        "the request waits"
+    );
     let decided = fixture.handle(zones(&["y"]));
     assert_eq!(
         sent_to(&decided),
--- a/coordination/tests/crashes.rs
+++ b/coordination/tests/crashes.rs
@@ -21,7 +21,7 @@
 
 const ENGINE: &str = "engines-1";
 
-fn ask_of(fixture: &Fixture, body: &str) -> DispatchRequest {
+fn request_of(fixture: &Fixture, body: &str) -> DispatchRequest {
     DispatchRequest {
         digest: digest(body),
         ..fixture.new_request(ENGINES, Some("a"))
@@ -33,13 +33,13 @@
     let mut fixture = Fixture::new(vec![backend(ENGINES, 1)]);
     fixture.view(1, view(ENGINE, &[("a", 1)]));
     for (ticket, body) in bodies.iter().enumerate() {
-        let ask = ask_of(&fixture, body);
-        assert_eq!(sent_to(&fixture.submit(ticket as u64, ask)), [ENGINE]);
+        let request = request_of(&fixture, body);
+        assert_eq!(sent_to(&fixture.submit(ticket as u64, request)), [ENGINE]);
     }
     fixture
 }
 
-fn down(mut view: EngineView) -> EngineView {
+fn with_engine_down(mut view: EngineView) -> EngineView {
     view.figures.is_down = Some(true);
     view
 }
@@ -71,7 +71,7 @@
     type Confirmation = (&'static str, fn(&mut Fixture));
     let confirmations: [Confirmation; 5] = [
         ("its sidecar can't connect to it", |f| {
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
         ("its sidecar reads another incarnation", |f| {
             f.view(1, view("engines-1-later", &[]));
@@ -81,16 +81,16 @@
             f.update_list(Vec::new());
         }),
         ("another incarnation responds at its address", |f| {
-            let ask = ask_of(f, "third");
-            f.submit(9, ask);
+            let request = request_of(f, "third");
+            f.submit(9, request);
             f.end(9, SendOutcome::Superseded);
         }),
         (
             "its end was reported before the runs were interrupted",
             |f| {
-                f.view(1, down(view(ENGINE, &[("a", 1)])));
-                let ask = ask_of(f, "one");
-                f.submit(9, ask);
+                f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
+                let request = request_of(f, "one");
+                f.submit(9, request);
             },
         ),
     ];
@@ -116,25 +116,25 @@
             f.advance(ms(1_100));
             f.view(1, view(ENGINE, &[("a", 1)]));
             f.advance(ms(100));
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
         ("a failure with a complete response", |f| {
             f.end(0, SendOutcome::Failed);
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
         ("a client that disconnected", |f| {
             f.end(0, SendOutcome::Abandoned);
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
         ("a planned shutdown", |f| {
             f.update_list(vec![leaving()]);
             f.end(0, SendOutcome::Broken);
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
         ("an end long after the interruption", |f| {
             f.end(0, SendOutcome::Broken);
             f.advance(ms(6_000));
-            f.view(1, down(view(ENGINE, &[("a", 1)])));
+            f.view(1, with_engine_down(view(ENGINE, &[("a", 1)])));
         }),
     ];
     for (name, step) in steps {
@@ -158,7 +158,7 @@
     fixture.view(1, without_state());
     assert_eq!(suspected(&mut fixture), []);
     // a later report shows it
-    fixture.view(1, down(without_state()));
+    fixture.view(1, with_engine_down(without_state()));
     assert_eq!(suspected(&mut fixture), [digest("one")]);
 }
 
@@ -167,7 +167,7 @@
 fn two_suspected_requests_do_not_run_concurrently() {
     let suspected = |fixture: &Fixture, body: &str| DispatchRequest {
         is_crash_suspect: true,
-        ..ask_of(fixture, body)
+        ..request_of(fixture, body)
     };
     let mut fixture = with_runs(&["clear"]);
     let cause = suspected(&fixture, "cause");
@@ -181,7 +181,7 @@
         fixture.submit(12, innocent).is_empty(),
         "waits for the other suspected request"
     );
-    let other = ask_of(&fixture, "other");
+    let other = request_of(&fixture, "other");
     assert_eq!(
         sent_to(&fixture.submit(13, other)),
         [ENGINE],
@@ -298,7 +298,7 @@
 }
 
 /// Reference model: the crashed incarnations of each request since its last completed run.
-fn reference(events: &[Event]) -> BTreeMap<u8, BTreeSet<u8>> {
+fn expected_crashes(events: &[Event]) -> BTreeMap<u8, BTreeSet<u8>> {
     let of = |body: u8| events.iter().filter(move |e| e.body == body);
     let crashed = |body: u8| {
         let completed = of(body).filter(|e| e.incarnation.is_none());
@@ -341,7 +341,7 @@
 fn registries_with_the_same_reports_reach_the_same_verdicts() {
     fn property(events: Vec<Event>, cut: usize) -> bool {
         let events = with_one_crash_per_incarnation(events);
-        let expected = reference(&events);
+        let expected = expected_crashes(&events);
         let now = Instant::now();
         let reports: Vec<CrashReport> = events.iter().map(report_of).collect();
         let reversed: Vec<CrashReport> = reports.iter().rev().copied().collect();
--- a/coordination/tests/dispatch.rs
+++ b/coordination/tests/dispatch.rs
@@ -374,11 +374,11 @@
     // frees a slot without the end of a request
     let mut list = engines();
     list[0].slots = 5;
-    let figures = DispatchEvent::StatsReceived {
+    let stats_event = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
         stats: EngineStats::default(),
     };
-    fixture.handle(figures);
+    fixture.handle(stats_event);
     let request = fixture.new_request(ENGINES, Some("a"));
     assert!(fixture.submit(6, request).is_empty());
     fixture.update_list(list);
--- a/coordination/tests/dispatch_listing.rs
+++ b/coordination/tests/dispatch_listing.rs
@@ -208,21 +208,21 @@
 fn stats_alone_affect_the_next_decision_but_trigger_none() {
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
-    let figures = |running| DispatchEvent::StatsReceived {
+    let stats_event = |running| DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
         stats: EngineStats {
             running,
             ..view("engines-1", &[]).figures
         },
     };
-    assert!(fixture.handle(figures(4)).is_empty());
+    assert!(fixture.handle(stats_event(4)).is_empty());
     let request = fixture.new_request(ENGINES, Some("a"));
     assert!(
         fixture.submit(1, request).is_empty(),
         "all four slots are taken"
     );
     assert!(
-        fixture.handle(figures(0)).is_empty(),
+        fixture.handle(stats_event(0)).is_empty(),
         "not before the next tick"
     );
     assert_eq!(sent_to(&fixture.advance(ms(25))), ["engines-1"]);
@@ -233,11 +233,11 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     fixture.handle(DispatchEvent::ViewLost("engines-1".into()));
-    let figures = DispatchEvent::StatsReceived {
+    let stats_event = DispatchEvent::StatsReceived {
         backend: "engines-1".into(),
         stats: EngineStats::default(),
     };
-    fixture.handle(figures);
+    fixture.handle(stats_event);
     let request = fixture.new_request(ENGINES, Some("a"));
     assert!(fixture.submit(1, request).is_empty());
 }
--- a/coordination/tests/limit_fleet.rs
+++ b/coordination/tests/limit_fleet.rs
@@ -87,12 +87,12 @@
         self.1 += 1;
         rendezvous_weight(self.0, self.1)
     }
-    fn below(&mut self, bound: u64) -> u64 {
+    fn next_below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
     /// Returns true on average once in so many calls.
     fn once_in(&mut self, calls: u64) -> bool {
-        self.below(calls) == 0
+        self.next_below(calls) == 0
     }
 }
 
@@ -194,7 +194,7 @@
         }
         self.sent += 1;
         let delay = 1 + match self.has_faults && self.random.once_in(20) {
-            true => self.random.below(12),
+            true => self.random.next_below(12),
             false => 0,
         };
         self.in_transit
@@ -239,23 +239,23 @@
     fn inject_faults(&mut self) {
         let (step, entries) = (self.step, self.entries.len() as u64);
         if self.random.once_in(80) {
-            let entry = self.random.below(entries) as usize;
-            self.entries[entry].cut_until = step + self.random.below(300);
+            let entry = self.random.next_below(entries) as usize;
+            self.entries[entry].cut_until = step + self.random.next_below(300);
         }
         if self.random.once_in(80) {
-            let entry = self.random.below(entries) as usize;
-            self.entries[entry].frozen_until = step + self.random.below(200);
+            let entry = self.random.next_below(entries) as usize;
+            self.entries[entry].frozen_until = step + self.random.next_below(200);
         }
         if self.random.once_in(240) {
-            let entry = self.random.below(entries) as usize;
+            let entry = self.random.next_below(entries) as usize;
             let incarnation = self.random.next();
             let now = self.now();
             self.entries[entry] = Entry::new(entry, incarnation, step, now);
             self.known_version[entry] = 0;
         }
         if self.random.once_in(60) {
-            let aggregator = self.random.below(u64::from(AGGREGATORS)) as usize;
-            let dead_until = step + self.random.below(160);
+            let aggregator = self.random.next_below(u64::from(AGGREGATORS)) as usize;
+            let dead_until = step + self.random.next_below(160);
             let incarnation = self.random.next();
             if let Some(row) = self.aggregators.values_mut().nth(aggregator) {
                 *row = (UsageAggregator::new(incarnation), dead_until);
@@ -352,10 +352,10 @@
     fn serve(&mut self, number: usize) {
         let now = self.now();
         for (account, (per_s, part)) in ACCOUNTS.into_iter().enumerate() {
-            let units = UNITS[self.random.below(3) as usize];
+            let units = UNITS[self.random.next_below(3) as usize];
             let mean = UNITS.iter().sum::<u64>() as f64 / UNITS.len() as f64;
             let each_step = per_s * part * STEP.as_secs_f64() / mean / self.entries.len() as f64;
-            let draw = self.random.below(1_000_000) as f64 / 1e6;
+            let draw = self.random.next_below(1_000_000) as f64 / 1e6;
             let count = each_step as u64 + u64::from(draw < each_step.fract());
             let entry = &mut self.entries[number];
             let (fingerprint, limit) = limit_of(account);
--- a/coordination/tests/limits.rs
+++ b/coordination/tests/limits.rs
@@ -143,10 +143,10 @@
     );
     // the overuse is reported now, so all entries have to wait
     exchange_report(&mut limiters[3], &mut aggregator, now);
-    let rest = exhaust(&mut limiters[3], now);
+    let remaining_units = exhaust(&mut limiters[3], now);
     assert!(
-        units + rest >= 1_000,
-        "less than the burst: {units} and {rest}"
+        units + remaining_units >= 1_000,
+        "less than the burst: {units} and {remaining_units}"
     );
     limiters[3].refund(account().fingerprint, 0, now);
     exchange_report(&mut limiters[3], &mut aggregator, now);
--- a/coordination/tests/mechanisms.rs
+++ b/coordination/tests/mechanisms.rs
@@ -70,11 +70,11 @@
         let decided = match kind % 4 {
             0 | 1 => {
                 let name = format!("a{}", value % 6);
-                let mut ask = self.fixture.new_request(ENGINES, Some(&name));
-                ask.prompt_tokens = 100 * u32::from(value);
+                let mut request = self.fixture.new_request(ENGINES, Some(&name));
+                request.prompt_tokens = 100 * u32::from(value);
                 self.next += 1;
                 self.waiting.insert(self.next, name);
-                self.fixture.submit(self.next, ask)
+                self.fixture.submit(self.next, request)
             }
             2 => self.end_one(value),
             _ => {
--- a/coordination/tests/named_limits.rs
+++ b/coordination/tests/named_limits.rs
@@ -35,17 +35,17 @@
 }
 
 /// Delivers the signals of a response that arrives now, to a request sent at `sent`.
-fn receive_signals(fixture: &mut Fixture, backend: &str, word: BackendSignals, sent: Instant) {
+fn receive_signals(fixture: &mut Fixture, backend: &str, signals: BackendSignals, sent: Instant) {
     let backend = BackendId::from(backend);
     fixture.handle(DispatchEvent::SignalReceived {
         backend,
-        signal: word,
+        signal: signals,
         sent_at: sent,
     });
 }
-fn receive_signals_now(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
+fn receive_signals_now(fixture: &mut Fixture, backend: &str, signals: BackendSignals) {
     let sent = fixture.now;
-    receive_signals(fixture, backend, word, sent);
+    receive_signals(fixture, backend, signals, sent);
 }
 
 fn two_plain() -> Vec<Backend> {
@@ -68,8 +68,8 @@
     let mut sent = 0;
     for step in 0..(time.as_millis() / STEP.as_millis()) as u64 {
         let ticket = first + step;
-        let ask = fixture.new_request(PLAIN, None);
-        let decided = fixture.submit(ticket, ask);
+        let request = fixture.new_request(PLAIN, None);
+        let decided = fixture.submit(ticket, request);
         sent += sent_to(&decided).iter().filter(|b| *b == backend).count();
         fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
@@ -140,8 +140,8 @@
     let mut sent = 0;
     for ticket in 0..800 {
         fixture.now += STEP;
-        let ask = fixture.new_request(PLAIN, None);
-        sent += sent_to(&fixture.submit(ticket, ask)).len();
+        let request = fixture.new_request(PLAIN, None);
+        sent += sent_to(&fixture.submit(ticket, request)).len();
         fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
         fixture.end(ticket, SendOutcome::Answered);
     }
@@ -169,8 +169,8 @@
     receive_signals_now(&mut fixture, "plain-1", limited(1.0));
     let mut rejected = Vec::new();
     for ticket in 0..4 {
-        let ask = fixture.new_request(PLAIN, None);
-        rejected.extend(refusals(&fixture.submit(ticket, ask)));
+        let request = fixture.new_request(PLAIN, None);
+        rejected.extend(refusals(&fixture.submit(ticket, request)));
     }
     assert!(rejected
         .iter()
@@ -188,8 +188,8 @@
     receive_signals_now(&mut fixture, "plain-1", limited(4.0));
     fixture.advance(ms(2_000));
     for ticket in 0..2 {
-        let ask = fixture.new_request(PLAIN, None);
-        let decided = fixture.submit(ticket, ask);
+        let request = fixture.new_request(PLAIN, None);
+        let decided = fixture.submit(ticket, request);
         assert!(refusals(&decided).is_empty(), "{decided:?}");
     }
     // one is sent at once, the other after a quarter of a second
@@ -205,10 +205,10 @@
     let mut fixture = single_entry_fixture(vec![backend(PLAIN, 1)]);
     receive_signals_now(&mut fixture, "plain-1", limited(4.0));
     for (ticket, priority) in [(1, 2), (2, 2), (3, 2), (4, 0)] {
-        let mut ask = fixture.new_request(PLAIN, None);
-        ask.priority = priority;
-        ask.target_latency = ms(1_000);
-        fixture.submit(ticket, ask);
+        let mut request = fixture.new_request(PLAIN, None);
+        request.priority = priority;
+        request.target_latency = ms(1_000);
+        fixture.submit(ticket, request);
     }
     let sent = (0..80).flat_map(|_| fixture.advance(ms(25)));
     let sent: Vec<Ticket> = sent.map(|(ticket, _)| ticket).collect();
@@ -222,8 +222,8 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     receive_signals_now(&mut fixture, "engines-1", limited(0.2));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_ne!(homes, ["engines-1"]);
@@ -238,8 +238,8 @@
     let mut fixture = fixture_with_views();
     receive_signals_now(&mut fixture, "engines-1", limited(1.0));
     for (ticket, name) in (0..).zip(["a", "b", "c", "d", "e"]) {
-        let ask = fixture.new_request(ENGINES, Some(name));
-        fixture.submit(ticket, ask);
+        let request = fixture.new_request(ENGINES, Some(name));
+        fixture.submit(ticket, request);
         assert!(!fixture.homes(name).contains(&"engines-1".to_string()));
     }
 }
--- a/coordination/tests/own_words.rs
+++ b/coordination/tests/own_words.rs
@@ -35,20 +35,20 @@
     slow_start_left: None,
 };
 
-fn receive_signals(fixture: &mut Fixture, backend: &str, word: BackendSignals) {
+fn receive_signals(fixture: &mut Fixture, backend: &str, signals: BackendSignals) {
     let backend = backend.into();
     let sent = fixture.now;
     fixture.handle(DispatchEvent::SignalReceived {
         backend,
-        signal: word,
+        signal: signals,
         sent_at: sent,
     });
 }
 
 /// Returns the back end that a request for the plain service is sent to, if it is sent at once.
 fn route_plain_request(fixture: &mut Fixture, ticket: u64) -> Option<String> {
-    let ask = fixture.new_request(PLAIN, None);
-    let sent = sent_to(&fixture.submit(ticket, ask));
+    let request = fixture.new_request(PLAIN, None);
+    let sent = sent_to(&fixture.submit(ticket, request));
     fixture.end(ticket, SendOutcome::Answered);
     sent.first().cloned()
 }
@@ -108,8 +108,8 @@
     let mut fixture = fixture_with_views();
     fixture.view(1, view("engines-1", &[("a", 1)]));
     receive_signals(&mut fixture, "engines-1", LEAVING);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_ne!(homes, ["engines-1"]);
@@ -118,8 +118,8 @@
 #[test]
 fn a_pending_load_on_a_leaving_engine_is_dropped() {
     let mut fixture = fixture_with_views();
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     let homes = fixture.homes("a");
     receive_signals(&mut fixture, &homes[0], LEAVING);
     fixture.advance(ms(25));
@@ -183,8 +183,8 @@
     receive_signals(&mut fixture, "plain-1", BACKING_OFF);
     fixture.advance(ms(1_000));
     receive_signals(&mut fixture, "plain-2", BACKING_OFF);
-    let ask = fixture.new_request(PLAIN, None);
-    let decided = fixture.submit(1, ask);
+    let request = fixture.new_request(PLAIN, None);
+    let decided = fixture.submit(1, request);
     let left = ms(BACKOFF_S * 1_000 - 1_000);
     assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
 }
@@ -197,8 +197,8 @@
         ..BackendSignals::default()
     };
     receive_signals(&mut fixture, "plain-1", short);
-    let ask = fixture.new_request(PLAIN, None);
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(PLAIN, None);
+    assert!(fixture.submit(1, request).is_empty());
     assert_eq!(sent_to(&fixture.advance(ms(100))), ["plain-1"]);
 }
 
@@ -212,8 +212,8 @@
         fixture.view(number, bare);
     }
     receive_signals(&mut fixture, "engines-1", BACKING_OFF);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    let decided = fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    let decided = fixture.submit(1, request);
     let left = ms(BACKOFF_S * 1_000);
     assert_eq!(refusals(&decided), [(RejectionCause::BackedOff, left)]);
     assert!(fixture.homes("a").is_empty());
@@ -227,8 +227,8 @@
     fixture.advance(ms(BACKOFF_S * 1_000));
     let decided: Vec<_> = (1..=3)
         .flat_map(|ticket| {
-            let ask = fixture.new_request(PLAIN, None);
-            fixture.submit(ticket, ask)
+            let request = fixture.new_request(PLAIN, None);
+            fixture.submit(ticket, request)
         })
         .collect();
     assert_eq!(sent_to(&decided).len(), 1);
@@ -238,8 +238,8 @@
     // the probe has started to run: all others are sent
     fixture.handle(DispatchEvent::ResponseStarted(2));
     assert_eq!(sent_to(&fixture.advance(ms(1))).len(), 1);
-    let ask = fixture.new_request(PLAIN, None);
-    assert_eq!(sent_to(&fixture.submit(4, ask)).len(), 1);
+    let request = fixture.new_request(PLAIN, None);
+    assert_eq!(sent_to(&fixture.submit(4, request)).len(), 1);
 }
 
 /// Guards against: a client disconnect that blocks the requests of others.
@@ -249,101 +249,98 @@
     receive_signals(&mut fixture, "plain-1", BACKING_OFF);
     fixture.advance(ms(BACKOFF_S * 1_000));
     for ticket in 1..=3 {
-        let ask = fixture.new_request(PLAIN, None);
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
+        let request = fixture.new_request(PLAIN, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, request)).len(), 1);
         fixture.end(ticket, SendOutcome::Abandoned);
     }
 }
 
 /// Returns a sidecar that knows the identity of its engine, which holds the base model.
-fn keeper() -> PlacementFixture {
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&["a"], &[]);
-    keeper.report(holding(0, &["m"], &[]));
-    keeper.identify();
-    keeper.report(holding(0, &["m"], &[]));
-    keeper
+fn known_placement() -> PlacementFixture {
+    let mut placement = PlacementFixture::new();
+    placement.demand(&["a"], &[]);
+    placement.report(holding(0, &["m"], &[]));
+    placement.identify();
+    placement.report(holding(0, &["m"], &[]));
+    placement
 }
 
 /// Guards against: orders, report requests and identity requests to an engine that is backing off.
 #[test]
 fn a_sidecar_makes_no_calls_to_its_engine_during_a_backoff() {
-    let mut keeper = keeper();
-    let order = keeper.order().expect("a load");
-    keeper
+    let mut placement = known_placement();
+    let order = placement.order().expect("a load");
+    placement
         .control
-        .handle(PlacementEvent::Signals(BACKING_OFF), keeper.now);
-    keeper.answer(order, OrderAnswer::Refused);
+        .handle(PlacementEvent::Signals(BACKING_OFF), placement.now);
+    placement.answer(order, OrderAnswer::Refused);
     for _ in 0..BACKOFF_S * 10 {
-        let step = keeper.step();
+        let step = placement.step();
         assert!(matches!(step, PlacementAction::BackOff { .. }), "{step:?}");
-        keeper.demand(&["a"], &[]);
-        keeper.now += ms(100);
+        placement.demand(&["a"], &[]);
+        placement.now += ms(100);
     }
-    assert!(!matches!(keeper.step(), PlacementAction::BackOff { .. }));
+    assert!(!matches!(placement.step(), PlacementAction::BackOff { .. }));
 }
 
 /// An entry reports a later incarnation than the one that requested the back-off.
 #[test]
 fn the_backoff_of_a_previous_incarnation_is_not_kept() {
-    let mut keeper = keeper();
-    keeper
+    let mut placement = known_placement();
+    placement
         .control
-        .handle(PlacementEvent::Signals(BACKING_OFF), keeper.now);
-    assert!(matches!(keeper.step(), PlacementAction::BackOff { .. }));
-    keeper.demand_of(&format!("{ENGINE}-again"), &["a"], &[]);
-    assert!(!matches!(keeper.step(), PlacementAction::BackOff { .. }));
+        .handle(PlacementEvent::Signals(BACKING_OFF), placement.now);
+    assert!(matches!(placement.step(), PlacementAction::BackOff { .. }));
+    placement.demand_of(&format!("{ENGINE}-again"), &["a"], &[]);
+    assert!(!matches!(placement.step(), PlacementAction::BackOff { .. }));
 }
 
 /// Guards against: entries that don't know of it, without a response of the engine or a list.
 #[test]
 fn a_sidecar_reports_to_entries_that_its_engine_is_leaving() {
-    let mut keeper = keeper();
-    keeper
+    let mut placement = known_placement();
+    placement
         .control
-        .handle(PlacementEvent::Signals(LEAVING), keeper.now);
-    assert!(keeper.order().is_none(), "no load on a leaving engine");
-    assert!(keeper.view().figures.is_leaving);
+        .handle(PlacementEvent::Signals(LEAVING), placement.now);
+    assert!(placement.order().is_none(), "no load on a leaving engine");
+    assert!(placement.view().figures.is_leaving);
     let mut fixture = fixture_with_views();
     let mut reported = view("engines-1", &[("a", 1)]);
     reported.figures.is_leaving = true;
     fixture.view(1, reported);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     assert_ne!(fixture.homes("a"), ["engines-1"]);
     // from engine stats without a view
-    let mut figures = view("engines-2", &[]).figures;
-    figures.is_leaving = true;
+    let mut stats = view("engines-2", &[]).figures;
+    stats.is_leaving = true;
     let backend = "engines-2".into();
-    fixture.handle(DispatchEvent::StatsReceived {
-        backend,
-        stats: figures,
-    });
+    fixture.handle(DispatchEvent::StatsReceived { backend, stats });
     fixture.view(2, view("engines-2", &[("b", 1)]));
-    let ask = fixture.new_request(ENGINES, Some("b"));
-    assert!(fixture.submit(2, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("b"));
+    assert!(fixture.submit(2, request).is_empty());
 }
 
 /// Guards against: a sidecar that doesn't report its engine's limit or slow start, and one that
 /// reports them for the next incarnation.
 #[test]
 fn a_sidecar_reports_the_limit_and_slow_start_of_one_incarnation_only() {
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&[], &[]);
-    keeper.identify();
-    let word = BackendSignals::default()
+    let mut placement = PlacementFixture::new();
+    placement.demand(&[], &[]);
+    placement.identify();
+    let signals = BackendSignals::default()
         .with_limit(
             RequestRate::from_per_s(2.0).map_or(LimitSignal::Absent, LimitSignal::Advertised),
         )
         .with_slow_start_left(Some(Duration::from_secs(2)));
-    keeper
+    placement
         .control
-        .handle(PlacementEvent::Signals(word), keeper.now);
-    let figures = keeper.view().figures;
-    assert_eq!(figures.limit_milli_per_s, Some(2_000));
-    assert_eq!(figures.cold_left_ms, 2_000);
-    keeper.identify_as("engines-2");
-    let figures = keeper.view().figures;
-    assert_eq!(figures.limit_milli_per_s, None);
-    assert_eq!(figures.cold_left_ms, 0);
+        .handle(PlacementEvent::Signals(signals), placement.now);
+    let stats = placement.view().figures;
+    assert_eq!(stats.limit_milli_per_s, Some(2_000));
+    assert_eq!(stats.cold_left_ms, 2_000);
+    placement.identify_as("engines-2");
+    let stats = placement.view().figures;
+    assert_eq!(stats.limit_milli_per_s, None);
+    assert_eq!(stats.cold_left_ms, 0);
 }
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -133,7 +133,7 @@
             .collect();
         self.read();
     }
-    fn kinds(&self) -> Vec<OrderKind> {
+    fn order_kinds(&self) -> Vec<OrderKind> {
         self.orders.iter().map(|o| o.kind.clone()).collect()
     }
 }
@@ -163,7 +163,7 @@
         fixture.execute(order);
     }
     let loads = [adapter("b"), adapter("c")].map(OrderKind::LoadAdapter);
-    assert_eq!(fixture.kinds(), loads);
+    assert_eq!(fixture.order_kinds(), loads);
 }
 
 #[test]
@@ -198,7 +198,7 @@
         fixture.execute(order);
     }
     assert_eq!(
-        fixture.kinds(),
+        fixture.order_kinds(),
         [
             OrderKind::UnloadAdapter(adapter("old")),
             OrderKind::LoadAdapter(adapter("a"))
--- a/coordination/tests/placement_fixture/mod.rs
+++ b/coordination/tests/placement_fixture/mod.rs
@@ -95,13 +95,13 @@
 }
 
 /// Returns the report of an engine that holds these adapters and versions.
-pub fn holding(born: u64, models: &[&str], held: &[(&str, u64)]) -> EngineReport {
+pub fn holding(start_time_ms: u64, models: &[&str], held: &[(&str, u64)]) -> EngineReport {
     let held = held.iter().map(|(name, version)| HeldAdapter {
         adapter: adapter(name),
         version: *version,
     });
     EngineReport {
-        start_time_ms: born,
+        start_time_ms,
         models: models.iter().map(|m| m.to_string()).collect(),
         held: held.collect(),
         ..EngineReport::default()
--- a/coordination/tests/reborn.rs
+++ b/coordination/tests/reborn.rs
@@ -21,20 +21,20 @@
 /// Start time of an incarnation whose clock was set back.
 const EARLIER: u64 = FIRST - 60_000;
 
-fn id(born: u64) -> BackendId {
-    BackendId::new("engines-1", born)
+fn id(start_time_ms: u64) -> BackendId {
+    BackendId::new("engines-1", start_time_ms)
 }
 
-fn listed(born: u64) -> Backend {
+fn listed(start_time_ms: u64) -> Backend {
     Backend {
-        id: id(born),
+        id: id(start_time_ms),
         ..backend(ENGINES, 1)
     }
 }
 
-fn said(born: u64, held: &[(&str, u64)]) -> EngineView {
+fn reported_view(start_time_ms: u64, held: &[(&str, u64)]) -> EngineView {
     EngineView {
-        backend: id(born),
+        backend: id(start_time_ms),
         ..view("engines-1", held)
     }
 }
@@ -45,66 +45,69 @@
 }
 
 /// Returns the back end to which a request for an adapter is sent immediately, if any.
-fn goes_to(fixture: &mut Fixture, ticket: u64, wanted: &str) -> Option<String> {
-    let ask = fixture.new_request(ENGINES, Some(wanted));
-    let sent = sent_to(&fixture.submit(ticket, ask));
+fn target_of(fixture: &mut Fixture, ticket: u64, wanted: &str) -> Option<String> {
+    let request = fixture.new_request(ENGINES, Some(wanted));
+    let sent = sent_to(&fixture.submit(ticket, request));
     fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent.first().cloned()
 }
 
-fn text(born: u64) -> Option<String> {
-    Some(id(born).to_string())
+fn id_text(start_time_ms: u64) -> Option<String> {
+    Some(id(start_time_ms).to_string())
 }
 
 #[test]
 fn a_sidecar_s_report_of_a_new_incarnation_ends_the_previous_at_once() {
-    for born in [SECOND, EARLIER] {
+    for start_time_ms in [SECOND, EARLIER] {
         let mut fixture = Fixture::new(vec![listed(FIRST)]);
-        fixture.view(1, said(FIRST, &[("a", 1)]));
-        assert_eq!(goes_to(&mut fixture, 1, "a"), text(FIRST));
-        fixture.view(1, said(born, &[]));
-        assert_eq!(goes_to(&mut fixture, 2, "a"), None, "no adapter is held");
-        fixture.view(1, said(born, &[("a", 1)]));
-        assert_eq!(goes_to(&mut fixture, 3, "a"), text(born));
+        fixture.view(1, reported_view(FIRST, &[("a", 1)]));
+        assert_eq!(target_of(&mut fixture, 1, "a"), id_text(FIRST));
+        fixture.view(1, reported_view(start_time_ms, &[]));
+        assert_eq!(target_of(&mut fixture, 2, "a"), None, "no adapter is held");
+        fixture.view(1, reported_view(start_time_ms, &[("a", 1)]));
+        assert_eq!(target_of(&mut fixture, 3, "a"), id_text(start_time_ms));
         // the list is stale at first
         fixture.update_list(vec![listed(FIRST)]);
-        assert_eq!(goes_to(&mut fixture, 4, "a"), text(born));
-        fixture.update_list(vec![listed(born)]);
-        assert_eq!(goes_to(&mut fixture, 5, "a"), text(born));
+        assert_eq!(target_of(&mut fixture, 4, "a"), id_text(start_time_ms));
+        fixture.update_list(vec![listed(start_time_ms)]);
+        assert_eq!(target_of(&mut fixture, 5, "a"), id_text(start_time_ms));
     }
 }
 
 #[test]
 fn a_listed_later_incarnation_ends_the_previous_at_once() {
     let mut fixture = Fixture::new(vec![listed(FIRST)]);
-    fixture.view(1, said(FIRST, &[("a", 1)]));
+    fixture.view(1, reported_view(FIRST, &[("a", 1)]));
     fixture.update_list(vec![listed(SECOND)]);
     // its sidecar is frozen, and its last view is of the previous incarnation
-    assert_eq!(goes_to(&mut fixture, 1, "a"), None);
+    assert_eq!(target_of(&mut fixture, 1, "a"), None);
     fixture.handle(DispatchEvent::ViewLost(id(FIRST)));
-    assert_eq!(goes_to(&mut fixture, 2, "a"), None);
-    let ask = fixture.new_request(ENGINES, None);
-    assert_eq!(sent_to(&fixture.submit(3, ask)), [id(SECOND).to_string()]);
+    assert_eq!(target_of(&mut fixture, 2, "a"), None);
+    let request = fixture.new_request(ENGINES, None);
+    assert_eq!(
+        sent_to(&fixture.submit(3, request)),
+        [id(SECOND).to_string()]
+    );
 }
 
 #[test]
 fn a_late_report_of_a_previous_incarnation_is_ignored() {
-    for born in [SECOND, EARLIER] {
+    for start_time_ms in [SECOND, EARLIER] {
         let mut fixture = Fixture::new(vec![listed(FIRST)]);
-        fixture.view(1, said(FIRST, &[("a", 1)]));
+        fixture.view(1, reported_view(FIRST, &[("a", 1)]));
         fixture.now += ms(500);
-        fixture.view(1, said(born, &[("b", 1)]));
+        fixture.view(1, reported_view(start_time_ms, &[("b", 1)]));
         // from a relay without a newer report of the sidecar
-        fixture.view(1, aged(said(FIRST, &[("a", 1)]), 300));
-        assert_eq!(goes_to(&mut fixture, 1, "a"), None);
-        assert_eq!(goes_to(&mut fixture, 2, "b"), text(born));
+        fixture.view(1, aged(reported_view(FIRST, &[("a", 1)]), 300));
+        assert_eq!(target_of(&mut fixture, 1, "a"), None);
+        assert_eq!(target_of(&mut fixture, 2, "b"), id_text(start_time_ms));
         let ended = fixture.list_version;
         fixture.handle(DispatchEvent::ListUpdated {
             version: ended - 1,
             list: vec![listed(FIRST)],
         });
-        assert_eq!(goes_to(&mut fixture, 3, "b"), text(born));
+        assert_eq!(target_of(&mut fixture, 3, "b"), id_text(start_time_ms));
     }
 }
 
@@ -112,11 +115,11 @@
 fn health_slots_drain_and_history_are_reset_with_the_incarnation() {
     let mut fixture = Fixture::new(vec![listed(FIRST), backend(ENGINES, 2)]);
     fixture.view(2, view("engines-2", &[]));
-    fixture.view(1, said(FIRST, &[("a", 1)]));
+    fixture.view(1, reported_view(FIRST, &[("a", 1)]));
     // four slots are taken, then the engine fails and drains
     for ticket in 0..4 {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)).len(), 1);
+        let request = fixture.new_request(ENGINES, Some("a"));
+        assert_eq!(sent_to(&fixture.submit(ticket, request)).len(), 1);
     }
     for ticket in 10..13 {
         fixture.end(ticket, SendOutcome::Unreachable);
@@ -128,18 +131,18 @@
         },
         backend(ENGINES, 2),
     ]);
-    fixture.view(1, said(SECOND, &[("a", 1)]));
+    fixture.view(1, reported_view(SECOND, &[("a", 1)]));
     fixture.update_list(vec![listed(SECOND), backend(ENGINES, 2)]);
     for ticket in 20..24 {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        let sent = sent_to(&fixture.submit(ticket, ask));
+        let request = fixture.new_request(ENGINES, Some("a"));
+        let sent = sent_to(&fixture.submit(ticket, request));
         assert_eq!(sent, [id(SECOND).to_string()], "{ticket}");
     }
     // runs of the previous incarnation free no slot of this one
     (0..4).for_each(|ticket| fixture.end(ticket, SendOutcome::Failed));
-    let ask = fixture.new_request(ENGINES, Some("a"));
+    let request = fixture.new_request(ENGINES, Some("a"));
     assert!(
-        fixture.submit(30, ask).is_empty(),
+        fixture.submit(30, request).is_empty(),
         "all four slots are taken"
     );
 }
@@ -150,10 +153,10 @@
     for life in 0..5 {
         fixture.now += ms(200);
         let name = format!("of-{life}");
-        fixture.view(1, said(FIRST + life, &[(&name, 1)]));
+        fixture.view(1, reported_view(FIRST + life, &[(&name, 1)]));
     }
     for life in 0..5 {
-        let held = goes_to(&mut fixture, life, &format!("of-{life}"));
+        let held = target_of(&mut fixture, life, &format!("of-{life}"));
         let expected = (life == 4).then(|| id(FIRST + life).to_string());
         assert_eq!(held, expected, "incarnation {life}");
     }
@@ -164,7 +167,7 @@
 fn an_address_reused_by_another_service_is_used_for_it() {
     for falls_silent in [true, false] {
         let mut fixture = Fixture::new(vec![listed(FIRST), backend(ENGINES, 2)]);
-        fixture.view(1, said(FIRST, &[("a", 1)]));
+        fixture.view(1, reported_view(FIRST, &[("a", 1)]));
         if falls_silent {
             fixture.handle(DispatchEvent::ViewLost(id(FIRST)));
         }
@@ -173,8 +176,8 @@
             ..backend(PLAIN, 1)
         };
         fixture.update_list(vec![reused.clone(), backend(ENGINES, 2)]);
-        let ask = fixture.new_request(PLAIN, None);
-        let sent = sent_to(&fixture.submit(1, ask));
+        let request = fixture.new_request(PLAIN, None);
+        let sent = sent_to(&fixture.submit(1, request));
         assert_eq!(
             sent,
             [reused.id.to_string()],
@@ -184,82 +187,84 @@
 }
 
 /// Creates a placement whose engine is to hold an adapter.
-fn keeper() -> PlacementFixture {
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&["a"], &[]);
-    keeper
+fn placement_with_demand() -> PlacementFixture {
+    let mut placement = PlacementFixture::new();
+    placement.demand(&["a"], &[]);
+    placement
 }
 
 /// Expects a query for the engine's name and responds to it.
-fn identify(keeper: &mut PlacementFixture) {
-    assert!(matches!(keeper.step(), PlacementAction::Identify { .. }));
-    keeper.identify();
+fn identify(placement: &mut PlacementFixture) {
+    assert!(matches!(placement.step(), PlacementAction::Identify { .. }));
+    placement.identify();
 }
 
 #[test]
 fn a_sidecar_reports_the_new_incarnation_without_the_adapters_of_the_previous() {
-    for born in [SECOND, EARLIER] {
-        let mut keeper = keeper();
-        keeper.report(holding(FIRST, &["m"], &[("a", 1), ("b", 1)]));
-        identify(&mut keeper);
+    for start_time_ms in [SECOND, EARLIER] {
+        let mut placement = placement_with_demand();
+        placement.report(holding(FIRST, &["m"], &[("a", 1), ("b", 1)]));
+        identify(&mut placement);
         // an adapter unloaded in this incarnation can be reloaded from the host cache
-        keeper.report(holding(FIRST, &["m"], &[("a", 1)]));
-        assert_eq!(keeper.view().lately, [adapter_hash(&adapter("b"))]);
-        keeper.report(holding(born, &["m"], &[]));
-        let view = keeper.view();
-        assert_eq!(view.backend, id(born));
+        placement.report(holding(FIRST, &["m"], &[("a", 1)]));
+        assert_eq!(placement.view().lately, [adapter_hash(&adapter("b"))]);
+        placement.report(holding(start_time_ms, &["m"], &[]));
+        let view = placement.view();
+        assert_eq!(view.backend, id(start_time_ms));
         assert_eq!((view.held, view.lately), (Vec::new(), Vec::new()));
-        identify(&mut keeper);
-        let order = keeper.order().expect("the wanted adapter is ordered again");
+        identify(&mut placement);
+        let order = placement
+            .order()
+            .expect("the wanted adapter is ordered again");
         assert_eq!(order.kind, OrderKind::LoadAdapter(adapter("a")));
-        assert_eq!(order.backend, id(born));
+        assert_eq!(order.backend, id(start_time_ms));
     }
 }
 
 #[test]
 fn an_order_without_a_response_is_sent_to_the_new_incarnation_at_once() {
-    let mut keeper = keeper();
-    keeper.report(holding(FIRST, &["m"], &[]));
-    identify(&mut keeper);
-    let order = keeper.order().expect("an order");
-    keeper.answer(order, OrderAnswer::Unknown);
-    keeper.report(holding(FIRST, &["m"], &[]));
+    let mut placement = placement_with_demand();
+    placement.report(holding(FIRST, &["m"], &[]));
+    identify(&mut placement);
+    let order = placement.order().expect("an order");
+    placement.answer(order, OrderAnswer::Unknown);
+    placement.report(holding(FIRST, &["m"], &[]));
     assert_eq!(
-        keeper.order(),
+        placement.order(),
         None,
         "no order to the same incarnation during the back-off"
     );
-    keeper.report(holding(SECOND, &["m"], &[]));
-    identify(&mut keeper);
-    assert!(keeper.order().is_some());
+    placement.report(holding(SECOND, &["m"], &[]));
+    identify(&mut placement);
+    assert!(placement.order().is_some());
 }
 
 /// Guards against an engine in a restart loop that uses up the weight store's rate of loads.
 #[test]
 fn the_base_model_is_ordered_at_once_and_at_a_limited_rate() {
-    let mut keeper = keeper();
-    keeper.report(holding(FIRST, &["m"], &[]));
-    identify(&mut keeper);
-    keeper.now += Duration::from_secs(60);
-    keeper.demand(&["a"], &[]);
+    let mut placement = placement_with_demand();
+    placement.report(holding(FIRST, &["m"], &[]));
+    identify(&mut placement);
+    placement.now += Duration::from_secs(60);
+    placement.demand(&["a"], &[]);
     let mut ordered = 0;
     for life in 1..=5 {
-        keeper.now += ms(300);
-        keeper.report(holding(FIRST + life, &[], &[]));
-        identify(&mut keeper);
-        if let Some(order) = keeper.order() {
+        placement.now += ms(300);
+        placement.report(holding(FIRST + life, &[], &[]));
+        identify(&mut placement);
+        if let Some(order) = placement.order() {
             assert_eq!(order.kind, OrderKind::LoadModel("m".to_string()));
             assert_eq!(life, 1, "ordered after the first restart");
-            keeper.answer(order, OrderAnswer::Taken);
+            placement.answer(order, OrderAnswer::Taken);
             ordered += 1;
         }
     }
     assert_eq!(ordered, 1);
-    keeper.now += Duration::from_secs(5);
-    keeper.demand(&["a"], &[]);
-    keeper.report(holding(THIRD, &[], &[]));
-    identify(&mut keeper);
-    assert!(keeper.order().is_some());
+    placement.now += Duration::from_secs(5);
+    placement.demand(&["a"], &[]);
+    placement.report(holding(THIRD, &[], &[]));
+    identify(&mut placement);
+    assert!(placement.order().is_some());
 }
 
 /// While the list has two names at one address, the ended incarnation must not be used.
@@ -270,12 +275,12 @@
         ..backend(ENGINES, 1)
     };
     let mut fixture = Fixture::new(vec![listed(FIRST), other]);
-    fixture.view(1, said(FIRST, &[("a", 1)]));
+    fixture.view(1, reported_view(FIRST, &[("a", 1)]));
     fixture.view(1, view("other", &[("a", 1)]));
     fixture.handle(DispatchEvent::ViewLost("other".into()));
     for ticket in 0..4 {
-        let ask = fixture.new_request(ENGINES, None);
-        assert_eq!(sent_to(&fixture.submit(ticket, ask)), ["other"]);
+        let request = fixture.new_request(ENGINES, None);
+        assert_eq!(sent_to(&fixture.submit(ticket, request)), ["other"]);
     }
 }
 
@@ -283,19 +288,19 @@
 /// another process or replaced meanwhile.
 #[test]
 fn no_order_is_based_on_a_report_from_before_a_suspension() {
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&["a"], &[]);
-    keeper.report(holding(FIRST, &["m"], &[]));
-    keeper.identify();
-    keeper.report(holding(FIRST, &["m"], &[]));
-    assert!(keeper.order().is_some(), "before the suspension");
-    keeper.now += Duration::from_secs(2);
-    keeper.demand(&["a"], &[]);
-    assert_eq!(keeper.order(), None, "after the suspension");
-    keeper.report(holding(SECOND, &["m"], &[]));
-    keeper.identify();
-    keeper.report(holding(SECOND, &["m"], &[]));
-    let order = keeper.order();
+    let mut placement = PlacementFixture::new();
+    placement.demand(&["a"], &[]);
+    placement.report(holding(FIRST, &["m"], &[]));
+    placement.identify();
+    placement.report(holding(FIRST, &["m"], &[]));
+    assert!(placement.order().is_some(), "before the suspension");
+    placement.now += Duration::from_secs(2);
+    placement.demand(&["a"], &[]);
+    assert_eq!(placement.order(), None, "after the suspension");
+    placement.report(holding(SECOND, &["m"], &[]));
+    placement.identify();
+    placement.report(holding(SECOND, &["m"], &[]));
+    let order = placement.order();
     assert_eq!(order.map(|o| o.backend.start_time_ms), Some(SECOND));
 }
 
@@ -304,18 +309,18 @@
 #[test]
 fn identifying_an_engine_keeps_the_report_of_its_adapters() {
     let full = [("a", 1), ("b", 1), ("c", 1), ("d", 1)];
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&["e"], &[]);
-    keeper.report(holding(0, &["m"], &full));
-    assert!(matches!(keeper.step(), PlacementAction::Identify { .. }));
-    keeper.identify_as("another name");
+    let mut placement = PlacementFixture::new();
+    placement.demand(&["e"], &[]);
+    placement.report(holding(0, &["m"], &full));
+    assert!(matches!(placement.step(), PlacementAction::Identify { .. }));
+    placement.identify_as("another name");
     for _ in 0..2 {
-        if let Some(order) = keeper.order() {
+        if let Some(order) = placement.order() {
             assert!(
                 matches!(order.kind, OrderKind::UnloadAdapter(_)),
                 "{order:?}"
             );
         }
-        keeper.report(holding(0, &["m"], &full));
+        placement.report(holding(0, &["m"], &full));
     }
 }
--- a/coordination/tests/shared_budget.rs
+++ b/coordination/tests/shared_budget.rs
@@ -57,24 +57,24 @@
 }
 
 /// Returns the retries in each step.
-fn play(day: &Day) -> Vec<u32> {
+fn retries_per_step(day: &Day) -> Vec<u32> {
     let start = Instant::now();
     let mut budget = SharedRetryBudget::new(BOUNDS, None);
     let steps = day.requests.iter().enumerate();
-    let repeats = steps.map(|(step, requests)| {
+    let retries = steps.map(|(step, requests)| {
         let now = start + STEP * step as u32;
         if day.kills.contains(&(step as u16)) {
             budget = SharedRetryBudget::new(BOUNDS, Some(now));
         }
         (0..*requests).for_each(|_| budget.on_request(now));
-        let mut repeats = 0;
+        let mut retries = 0;
         while step >= usize::from(day.quiet_until) && budget.try_reserve(1, now) {
             budget.on_retry_sent(now);
-            repeats += 1;
+            retries += 1;
         }
-        repeats
+        retries
     });
-    repeats.collect()
+    retries.collect()
 }
 
 /// Returns the largest number of requests in the windows that end here, half a window earlier
@@ -89,9 +89,9 @@
 }
 
 fn is_within(day: Day) -> bool {
-    let repeats = play(&day);
-    (1..=repeats.len()).all(|end| {
-        let window = &repeats[end.saturating_sub(STEPS_IN_WINDOW)..end];
+    let retries = retries_per_step(&day);
+    (1..=retries.len()).all(|end| {
+        let window = &retries[end.saturating_sub(STEPS_IN_WINDOW)..end];
         let allowed = BOUNDS.ratio * f64::from(requests_for(&day, end)) + BOUNDS.extra;
         f64::from(window.iter().sum::<u32>()) <= allowed
     })
--- a/coordination/tests/unheard.rs
+++ b/coordination/tests/unheard.rs
@@ -46,19 +46,19 @@
 }
 
 /// Repeats a request after an engine responded that it lacks the adapter.
-fn again(fixture: &mut Fixture, ticket: Ticket, sends: u32) -> Vec<(Ticket, Decision)> {
+fn submit_again(fixture: &mut Fixture, ticket: Ticket, sends: u32) -> Vec<(Ticket, Decision)> {
     fixture.end(ticket, SendOutcome::Misdirected);
-    let mut ask = fixture.new_request(ENGINES, Some("a"));
-    ask.send_count = sends;
-    fixture.submit(ticket, ask)
+    let mut request = fixture.new_request(ENGINES, Some("a"));
+    request.send_count = sends;
+    fixture.submit(ticket, request)
 }
 
 /// The adapter is requested, and the engine is tried once the load should have completed.
 #[test]
 fn an_adapter_is_requested_and_expected() {
     let mut fixture = unheard(3);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     let homes = fixture.homes("a");
     assert_eq!(homes.len(), 1);
     assert_eq!(sent_to(&fixture.advance(ms(400))), homes);
@@ -66,30 +66,30 @@
     fixture.handle(DispatchEvent::ResponseStarted(1));
     fixture.end(1, SendOutcome::Answered);
     fixture.advance(ms(3_000));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(2, ask)), homes);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(2, request)), homes);
 }
 
 /// Guards against holding requests for an adapter that no sidecar loads.
 #[test]
 fn requests_for_an_adapter_that_is_not_loaded_are_rejected_at_once() {
     let mut fixture = unheard(1);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
     assert_eq!(
-        refusals(&again(&mut fixture, 1, 1)),
+        refusals(&submit_again(&mut fixture, 1, 1)),
         [RejectionCause::NoLoadingSidecar]
     );
-    let ask = fixture.new_request(ENGINES, Some("b"));
+    let request = fixture.new_request(ENGINES, Some("b"));
     assert_eq!(
-        refusals(&fixture.submit(2, ask)),
+        refusals(&fixture.submit(2, request)),
         [RejectionCause::NoLoadingSidecar]
     );
     // the load is requested again later
     fixture.advance(ms(6_000));
-    let ask = fixture.new_request(ENGINES, Some("b"));
-    assert!(fixture.submit(3, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("b"));
+    assert!(fixture.submit(3, request).is_empty());
     assert_eq!(fixture.homes("b").len(), 1);
 }
 
@@ -98,10 +98,10 @@
 fn listed_holders_are_used_and_corrected_by_responses() {
     let mut fixture = Fixture::new(listed(2, &["a"]));
     fixture.advance(ms(2_000));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    let first = sent_to(&fixture.submit(1, ask));
+    let request = fixture.new_request(ENGINES, Some("a"));
+    let first = sent_to(&fixture.submit(1, request));
     assert_eq!(first.len(), 1);
-    let second = sent_to(&again(&mut fixture, 1, 1));
+    let second = sent_to(&submit_again(&mut fixture, 1, 1));
     assert_eq!(second.len(), 1);
     assert_ne!(first, second);
 }
@@ -115,8 +115,8 @@
     for engine in ["engines-1", "engines-2"] {
         fixture.handle(DispatchEvent::ViewLost(engine.into()));
     }
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert_eq!(sent_to(&fixture.submit(1, ask)), ["engines-1"]);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert_eq!(sent_to(&fixture.submit(1, request)), ["engines-1"]);
 }
 
 /// Loads are requested from sidecars that report, if there are any.
@@ -124,8 +124,8 @@
 fn reporting_sidecars_are_preferred() {
     let mut fixture = unheard(3);
     fixture.view(2, view("engines-2", &[]));
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
 
@@ -138,8 +138,8 @@
         bare.models.clear();
         fixture.view(number, bare);
     }
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(1, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(1, request).is_empty());
     let decided = fixture.view(1, view("engines-1", &[("a", 1)]));
     assert_eq!(sent_to(&decided), ["engines-1"]);
 }
@@ -150,8 +150,8 @@
 fn one_request_probes_whether_an_adapter_is_loaded() {
     let mut fixture = unheard(1);
     for ticket in 1..=3 {
-        let ask = fixture.new_request(ENGINES, Some("a"));
-        assert!(fixture.submit(ticket, ask).is_empty());
+        let request = fixture.new_request(ENGINES, Some("a"));
+        assert!(fixture.submit(ticket, request).is_empty());
     }
     assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
     assert!(fixture.advance(ms(10)).is_empty());
@@ -163,10 +163,10 @@
 fn one_home_is_used_while_the_number_of_entries_is_unknown() {
     let mut fixture = unheard(6);
     for ticket in 1..=6 {
-        let mut ask = fixture.new_request(ENGINES, Some("a"));
+        let mut request = fixture.new_request(ENGINES, Some("a"));
         // prefill takes 0.6 s for these six, and 2.4 s for the requests of eight entries
-        ask.prompt_tokens = 1_500;
-        fixture.submit(ticket, ask);
+        request.prompt_tokens = 1_500;
+        fixture.submit(ticket, request);
     }
     fixture.advance(ms(10));
     assert_eq!(fixture.homes("a").len(), 1);
@@ -195,14 +195,14 @@
 fn an_entry_adapts_its_load_delay() {
     let mut fixture = unheard(3);
     for (ticket, name) in (1..).zip(["a", "b", "c", "d"]) {
-        let ask = fixture.new_request(ENGINES, Some(name));
-        fixture.submit(ticket, ask);
+        let request = fixture.new_request(ENGINES, Some(name));
+        fixture.submit(ticket, request);
         fixture.advance(ms(1_000));
         fixture.end(ticket, SendOutcome::Misdirected);
         fixture.advance(ms(6_000));
     }
-    let ask = fixture.new_request(ENGINES, Some("e"));
-    fixture.submit(9, ask);
+    let request = fixture.new_request(ENGINES, Some("e"));
+    fixture.submit(9, request);
     assert!(fixture.advance(ms(400)).is_empty());
     assert_eq!(sent_to(&fixture.advance(ms(500))).len(), 1);
 }
@@ -211,16 +211,16 @@
 #[test]
 fn a_sidecar_that_is_late_once_still_receives_load_requests() {
     let mut fixture = unheard(1);
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    fixture.submit(1, ask);
+    let request = fixture.new_request(ENGINES, Some("a"));
+    fixture.submit(1, request);
     fixture.advance(ms(400));
     fixture.handle(DispatchEvent::ResponseStarted(1));
-    let ask = fixture.new_request(ENGINES, Some("b"));
-    fixture.submit(2, ask);
+    let request = fixture.new_request(ENGINES, Some("b"));
+    fixture.submit(2, request);
     assert_eq!(sent_to(&fixture.advance(ms(400))).len(), 1);
     fixture.end(2, SendOutcome::Misdirected);
-    let ask = fixture.new_request(ENGINES, Some("c"));
-    assert!(fixture.submit(3, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("c"));
+    assert!(fixture.submit(3, request).is_empty());
     assert_eq!(fixture.homes("c").len(), 1);
 }
 
@@ -236,9 +236,9 @@
             is_accepted: is_taken,
         });
     }
-    let ask = fixture.new_request(ENGINES, Some("a"));
+    let request = fixture.new_request(ENGINES, Some("a"));
     assert_eq!(
-        refusals(&fixture.submit(1, ask)),
+        refusals(&fixture.submit(1, request)),
         [RejectionCause::NoLoadingSidecar]
     );
     // the next demand is accepted
@@ -246,7 +246,7 @@
         addr: addr(2),
         is_accepted: true,
     });
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    assert!(fixture.submit(2, ask).is_empty());
+    let request = fixture.new_request(ENGINES, Some("a"));
+    assert!(fixture.submit(2, request).is_empty());
     assert_eq!(fixture.homes("a"), ["engines-2"]);
 }
--- a/coordination/tests/versions.rs
+++ b/coordination/tests/versions.rs
@@ -17,7 +17,7 @@
 /// Half of the time after which no request may start on an older version.
 const GRACE: Duration = Duration::from_millis(2_500);
 
-fn name_version(fixture: &mut Fixture, version: u64) {
+fn announce_version(fixture: &mut Fixture, version: u64) {
     fixture.handle(DispatchEvent::VersionAnnounced {
         adapter: adapter("a"),
         version,
@@ -26,8 +26,8 @@
 
 /// Returns whether a request is sent to an engine with the versions that engines hold.
 fn begins(fixture: &mut Fixture, ticket: u64) -> bool {
-    let ask = fixture.new_request(ENGINES, Some("a"));
-    let sent = !sent_to(&fixture.submit(ticket, ask)).is_empty();
+    let request = fixture.new_request(ENGINES, Some("a"));
+    let sent = !sent_to(&fixture.submit(ticket, request)).is_empty();
     fixture.handle(DispatchEvent::RequestWithdrawn(ticket));
     fixture.end(ticket, SendOutcome::Abandoned);
     sent
@@ -44,7 +44,7 @@
     let mut fixture = holding(1);
     // each is published before the previous one is loaded everywhere
     for version in 2..=4 {
-        name_version(&mut fixture, version);
+        announce_version(&mut fixture, version);
         fixture.now += GRACE - ms(100);
         let late = version > 2;
         assert_eq!(
@@ -55,7 +55,7 @@
     }
     let mut second = holding(1);
     for version in 2..=4 {
-        name_version(&mut second, version);
+        announce_version(&mut second, version);
         second.now += ms(500);
     }
     // version 2 is loaded: its deadline is set by version 3, not by version 4
@@ -77,9 +77,9 @@
 #[test]
 fn a_late_update_of_an_older_version_is_ignored() {
     let mut fixture = holding(1);
-    name_version(&mut fixture, 3);
+    announce_version(&mut fixture, 3);
     fixture.now += GRACE + ms(1);
-    name_version(&mut fixture, 2);
+    announce_version(&mut fixture, 2);
     assert!(!begins(&mut fixture, 1));
     fixture.view(1, view("engines-1", &[("a", 2)]));
     assert!(!begins(&mut fixture, 2));
@@ -95,29 +95,29 @@
     }]
 }
 
-fn orders_replacement(keeper: &mut PlacementFixture) -> bool {
+fn orders_replacement(placement: &mut PlacementFixture) -> bool {
     let replacement = OrderKind::LoadAdapter(adapter("a"));
-    keeper
+    placement
         .order()
         .is_some_and(|order| order.kind == replacement)
 }
 
 #[test]
 fn a_version_published_during_a_load_is_ordered_next() {
-    let mut keeper = PlacementFixture::new();
-    keeper.demand(&[], &[]);
-    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 1)]));
-    keeper.identify();
-    keeper.demand(&[], &knows(2));
-    assert!(orders_replacement(&mut keeper));
+    let mut placement = PlacementFixture::new();
+    placement.demand(&[], &[]);
+    placement.report(placement_fixture::holding(0, &["m"], &[("a", 1)]));
+    placement.identify();
+    placement.demand(&[], &knows(2));
+    assert!(orders_replacement(&mut placement));
     // version 3 is published while version 2 is loading
     let mut loading = placement_fixture::holding(0, &["m"], &[("a", 1)]);
     loading.loading = vec![adapter("a")];
-    keeper.report(loading);
-    keeper.demand(&[], &knows(3));
-    keeper.now += ms(250);
-    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 2)]));
-    assert!(orders_replacement(&mut keeper));
-    keeper.report(placement_fixture::holding(0, &["m"], &[("a", 3)]));
-    assert!(!orders_replacement(&mut keeper));
+    placement.report(loading);
+    placement.demand(&[], &knows(3));
+    placement.now += ms(250);
+    placement.report(placement_fixture::holding(0, &["m"], &[("a", 2)]));
+    assert!(orders_replacement(&mut placement));
+    placement.report(placement_fixture::holding(0, &["m"], &[("a", 3)]));
+    assert!(!orders_replacement(&mut placement));
 }
