--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -342,6 +342,7 @@
     pub fn home_hash(&self) -> u64 {
         self.home_hash
     }
+    /// Returns the number of adapter slots that are free or can be freed, 0 without a view.
     pub fn spare_slots(&self) -> u32 {
         self.view.as_ref().map_or(0, |v| v.figures.spare_slots)
     }
@@ -379,6 +380,7 @@
     pub fn can_accept_request(&self, request: &DispatchRequest, now: Instant) -> bool {
         self.can_accept(now) && !(request.is_crash_suspect && self.crash_suspects > 0)
     }
+    /// Returns whether the back end can take any request now.
     pub fn can_accept(&self, now: Instant) -> bool {
         self.closed_reason(now).is_none()
     }
--- a/coordination/src/dispatch/backend_updates.rs
+++ b/coordination/src/dispatch/backend_updates.rs
@@ -142,7 +142,7 @@
     /// behind.
     ///
     /// The sidecar observes the engine itself, so an incarnation that it reported before
-    /// has ended, whatever the engine's clock says.
+    /// has ended, regardless of the engine's clock.
     fn on_incarnation(&mut self, addr: SocketAddr, view: &EngineView, now: Instant) -> bool {
         let reported_at = reported_at(&view.figures, now);
         let known = self.incarnations.get(&addr);
--- a/coordination/src/dispatch/decision.rs
+++ b/coordination/src/dispatch/decision.rs
@@ -95,7 +95,7 @@
     Send(Assignment),
     Reject {
         cause: RejectionCause,
-        /// When the request is likely to be served.
+        /// Time after which the request is likely to be served.
         retry_after: Duration,
         inputs: DecisionInputs,
     },
--- a/coordination/src/dispatch/dispatch_request.rs
+++ b/coordination/src/dispatch/dispatch_request.rs
@@ -37,7 +37,7 @@
     pub deadline: Instant,
     /// Back ends that must not be tried again.
     pub tried_backends: Vec<BackendId>,
-    /// Whether it was rejected before and came back.
+    /// Whether it is the client's retry of a request that was rejected before.
     pub was_rejected_before: bool,
     /// Whether the load time of its adapter was compared with its latency objective.
     pub is_load_time_checked: bool,
--- a/coordination/src/dispatch/dispatcher.rs
+++ b/coordination/src/dispatch/dispatcher.rs
@@ -220,6 +220,7 @@
         };
         now.saturating_duration_since(reported_at) < self.settings.disconnected_after
     }
+    /// Returns the number of requests that wait in this entry.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
--- a/coordination/src/dispatch/expected_returns.rs
+++ b/coordination/src/dispatch/expected_returns.rs
@@ -7,24 +7,24 @@
     std::time::{Duration, Instant},
 };
 
-/// Added to the load time before the requests of an adapter return.
+/// Added to the load time in the retry time of rejected requests.
 const RETURN_MARGIN: Duration = Duration::from_millis(60);
-/// How long an adapter stays wanted after its requests should have returned.
+/// How long an adapter stays wanted after the retry time of its rejected requests.
 const RETURN_GRACE: Duration = Duration::from_millis(400);
 
-/// Rejected requests that are expected to return for an adapter.
+/// Rejected requests for an adapter whose clients are expected to retry once it is loaded.
 #[derive(Debug, Clone)]
 pub(super) struct ExpectedReturn {
     pub(super) backend: BackendId,
     pub(super) priority: u8,
     pub(super) requests: u32,
-    /// When the last of them should have returned.
+    /// Time until which retries are expected.
     pub(super) until: Instant,
 }
 
 impl Dispatcher {
-    /// Returns when a request should come back whose adapter can't be loaded within its
-    /// latency objective; it is then rejected, and its adapter stays wanted.
+    /// Returns the retry time of a request whose adapter can't be loaded within its latency
+    /// objective; the request is then rejected, and its adapter stays wanted.
     ///
     /// A request is checked once, as soon as the sidecar that is to load the adapter
     /// reports after the load was requested. After that, waiting is better.
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -1,5 +1,5 @@
-//! Requests that can't be sent now: whether they wait or are rejected, and when they should
-//! come back.
+//! Requests that can't be sent now: whether they wait or are rejected, and when their
+//! clients should retry.
 
 use {
     super::{
@@ -12,7 +12,7 @@
     },
 };
 
-/// Minimum time after which a rejected request may come back.
+/// Minimum retry time given to rejected requests.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
--- a/coordination/src/dispatch/urgency.rs
+++ b/coordination/src/dispatch/urgency.rs
@@ -2,7 +2,7 @@
 
 use {super::DispatchRequest, std::time::Instant};
 
-/// The least urgent level that engines know.
+/// The least urgent level that engines accept.
 pub const LOWEST_URGENCY: u8 = 9;
 /// Prefill times above which a prompt is one level less urgent, in ms: shortest first
 /// serves the most requests in time.
--- a/coordination/src/limits/shared_bucket.rs
+++ b/coordination/src/limits/shared_bucket.rs
@@ -115,6 +115,7 @@
         Some(received.level - (self.charged - received.charged) as f64)
     }
 
+    /// Counts a request towards the demand, whether or not it is admitted.
     pub fn record_request(&mut self, charge: u64, now: Instant) {
         self.requested += charge as i64;
         self.last_request_at = Some(now);
@@ -188,6 +189,7 @@
         }
     }
 
+    /// Returns the usage to report to the aggregator.
     pub fn usage(&self, account: AccountFingerprint, entries: u32, now: Instant) -> AccountUsage {
         let extrapolated = || self.own_share.level(now) * f64::from(entries.max(1));
         AccountUsage {
--- a/coordination/src/placement/next_order.rs
+++ b/coordination/src/placement/next_order.rs
@@ -8,6 +8,8 @@
 };
 
 impl PlacementControl {
+    /// Returns the next order: to load a base model, replace an outdated adapter, or load or
+    /// evict an adapter.
     pub(super) fn next_order(&mut self, now: Instant) -> Option<OrderKind> {
         let capacity = self.demands.newest()?.room.clone();
         if let Some(order) = self.next_model_load(&capacity, now) {
@@ -63,6 +65,7 @@
         (!self.retry_at.contains_key(&order)).then_some(order)
     }
 
+    /// Returns the most wanted adapter that can be loaded now.
     fn next_wanted_adapter(&self, now: Instant) -> Option<AdapterRef> {
         let wanted = self.demands.wanted().into_iter();
         let mut missing = wanted.map(|w| w.adapter).filter(|adapter| {
--- a/coordination/src/placement/placement_control.rs
+++ b/coordination/src/placement/placement_control.rs
@@ -144,6 +144,7 @@
         }
     }
 
+    /// Returns what the process must do next.
     pub fn next_action(&mut self, now: Instant) -> PlacementAction {
         self.discard_old_report(now);
         self.demands.expire(self.settings.entry_timeout, now);
--- a/coordination/src/routing/target.rs
+++ b/coordination/src/routing/target.rs
@@ -71,6 +71,7 @@
     pub fn is_suspect(&self, now: Instant) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
+    /// Returns the number of this entry's requests in flight to the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
--- a/coordination/src/sidecar/loading.rs
+++ b/coordination/src/sidecar/loading.rs
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Returns how long a request would wait for an adapter that is not loaded. Zero while
-    /// no other load is pending: otherwise one long measurement would reject all requests,
-    /// and no load would correct it.
+    /// Returns how long a request would wait for an adapter that is not loaded. Zero if its
+    /// load is pending already, and while no other load is: otherwise one long measurement
+    /// would reject all requests, and no load would correct it.
     pub(super) fn expected_stall(&self, key: &AdapterKey) -> Duration {
         let is_pending = self.slots.phase(key).is_some() || self.loads.pending.contains_key(key);
         let rounds = self
--- a/coordination/src/sidecar/queueing.rs
+++ b/coordination/src/sidecar/queueing.rs
@@ -58,6 +58,7 @@
         self.reject_all_queued(Reason::Leaving);
     }
 
+    /// Rejects the queued requests that would end after their deadline.
     pub(super) fn reject_late(&mut self, now: Instant) {
         for late in self.queue.remove_late(self.run_time_per_token(), now) {
             let refusal = self.refusal(Step::Queue, Reason::DeadlinePassed);
@@ -215,6 +216,7 @@
         self.runs.token_time().mul_f64(tokens / concurrency)
     }
 
+    /// Returns the class of a request, or a default if the configuration doesn't contain it.
     pub(super) fn class(&self, work: &WorkOrder) -> Class {
         let classes = self.root.iter().flat_map(|r| r.classes.iter());
         let found = classes.into_iter().find(|c| c.name == work.class);
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -152,6 +152,7 @@
         }
     }
 
+    /// Reports the drain as complete once nothing runs or is queued.
     pub(super) fn finish_drain(&mut self) {
         if self.is_draining && self.runs.len() == 0 && self.queue.is_empty() {
             self.actions.push(SidecarAction::Drained);
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -132,6 +132,7 @@
         loading.filter(|s| s.phase == SlotPhase::Loading).count()
     }
 
+    /// Returns whether a slot is free or can be freed for another adapter.
     pub fn availability(&self, now: Instant) -> SlotAvailability {
         if self.slots.len() < self.capacity {
             return SlotAvailability::Free;
