--- a/coordination/src/backend_admission/equal_share.rs
+++ b/coordination/src/backend_admission/equal_share.rs
@@ -4,7 +4,7 @@
 };
 
 /// Width of an entry's time slot.
-const SLOT: Duration = Duration::from_millis(500);
+const SLOT_WIDTH: Duration = Duration::from_millis(500);
 
 /// Whether part of a limit is also used by permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -135,7 +135,7 @@
             // slots move when the number of entries changes
             now.saturating_duration_since(at).as_secs_f64() < interval / 2.0
         });
-        match into_slot < SLOT.as_secs_f64() && !has_sent_recently {
+        match into_slot < SLOT_WIDTH.as_secs_f64() && !has_sent_recently {
             true => Duration::ZERO,
             false => Duration::from_secs_f64(interval - into_slot),
         }
--- a/coordination/src/crashes/crash_detector.rs
+++ b/coordination/src/crashes/crash_detector.rs
@@ -16,7 +16,7 @@
 /// its timeout of 500 ms.
 const SURVIVAL_DELAY: Duration = Duration::from_secs(1);
 /// Upper bound on the interrupted runs that are kept per engine incarnation.
-const MAX_RUNS: usize = 512;
+const MAX_RUNS_PER_INCARNATION: usize = 512;
 
 /// End of an engine incarnation, with the requests that it ran for this entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -51,11 +51,11 @@
     pub fn on_interrupted_run(&mut self, backend: &BackendId, digest: RequestDigest, now: Instant) {
         self.expire(now);
         let runs = self.interrupted.entry(backend.clone()).or_default();
-        if runs.len() < MAX_RUNS {
+        if runs.len() < MAX_RUNS_PER_INCARNATION {
             runs.push(InterruptedRun { digest, at: now });
         }
         if self.ended.contains_key(backend) {
-            self.confirm(backend);
+            self.confirm_crash(backend);
         }
     }
 
@@ -63,7 +63,7 @@
     pub fn on_engine_ended(&mut self, backend: &BackendId, now: Instant) {
         self.expire(now);
         self.ended.entry(backend.clone()).or_insert(now);
-        self.confirm(backend);
+        self.confirm_crash(backend);
     }
 
     /// Applies what an engine's sidecar reports about the engine.
@@ -92,7 +92,7 @@
         std::mem::take(&mut self.crashes)
     }
 
-    fn confirm(&mut self, backend: &BackendId) {
+    fn confirm_crash(&mut self, backend: &BackendId) {
         if let Some(runs) = self.interrupted.remove(backend) {
             let backend = backend.clone();
             self.crashes.push(EngineCrash { backend, runs });
--- a/coordination/src/crashes/crash_registry.rs
+++ b/coordination/src/crashes/crash_registry.rs
@@ -19,7 +19,7 @@
 /// been fixed meanwhile.
 const RETENTION: Duration = Duration::from_secs(600);
 /// Upper bound on the crashes that are kept per request.
-const MAX_CRASHES: usize = BLOCKED_AFTER_CRASHES + 1;
+const MAX_CRASHES_PER_REQUEST: usize = BLOCKED_AFTER_CRASHES + 1;
 /// Upper bound on the reports in one message, about 72 kB.
 const MAX_REPORTS_PER_MESSAGE: usize = 1_000;
 
@@ -105,7 +105,7 @@
         now: Instant,
     ) -> bool {
         let event = CrashEvent::Ended { life: incarnation };
-        self.record(digest, event, at, now)
+        self.record_event(digest, event, at, now)
     }
 
     /// Records that a request ran to completion. Returns whether this is new. Requests
@@ -114,7 +114,7 @@
     pub fn on_completed(&mut self, digest: RequestDigest, now: Instant) -> bool {
         let record = self.requests.get(&digest);
         let is_suspected = record.is_some_and(|record| !record.crashes.is_empty());
-        is_suspected && self.record(digest, CrashEvent::Served, now, now)
+        is_suspected && self.record_event(digest, CrashEvent::Served, now, now)
     }
 
     /// Adds the reports of another process. Returns whether any of them is new.
@@ -123,7 +123,7 @@
         for report in reports {
             let age = Duration::from_millis(report.age_ms);
             let at = now.checked_sub(age).unwrap_or(now);
-            self.record(report.digest, report.event, at, now);
+            self.record_event(report.digest, report.event, at, now);
         }
         self.revision != previous
     }
@@ -161,7 +161,7 @@
         )
     }
 
-    fn record(
+    fn record_event(
         &mut self,
         digest: RequestDigest,
         event: CrashEvent,
@@ -243,10 +243,10 @@
         let index = self
             .crashes
             .partition_point(|c| c.stamp.at <= crash.stamp.at);
-        let is_too_old = index == 0 && self.crashes.len() >= MAX_CRASHES;
+        let is_too_old = index == 0 && self.crashes.len() >= MAX_CRASHES_PER_REQUEST;
         if !is_too_old {
             self.crashes.insert(index, crash);
-            let excess = self.crashes.len().saturating_sub(MAX_CRASHES);
+            let excess = self.crashes.len().saturating_sub(MAX_CRASHES_PER_REQUEST);
             self.crashes.drain(..excess);
         }
         !is_too_old
--- a/coordination/src/limits/account_limiter.rs
+++ b/coordination/src/limits/account_limiter.rs
@@ -31,7 +31,7 @@
 /// For this long after its start an entry treats no limit as ample: the aggregator may
 /// have restarted as well and not know the earlier usage, and all entries release their
 /// held requests at the same time.
-const WARMUP: Duration = Duration::from_secs(2);
+const WARMUP_TIME: Duration = Duration::from_secs(2);
 /// Number of responses of an aggregator after which all other entries have reported
 /// their demand to it.
 const RESPONSES_UNTIL_SYNCED: u32 = 2;
@@ -284,7 +284,7 @@
     }
 
     fn startup_state(&self, now: Instant) -> StartupState {
-        let is_warming_up = now.saturating_duration_since(self.started_at) < WARMUP;
+        let is_warming_up = now.saturating_duration_since(self.started_at) < WARMUP_TIME;
         match is_warming_up {
             true if self.responses < RESPONSES_UNTIL_SYNCED => StartupState::Unsynced,
             true => StartupState::Warmup,
--- a/coordination/src/limits/window_sum.rs
+++ b/coordination/src/limits/window_sum.rs
@@ -4,7 +4,7 @@
 };
 
 /// Number of slots per window. Units leave the sum at most one slot late.
-const SLOTS: u32 = 16;
+const SLOTS_PER_WINDOW: u32 = 16;
 
 /// Sum of the units spent in a sliding window that ends now.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 impl WindowSum {
     /// Adds units to the current slot; a negative number takes them back.
     pub fn add(&mut self, units: f64, window: Duration, now: Instant) {
-        let slot_length = window / SLOTS;
+        let slot_length = window / SLOTS_PER_WINDOW;
         match self.slots.back_mut() {
             Some((since, slot)) if now.saturating_duration_since(*since) < slot_length => {
                 *slot += units
@@ -40,5 +40,5 @@
 
 /// Returns whether a slot lies entirely outside the window.
 fn is_expired(since: Instant, window: Duration, now: Instant) -> bool {
-    now.saturating_duration_since(since) > window + window / SLOTS
+    now.saturating_duration_since(since) > window + window / SLOTS_PER_WINDOW
 }
--- a/coordination/src/placement/demand_table.rs
+++ b/coordination/src/placement/demand_table.rs
@@ -39,7 +39,7 @@
     }
     /// Returns the number of entries with a demand, including those behind a relay.
     pub fn entry_count(&self) -> u32 {
-        self.all().map(|d| d.entries).sum()
+        self.latest_demands().map(|d| d.entries).sum()
     }
     /// Merges all demands into one message from a relay; `None` if there is no demand.
     pub fn merged_demand(&self, relay: &BoxName) -> Option<AdapterDemand> {
@@ -47,7 +47,11 @@
         Some(AdapterDemand {
             entry: relay.clone(),
             entries: self.entry_count(),
-            fence_seen: self.all().map(|d| d.fence_seen).max().unwrap_or(0),
+            fence_seen: self
+                .latest_demands()
+                .map(|d| d.fence_seen)
+                .max()
+                .unwrap_or(0),
             wanted: self.wanted(),
             used: self.merged_uses(),
             outdated: self.merged_outdated(),
@@ -56,19 +60,19 @@
     }
     /// Returns the number of requests of all entries that use the adapter.
     pub fn in_flight(&self, adapter: &AdapterRef) -> u32 {
-        let used = self.all().flat_map(|d| &d.used);
+        let used = self.latest_demands().flat_map(|d| &d.used);
         let matching = used.filter(|u| u.adapter == *adapter);
         matching.map(|u| u.in_flight).sum()
     }
     pub fn is_wanted(&self, adapter: &AdapterRef) -> bool {
-        let mut wanted = self.all().flat_map(|d| &d.wanted);
+        let mut wanted = self.latest_demands().flat_map(|d| &d.wanted);
         wanted.any(|w| w.adapter == *adapter)
     }
     /// Returns the adapters that requests wait for, ordered by the weighted number of
     /// waiting requests.
     pub fn wanted(&self) -> Vec<WantedAdapter> {
         let mut merged: HashMap<&AdapterRef, WantedAdapter> = HashMap::new();
-        for wanted in self.all().flat_map(|d| &d.wanted) {
+        for wanted in self.latest_demands().flat_map(|d| &d.wanted) {
             match merged.get_mut(&wanted.adapter) {
                 Some(total) => {
                     total.waiting += wanted.waiting;
@@ -92,18 +96,18 @@
     }
     /// Returns the newest version of an outdated adapter that any entry knows.
     pub fn newest_version(&self, adapter: &AdapterRef) -> Option<u64> {
-        let outdated = self.all().flat_map(|d| &d.outdated);
+        let outdated = self.latest_demands().flat_map(|d| &d.outdated);
         let matching = outdated.filter(|o| o.adapter == *adapter);
         matching.map(|o| o.version).max()
     }
     /// Returns the demand that is based on the newest list of back ends.
     pub fn newest(&self) -> Option<&AdapterDemand> {
-        self.all().max_by_key(|d| d.list_version)
+        self.latest_demands().max_by_key(|d| d.list_version)
     }
 
     fn merged_uses(&self) -> Vec<AdapterUse> {
         let mut in_flight: BTreeMap<&AdapterRef, u32> = BTreeMap::new();
-        for used in self.all().flat_map(|d| &d.used) {
+        for used in self.latest_demands().flat_map(|d| &d.used) {
             *in_flight.entry(&used.adapter).or_default() += used.in_flight;
         }
         let uses = in_flight.into_iter().map(|(adapter, n)| AdapterUse {
@@ -116,7 +120,7 @@
     /// Returns the newest version that any entry knows, for each outdated adapter.
     fn merged_outdated(&self) -> Vec<HeldAdapter> {
         let mut newest: BTreeMap<&AdapterRef, u64> = BTreeMap::new();
-        for outdated in self.all().flat_map(|d| &d.outdated) {
+        for outdated in self.latest_demands().flat_map(|d| &d.outdated) {
             let version = newest.entry(&outdated.adapter).or_default();
             *version = outdated.version.max(*version);
         }
@@ -127,7 +131,7 @@
         outdated.collect()
     }
 
-    fn all(&self) -> impl Iterator<Item = &AdapterDemand> {
+    fn latest_demands(&self) -> impl Iterator<Item = &AdapterDemand> {
         self.demands.values().map(|(_, demand)| demand)
     }
 }
--- a/coordination/src/queue/fair_queue.rs
+++ b/coordination/src/queue/fair_queue.rs
@@ -10,7 +10,7 @@
 /// Share of a group that the configuration doesn't list.
 const DEFAULT_SHARE: u32 = 1;
 /// Time after its last request for which a group counts as active.
-const ACTIVE_FOR: Duration = Duration::from_secs(10);
+const ACTIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The queued requests of one target.
 ///
@@ -70,17 +70,17 @@
     pub fn fraction_among_queued(&self, group: &str) -> f64 {
         let mut groups: HashSet<&str> = self.requests.iter().map(|r| r.group.as_str()).collect();
         groups.insert(group);
-        let sum: u32 = groups.iter().map(|g| self.share(g)).sum();
-        f64::from(self.share(group)) / f64::from(sum.max(1))
+        let sum: u32 = groups.iter().map(|g| self.share_of(g)).sum();
+        f64::from(self.share_of(group)) / f64::from(sum.max(1))
     }
 
     /// Returns the fraction of the target due to a group, among the active groups.
     pub fn fraction_among_active(&self, group: &str, now: Instant) -> f64 {
-        let is_active = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_FOR;
+        let is_active = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_TIMEOUT;
         let active = self.last_arrival.iter().filter(|(_, at)| is_active(at));
         let others = active.filter(|(name, _)| *name != group);
-        let sum: u32 = others.map(|(name, _)| self.share(name)).sum();
-        let own = self.share(group);
+        let sum: u32 = others.map(|(name, _)| self.share_of(name)).sum();
+        let own = self.share_of(group);
         f64::from(own) / f64::from(own + sum)
     }
 
@@ -138,7 +138,7 @@
 
     /// Charges a group for tokens beyond the estimate, or credits it if `tokens` is negative.
     pub fn charge(&mut self, group: &str, tokens: f64) {
-        let share = f64::from(self.share(group));
+        let share = f64::from(self.share_of(group));
         if let Some(service) = self.received_service.get_mut(group) {
             *service += tokens / share;
         }
@@ -177,7 +177,7 @@
             }
         }
     }
-    fn share(&self, group: &str) -> u32 {
+    fn share_of(&self, group: &str) -> u32 {
         self.shares.get(group).copied().unwrap_or(DEFAULT_SHARE)
     }
     fn received_service_of(&self, group: &str) -> f64 {
--- a/coordination/src/run_once/table.rs
+++ b/coordination/src/run_once/table.rs
@@ -208,7 +208,7 @@
     /// # Errors
     /// The id is not tracked.
     pub fn phase(&self, id: &ReservedId, now: Instant) -> Result<RunPhase, RunOnceError> {
-        let index = self.index(id)?;
+        let index = self.index_of(id)?;
         Ok(self.records[index].phase_at(now))
     }
 
@@ -241,7 +241,7 @@
         }
     }
 
-    fn index(&self, id: &ReservedId) -> Result<usize, RunOnceError> {
+    fn index_of(&self, id: &ReservedId) -> Result<usize, RunOnceError> {
         if id.target != self.settings.target {
             return Err(RunOnceError::Unknown);
         }
@@ -259,7 +259,7 @@
     }
 
     fn record_mut(&mut self, id: &ReservedId) -> Result<&mut IdRecord, RunOnceError> {
-        let index = self.index(id)?;
+        let index = self.index_of(id)?;
         Ok(&mut self.records[index])
     }
 }
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -132,7 +132,7 @@
             self.runs.orphans.insert(request.clone(), run);
             self.invalidate_engine_state();
         } else {
-            self.release(&run);
+            self.unpin_adapter(&run);
         }
         if end.failure == Some(Reason::Superseded) {
             self.invalidate_engine_state();
@@ -147,7 +147,7 @@
             if is_current && status.running.iter().any(|r| r.request == request) {
                 self.runs.orphans.insert(request, run);
             } else {
-                self.release(&run);
+                self.unpin_adapter(&run);
             }
         }
     }
@@ -202,7 +202,7 @@
             incarnation: order.map(|o| o.incarnation),
         };
         if work.reserved && !self.start_reserved(request) {
-            self.release(&run);
+            self.unpin_adapter(&run);
             let refusal = self.refusal(Step::Queue, Reason::Cancelled);
             self.reject(request, refusal);
             return;
@@ -245,7 +245,7 @@
         self.reject(request, refusal.with_detail(&end.detail));
     }
 
-    fn release(&mut self, run: &Run) {
+    fn unpin_adapter(&mut self, run: &Run) {
         let current = self.order_fence().map(|o| o.incarnation);
         // otherwise the pins are rebuilt when the slots are read again
         if run.incarnation.is_none() || run.incarnation != current {
