--- a/coordination/src/backend_admission/equal_share.rs
+++ b/coordination/src/backend_admission/equal_share.rs
@@ -3,8 +3,8 @@
     std::time::{Duration, Instant},
 };
 
-/// width of an entry's time slot
-const SLOT: Duration = Duration::from_millis(500);
+/// Width of an entry's time slot.
+const SLOT_WIDTH: Duration = Duration::from_millis(500);
 
 /// Whether part of a limit is also used by permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,15 +52,15 @@
 #[derive(Debug, Clone)]
 pub struct EqualShare {
     mode: ShareMode,
-    /// between 0 and 1, uniform over entries
+    /// Between 0 and 1, uniform over entries.
     phase: f64,
     per_s: f64,
     entries: u32,
-    /// requests that may be sent now, at most one
+    /// Requests that may be sent now, at most one.
     tokens: f64,
     refilled_at: Instant,
     created_at: Instant,
-    last_sent: Option<Instant>,
+    last_sent_at: Option<Instant>,
 }
 
 impl EqualShare {
@@ -74,7 +74,7 @@
             tokens: phase - 1.0,
             refilled_at: now,
             created_at: now,
-            last_sent: None,
+            last_sent_at: None,
         }
     }
 
@@ -110,7 +110,7 @@
     pub fn on_request_sent(&mut self, now: Instant) {
         self.tokens = self.tokens_at(now) - 1.0;
         self.refilled_at = now;
-        self.last_sent = Some(now);
+        self.last_sent_at = Some(now);
     }
 
     fn is_slotted(&self) -> bool {
@@ -131,11 +131,11 @@
         let interval = self.send_interval().as_secs_f64();
         let elapsed = now.saturating_duration_since(self.created_at).as_secs_f64();
         let into_slot = (elapsed - self.phase * interval).rem_euclid(interval);
-        let has_sent_recently = self.last_sent.is_some_and(|at| {
+        let has_sent_recently = self.last_sent_at.is_some_and(|at| {
             // slots move when the number of entries changes
             now.saturating_duration_since(at).as_secs_f64() < interval / 2.0
         });
-        match into_slot < SLOT.as_secs_f64() && !has_sent_recently {
+        match into_slot < SLOT_WIDTH.as_secs_f64() && !has_sent_recently {
             true => Duration::ZERO,
             false => Duration::from_secs_f64(interval - into_slot),
         }
--- a/coordination/src/dispatch/backend_state.rs
+++ b/coordination/src/dispatch/backend_state.rs
@@ -36,8 +36,8 @@
     pub has_started: bool,
     /// Whether no other prompt was being prefilled on the engine when it was sent.
     pub is_sole_prefill: bool,
-    /// Whether it probes if the requested back-off is over.
-    pub is_trial: bool,
+    /// Whether it is the probe after a requested back-off.
+    pub is_probe: bool,
 }
 
 /// Waiting requests that a new view may allow to be sent.
@@ -87,6 +87,7 @@
     pub has_ended: bool,
     discovered_at: Instant,
     pub health: Health,
+    /// Requests of this entry that were sent and haven't ended.
     pub in_flight: u32,
     /// Of these, requests that are suspected of crashing engines.
     crash_suspects: u32,
@@ -172,15 +173,18 @@
             None => self.slow_start = Some(SlowStart::new(entry, &self.listed.id, left, now)),
         }
     }
-    pub fn advance_slow_start(&mut self, pace: SlowStartSettings, entries: u32, now: Instant) {
+    pub fn advance_slow_start(&mut self, settings: SlowStartSettings, entries: u32, now: Instant) {
         self.slow_start = self
             .slow_start
             .take()
             .filter(|slow_start| slow_start.is_active(now));
         // slow start is not limited in services without a rate for it
-        self.slow_start = self.slow_start.take().filter(|_| pace.requests_per_s > 0.0);
+        self.slow_start = self
+            .slow_start
+            .take()
+            .filter(|_| settings.requests_per_s > 0.0);
         if let Some(slow_start) = &mut self.slow_start {
-            slow_start.refill(pace, entries, now);
+            slow_start.refill(settings, entries, now);
         }
     }
 
@@ -219,10 +223,10 @@
         AffectedRequests::OfAdapters(loaded.map(|h| h.adapter.clone()).collect())
     }
     /// Applies a report in which only the stats changed.
-    pub fn on_stats(&mut self, figures: EngineStats, now: Instant) {
+    pub fn on_stats(&mut self, stats: EngineStats, now: Instant) {
         if let Some(view) = &mut self.view {
-            view.figures = figures;
-            self.viewed_at = reported_at(&figures, now);
+            view.figures = stats;
+            self.viewed_at = reported_at(&stats, now);
             self.refused_adapters.clear();
         }
     }
@@ -338,6 +342,7 @@
     pub fn home_hash(&self) -> u64 {
         self.home_hash
     }
+    /// Returns the number of adapter slots that are free or can be freed, 0 without a view.
     pub fn spare_slots(&self) -> u32 {
         self.view.as_ref().map_or(0, |v| v.figures.spare_slots)
     }
@@ -360,9 +365,9 @@
 
     /// Returns the number of requests that run or wait there, from all entries.
     pub fn occupied(&self, now: Instant) -> u32 {
-        let reported = self.fresh_view(now).map_or(0, |v| {
-            let figures = &v.figures;
-            figures.running + figures.queued
+        let reported = self.recent_view(now).map_or(0, |v| {
+            let stats = &v.figures;
+            stats.running + stats.queued
         });
         reported.max(self.in_flight)
     }
@@ -375,6 +380,7 @@
     pub fn can_accept_request(&self, request: &DispatchRequest, now: Instant) -> bool {
         self.can_accept(now) && !(request.is_crash_suspect && self.crash_suspects > 0)
     }
+    /// Returns whether the back end can take any request now.
     pub fn can_accept(&self, now: Instant) -> bool {
         self.closed_reason(now).is_none()
     }
@@ -408,14 +414,14 @@
     }
     /// Returns the number of prompts that are being prefilled or wait for it.
     pub fn pending_prefills(&self, now: Instant) -> u32 {
-        let reported = self.fresh_view(now).map_or(0, |v| v.figures.reading);
+        let reported = self.recent_view(now).map_or(0, |v| v.figures.reading);
         reported.max(self.waiting_prefills)
     }
     /// Returns the number of prompt tokens that wait for prefill. Of prompts from other
     /// entries only the number is known, so each counts as a typical one.
-    pub fn queued_tokens(&self, typical_prompt: f64, now: Instant) -> f64 {
+    pub fn queued_tokens(&self, typical_prompt_tokens: f64, now: Instant) -> f64 {
         let from_other_entries = self.pending_prefills(now) - self.waiting_prefills;
-        self.waiting_prefill_tokens as f64 + f64::from(from_other_entries) * typical_prompt
+        self.waiting_prefill_tokens as f64 + f64::from(from_other_entries) * typical_prompt_tokens
     }
 
     /// Returns whether its sidecar reported after `at`.
@@ -428,14 +434,14 @@
         self.view.as_ref().map(|_| age)
     }
 
-    fn fresh_view(&self, now: Instant) -> Option<&EngineView> {
+    fn recent_view(&self, now: Instant) -> Option<&EngineView> {
         let age = now.saturating_duration_since(self.viewed_at);
         self.view.as_ref().filter(|_| age < MAX_VIEW_AGE)
     }
 }
 
 /// Returns when the sidecar wrote the report; relays add the time that it spent on the way.
-pub(crate) fn reported_at(figures: &EngineStats, now: Instant) -> Instant {
-    let age = Duration::from_millis(u64::from(figures.age_ms));
+pub(crate) fn reported_at(stats: &EngineStats, now: Instant) -> Instant {
+    let age = Duration::from_millis(u64::from(stats.age_ms));
     now.checked_sub(age).unwrap_or(now)
 }
--- a/coordination/src/dispatch/rejection.rs
+++ b/coordination/src/dispatch/rejection.rs
@@ -1,5 +1,5 @@
-//! Requests that can't be sent now: whether they wait or are rejected, and when they should
-//! come back.
+//! Requests that can't be sent now: whether they wait or are rejected, and when their
+//! clients should retry.
 
 use {
     super::{
@@ -12,10 +12,11 @@
     },
 };
 
-/// Minimum time after which a rejected request may come back.
+/// Minimum retry time given to rejected requests.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
+    /// Keeps a request waiting, or rejects it if it can't be served within its maximum wait.
     pub(super) fn wait_or_reject(
         &mut self,
         ticket: Ticket,
@@ -95,11 +96,11 @@
             self.waiting.insert(ticket, request);
             return;
         }
-        let return_in = self.backends.get_mut(&backend);
-        let return_in = return_in.map_or(opens_in, |b| b.limit.next_retry_after(now));
+        let state = self.backends.get_mut(&backend);
+        let retry_after = state.map_or(opens_in, |b| b.limit.next_retry_after(now));
         let inputs = self.decision_inputs(&request, now);
         self.on_not_sent(&request);
-        let retry_after = return_in.max(MIN_RETRY_AFTER);
+        let retry_after = retry_after.max(MIN_RETRY_AFTER);
         self.reject(ticket, RejectionCause::RateLimited, retry_after, inputs);
     }
 
--- a/coordination/src/dispatch/selection.rs
+++ b/coordination/src/dispatch/selection.rs
@@ -142,7 +142,7 @@
     fn plan(&self, request: &DispatchRequest, now: Instant) -> (Choice, Vec<BackendId>) {
         let candidates = self.candidates(request, now);
         // a base model takes longer to load than a back-off lasts, so its holders are waited for
-        let lacks_model = |model: &String| with_model(&candidates, model).is_empty();
+        let lacks_model = |model: &String| holders_of_model(&candidates, model).is_empty();
         let may_serve = !candidates.is_empty() && !request.model.as_ref().is_some_and(lacks_model);
         if !may_serve && self.shortest_backoff(request, now).is_some() {
             return (Choice::Wait(RejectionCause::BackedOff), Vec::new());
@@ -228,10 +228,10 @@
         let Some(model) = &request.model else {
             return self.choose_cheapest(request, candidates, candidates.len(), now);
         };
-        let with_model = with_model(candidates, model);
-        match with_model.is_empty() {
+        let holders = holders_of_model(candidates, model);
+        match holders.is_empty() {
             true => Choice::Wait(RejectionCause::NotLoaded),
-            false => self.choose_cheapest(request, &with_model, candidates.len(), now),
+            false => self.choose_cheapest(request, &holders, candidates.len(), now),
         }
     }
 
@@ -264,7 +264,7 @@
         let mut states = self.candidates(request, now);
         match (&request.adapter, &request.model) {
             (Some(adapter), _) => states = self.holders(&states, adapter, now),
-            (None, Some(model)) => states = with_model(&states, model),
+            (None, Some(model)) => states = holders_of_model(&states, model),
             (None, None) => {}
         }
         let limited = states.iter().filter(|b| b.can_accept_beyond_limit(now));
@@ -286,7 +286,7 @@
     }
 
     /// Returns the back ends that may take the request: healthy ones if there are any, else
-    /// those paused after failures, else those that are no longer listed.
+    /// those ejected after failures, else those that are no longer listed.
     fn candidates(&self, request: &DispatchRequest, now: Instant) -> Vec<&BackendState> {
         let of_service: Vec<&BackendState> = self
             .backends
@@ -386,7 +386,7 @@
     pub(super) fn queue_ms(&self, state: &BackendState, now: Instant) -> f64 {
         let service = &state.listed.service;
         let typical = match self.settings.features.prompts_of_all {
-            true => self.typical_prompt(service),
+            true => self.typical_prompt_tokens(service),
             false => 0.0,
         };
         state.queued_tokens(typical, now) / self.tokens_per_ms(service)
@@ -409,11 +409,11 @@
         observed.unwrap_or(self.settings.default_tokens_per_ms)
     }
 
-    fn typical_prompt(&self, service: &ServiceName) -> f64 {
+    fn typical_prompt_tokens(&self, service: &ServiceName) -> f64 {
         let observed = self
             .prefill_rates
             .get(service)
-            .and_then(|r| r.typical_prompt());
+            .and_then(|r| r.typical_prompt_tokens());
         observed.unwrap_or(DEFAULT_PROMPT_TOKENS)
     }
 
@@ -424,6 +424,8 @@
         queue.max(state.load(now) / self.settings.copy_load_threshold)
     }
 
+    /// Returns the cost of sending a request to a back end, in ms: its expected wait plus
+    /// penalties for load, distance, rate limits and failures. The lowest cost is chosen.
     fn cost(&self, state: &BackendState, now: Instant) -> f64 {
         let is_remote_zone = state.listed.zone != self.settings.zone;
         let remote_zone = if is_remote_zone {
@@ -435,7 +437,7 @@
             Some(_) => RATE_LIMIT_COST_MS,
             None => 0.0,
         };
-        // requests without tokens share the slots only
+        // requests without tokens add no prefill, but take slots
         let load = state.load(now);
         self.queue_ms(state, now)
             + f64::from(state.occupied(now)) * ACTIVE_REQUEST_COST_MS
@@ -454,10 +456,10 @@
 }
 
 /// Returns the candidates that hold a base model.
-pub(super) fn with_model<'b>(
+pub(super) fn holders_of_model<'b>(
     candidates: &[&'b BackendState],
     model: &str,
 ) -> Vec<&'b BackendState> {
-    let holds = candidates.iter().filter(|b| b.has_model(model));
-    holds.copied().collect()
+    let holders = candidates.iter().filter(|b| b.has_model(model));
+    holders.copied().collect()
 }
--- a/coordination/src/queue/fair_queue.rs
+++ b/coordination/src/queue/fair_queue.rs
@@ -7,10 +7,10 @@
     },
 };
 
-/// share of a group that the configuration doesn't list
+/// Share of a group that the configuration doesn't list.
 const DEFAULT_SHARE: u32 = 1;
-/// time after its last request for which a group counts as active
-const ACTIVE_FOR: Duration = Duration::from_secs(10);
+/// Time after its last request for which a group counts as active.
+const ACTIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The queued requests of one target.
 ///
@@ -19,15 +19,15 @@
 /// over tokens); then by arrival.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    /// in the order of arrival
+    /// In the order of arrival.
     requests: Vec<QueuedRequest>,
     shares: HashMap<GroupName, u32>,
-    /// service that each group received, in tokens divided by its share
-    service: HashMap<GroupName, f64>,
-    /// service of the group that was served last: the starting value of a group that becomes
-    /// active
+    /// Service that each group received: the tokens charged to it, divided by its share.
+    received_service: HashMap<GroupName, f64>,
+    /// Service of the group that was served last: the starting value of a group that becomes
+    /// active.
     virtual_time: f64,
-    /// arrival of each group's last request
+    /// Arrival of each group's last request.
     last_arrival: HashMap<GroupName, Instant>,
 }
 
@@ -37,7 +37,8 @@
     }
 
     pub fn set_shares(&mut self, shares: HashMap<GroupName, u32>) {
-        self.service.retain(|group, _| shares.contains_key(group));
+        self.received_service
+            .retain(|group, _| shares.contains_key(group));
         self.last_arrival
             .retain(|group, _| shares.contains_key(group));
         self.shares = shares;
@@ -69,17 +70,17 @@
     pub fn fraction_among_queued(&self, group: &str) -> f64 {
         let mut groups: HashSet<&str> = self.requests.iter().map(|r| r.group.as_str()).collect();
         groups.insert(group);
-        let sum: u32 = groups.iter().map(|g| self.share(g)).sum();
-        f64::from(self.share(group)) / f64::from(sum.max(1))
+        let sum: u32 = groups.iter().map(|g| self.share_of(g)).sum();
+        f64::from(self.share_of(group)) / f64::from(sum.max(1))
     }
 
     /// Returns the fraction of the target due to a group, among the active groups.
     pub fn fraction_among_active(&self, group: &str, now: Instant) -> f64 {
-        let is_active = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_FOR;
+        let is_active = |at: &Instant| now.saturating_duration_since(*at) < ACTIVE_TIMEOUT;
         let active = self.last_arrival.iter().filter(|(_, at)| is_active(at));
         let others = active.filter(|(name, _)| *name != group);
-        let sum: u32 = others.map(|(name, _)| self.share(name)).sum();
-        let own = self.share(group);
+        let sum: u32 = others.map(|(name, _)| self.share_of(name)).sum();
+        let own = self.share_of(group);
         f64::from(own) / f64::from(own + sum)
     }
 
@@ -89,7 +90,7 @@
         // a group gets no credit for the time in which it had no requests
         let virtual_time = self.virtual_time;
         let service = self
-            .service
+            .received_service
             .entry(request.group.clone())
             .or_insert(virtual_time);
         let is_idle = !self.requests.iter().any(|r| r.group == request.group);
@@ -107,8 +108,8 @@
             let by_priority = a.priority_at(now).cmp(&b.priority_at(now));
             by_priority
                 .then(
-                    self.service_of(&a.group)
-                        .total_cmp(&self.service_of(&b.group)),
+                    self.received_service_of(&a.group)
+                        .total_cmp(&self.received_service_of(&b.group)),
                 )
                 .then(a.arrived.cmp(&b.arrived))
         });
@@ -128,15 +129,17 @@
     /// Removes a request that starts, and charges its group.
     pub fn start(&mut self, request: &str) -> Option<QueuedRequest> {
         let started = self.remove(request)?;
-        self.virtual_time = self.virtual_time.max(self.service_of(&started.group));
+        self.virtual_time = self
+            .virtual_time
+            .max(self.received_service_of(&started.group));
         self.charge(&started.group, started.tokens as f64);
         Some(started)
     }
 
     /// Charges a group for tokens beyond the estimate, or credits it if `tokens` is negative.
     pub fn charge(&mut self, group: &str, tokens: f64) {
-        let share = f64::from(self.share(group));
-        if let Some(service) = self.service.get_mut(group) {
+        let share = f64::from(self.share_of(group));
+        if let Some(service) = self.received_service.get_mut(group) {
             *service += tokens / share;
         }
     }
@@ -174,11 +177,11 @@
             }
         }
     }
-    fn share(&self, group: &str) -> u32 {
+    fn share_of(&self, group: &str) -> u32 {
         self.shares.get(group).copied().unwrap_or(DEFAULT_SHARE)
     }
-    fn service_of(&self, group: &str) -> f64 {
-        self.service
+    fn received_service_of(&self, group: &str) -> f64 {
+        self.received_service
             .get(group)
             .copied()
             .unwrap_or(self.virtual_time)
--- a/coordination/src/sidecar/running.rs
+++ b/coordination/src/sidecar/running.rs
@@ -132,7 +132,7 @@
             self.runs.orphans.insert(request.clone(), run);
             self.invalidate_engine_state();
         } else {
-            self.release(&run);
+            self.unpin_adapter(&run);
         }
         if end.failure == Some(Reason::Superseded) {
             self.invalidate_engine_state();
@@ -147,11 +147,12 @@
             if is_current && status.running.iter().any(|r| r.request == request) {
                 self.runs.orphans.insert(request, run);
             } else {
-                self.release(&run);
+                self.unpin_adapter(&run);
             }
         }
     }
 
+    /// Reports the drain as complete once nothing runs or is queued.
     pub(super) fn finish_drain(&mut self) {
         if self.is_draining && self.runs.len() == 0 && self.queue.is_empty() {
             self.actions.push(SidecarAction::Drained);
@@ -201,7 +202,7 @@
             incarnation: order.map(|o| o.incarnation),
         };
         if work.reserved && !self.start_reserved(request) {
-            self.release(&run);
+            self.unpin_adapter(&run);
             let refusal = self.refusal(Step::Queue, Reason::Cancelled);
             self.reject(request, refusal);
             return;
@@ -221,7 +222,7 @@
 
     fn start_reserved(&mut self, request: &RequestId) -> bool {
         match request.parse::<ReservedId>() {
-            Ok(id) => self.once.start(&id),
+            Ok(id) => self.run_once.start(&id),
             Err(_) => false,
         }
     }
@@ -231,7 +232,7 @@
             return;
         }
         if let Ok(id) = request.parse::<ReservedId>() {
-            self.once.finish(&id, outcome);
+            self.run_once.finish(&id, outcome);
         }
     }
 
@@ -244,7 +245,7 @@
         self.reject(request, refusal.with_detail(&end.detail));
     }
 
-    fn release(&mut self, run: &Run) {
+    fn unpin_adapter(&mut self, run: &Run) {
         let current = self.order_fence().map(|o| o.incarnation);
         // otherwise the pins are rebuilt when the slots are read again
         if run.incarnation.is_none() || run.incarnation != current {
--- a/coordination/src/slots/slot_table.rs
+++ b/coordination/src/slots/slot_table.rs
@@ -32,7 +32,7 @@
 struct Slot {
     phase: SlotPhase,
     pins: u32,
-    /// The slot accepts no new requests, so that it becomes unpinned.
+    /// Whether the slot accepts no new requests, so that it becomes unpinned.
     is_draining: bool,
 }
 
@@ -132,6 +132,7 @@
         loading.filter(|s| s.phase == SlotPhase::Loading).count()
     }
 
+    /// Returns whether a slot is free or can be freed for another adapter.
     pub fn availability(&self, now: Instant) -> SlotAvailability {
         if self.slots.len() < self.capacity {
             return SlotAvailability::Free;
