--- a/coordination/examples/intake.rs
+++ b/coordination/examples/intake.rs
@@ -5,7 +5,7 @@
 
 use intake_sim::{simulate, Fault, Outcome, Scenario, SharingMethod};
 
-/// number of seeds unless the first argument gives another
+/// Number of seeds if the first argument does not set it.
 const DEFAULT_SEEDS: u64 = 20;
 const SECONDS: u64 = 30;
 const PER_S: f64 = 2.0;
--- a/testkit/examples/experiment/routing.rs
+++ b/testkit/examples/experiment/routing.rs
@@ -1,5 +1,5 @@
 //! Routing by least expected wait compared with random, least loaded and plain hash, and the
-//! effect of the limit of batching ahead.
+//! effect of the batch-ahead limit.
 
 use {
     crate::fleet::{check, clients, print_row, user_fleet, user_stream, Plan},
